--- a/src/access/base64url.h
+++ b/src/access/base64url.h
@@ -8,8 +8,8 @@
 
 namespace rookproxy::access {
 
-std::string base64url(std::string_view bytes);
+std::string encode_base64url(std::string_view bytes);
 // Nothing if any character or bit is out of place: each string of bytes has one text.
-std::optional<std::string> from_base64url(std::string_view text);
+std::optional<std::string> decode_base64url(std::string_view text);
 
 }  // namespace rookproxy::access
--- a/src/access/certificate.h
+++ b/src/access/certificate.h
@@ -7,28 +7,32 @@
 
 namespace rookproxy::access {
 
-class CertificateCaller {
+class CertificateAuthenticator {
  public:
   // Both live longer. `channel` may be null: then there is no certificate.
-  CertificateCaller(Gatekeeper& gate, const tls::ServerChannel* channel) : gate_(gate), channel_(channel) {}
+  CertificateAuthenticator(Authenticator& gate, const tls::ServerChannel* channel)
+      : authenticator_(gate), channel_(channel) {}
 
   // `context`: what is in force now; it may be another than the channel began under.
-  const Proof& proof(const tls::ServerContext& context) {
-    if (revision_ == gate_.revision()) return proof_;
-    revision_ = gate_.revision();
-    proof_ = Proof();
-    const auto facts = channel_ ? channel_->peer() : std::nullopt;
-    proof_.denial = facts ? channel_->judge(context) : decide::Denial::kNoCredentials;
-    if (proof_.denial == decide::Denial::kNone) proof_ = gate_.certificate(*facts, context.known_until());
-    return proof_;
+  const AuthenticationResult& authenticate(const tls::ServerContext& context) {
+    if (revision_ == authenticator_.revision()) return result_;
+    revision_ = authenticator_.revision();
+    result_ = AuthenticationResult();
+    const auto facts = channel_ ? channel_->peer_certificate() : std::nullopt;
+    result_.denial = facts ? channel_->verify_peer(context) : decide::Denial::kNoCredentials;
+    if (result_.denial == decide::Denial::kNone)
+      result_ = authenticator_.authenticate_certificate(*facts, context.revocation_known_until());
+    return result_;
+  }
+  bool is_presented() const {
+    return channel_ && channel_->is_handshake_complete() && channel_->peer_certificate().has_value();
   }
-  bool is_shown() const { return channel_ && channel_->is_ready() && channel_->peer().has_value(); }
 
  private:
-  Gatekeeper& gate_;
+  Authenticator& authenticator_;
   const tls::ServerChannel* channel_;
   std::uint64_t revision_ = 0;  // 0: not judged yet
-  Proof proof_;
+  AuthenticationResult result_;
 };
 
 }  // namespace rookproxy::access
--- a/src/access/gatekeeper.h
+++ b/src/access/gatekeeper.h
@@ -19,88 +19,94 @@
 
 namespace rookproxy::access {
 
-struct Proof {
+struct AuthenticationResult {
   decide::Denial denial = decide::Denial::kNone;
-  std::shared_ptr<const decide::Proven> proven;  // where nothing is denied
-  std::optional<Duration> again;                 // of 'busy': when to come back
-  bool close = false;  // its source has sent nothing but bad tokens: end the connection
+  std::shared_ptr<const decide::VerifiedCredential> credential;  // where nothing is denied
+  std::optional<Duration> retry_after;                           // of 'busy': when to come back
+  bool close_connection = false;  // its source has sent nothing but bad tokens: end the connection
 };
 
 // Who asks, for the audit.
-struct Asked {
-  std::string_view front, request;
+struct AuditContext {
+  std::string_view frontend, request;
 };
 
-class Gatekeeper {
+class Authenticator {
  public:
   using SourceId = decide::CheckQueue::SourceId;
-  using CheckKey = std::uint64_t;  // 0: none
-  using Done = std::function<void(Proof)>;
+  using CheckId = std::uint64_t;  // 0: none
+  using CheckCallback = std::function<void(AuthenticationResult)>;
 
   // Throws KeyError if a file can't be taken.
-  Gatekeeper(Loop& loop, Log& log, AccessFigures& figures, AccessSettings settings, std::uint64_t seed);
-  ~Gatekeeper();
+  Authenticator(EventLoop& loop, Logger& log, AuthMetrics& figures, AuthSettings settings,
+                std::uint64_t seed);
+  ~Authenticator();
   // Other rights, keys and revocations from now on, whole; if it throws, the former stay.
-  void take(AccessSettings settings);
-  const AccessSettings& settings() const { return settings_; }
+  void replace_settings(AuthSettings settings);
+  const AuthSettings& settings() const { return settings_; }
   // Counts up with every change: what was proven under another one is to be judged anew.
   std::uint64_t revision() const { return revision_; }
 
   // The token's proof at once; or nothing, then `done` gets it later, once, by `until` at the latest, and
   // `key` names the check.
-  std::optional<Proof> check(std::string_view token, SourceId source, Time until, Done done, CheckKey& key);
-  void cancel(CheckKey key);
-  void source_gone(SourceId source);
+  std::optional<AuthenticationResult> check_token(std::string_view token, SourceId source, Time until,
+                                                  CheckCallback done, CheckId& key);
+  void cancel_check(CheckId key);
+  void remove_source(SourceId source);
 
   // May it? A denial is counted and written to the audit.
-  decide::Denial judge(const decide::Identity& identity, std::string_view class_name, bool class_may_write,
-                       const decide::StatementFacts& facts, const Asked& asked);
-  decide::Denial judge_schema(const decide::Identity& identity, std::string_view schema, const Asked& asked);
-  decide::Denial judge_identity(const decide::Identity& identity, const Asked& asked);
+  decide::Denial authorize(const decide::Identity& identity, std::string_view class_name,
+                           bool class_may_write, const decide::StatementAnalysis& facts,
+                           const AuditContext& asked);
+  decide::Denial authorize_schema(const decide::Identity& identity, std::string_view schema,
+                                  const AuditContext& asked);
+  decide::Denial authorize_identity(const decide::Identity& identity, const AuditContext& asked);
   // What was proven by a token or a password under another revision, judged by this one.
-  Proof renew(const decide::Proven& proven) const;
+  AuthenticationResult revalidate(const decide::VerifiedCredential& proven) const;
   // Who logged in by password, and whom a verified certificate stands for. `known_until`: whether it was
   // revoked.
-  Proof user(const std::string& name) const;
-  Proof certificate(const decide::CertificateFacts& facts, std::optional<Time> known_until) const;
-  bool takes_tokens() const { return !settings_.keys_file.empty(); }
+  AuthenticationResult authenticate_user(const std::string& name) const;
+  AuthenticationResult authenticate_certificate(const decide::CertificateInfo& facts,
+                                                std::optional<Time> known_until) const;
+  bool accepts_tokens() const { return !settings_.keys_file.empty(); }
   // One that was denied before it became a caller.
-  void audit(decide::Denial denial, const decide::Identity& identity, std::string_view class_name,
-             const Asked& asked, std::string_view detail = "");
+  void audit_denial(decide::Denial denial, const decide::Identity& identity, std::string_view class_name,
+                    const AuditContext& asked, std::string_view detail = "");
 
  private:
-  struct Pending {
+  struct PendingCheck {
     std::string token;
     SourceId source;
-    Done done;
-    TimerKey timer{};
+    CheckCallback callback;
+    TimerId timer{};
   };
-  std::optional<Proof> known(std::string_view token, SourceId source, std::optional<Jwt>& jwt,
-                             std::size_t& key);
-  Proof run(std::string_view token, SourceId source, const Jwt& jwt, std::size_t key);
-  Proof denied(decide::Denial denial, SourceId source);
-  Proof standing(const Standing* standing, decide::Identity identity) const;
-  void serve();
-  void wake();
-  void resolve(CheckKey key, Proof proof);
+  std::optional<AuthenticationResult> check_without_signature(std::string_view token, SourceId source,
+                                                              std::optional<Jwt>& jwt, std::size_t& key);
+  AuthenticationResult verify_signature(std::string_view token, SourceId source, const Jwt& jwt,
+                                        std::size_t key);
+  AuthenticationResult reject(decide::Denial denial, SourceId source);
+  AuthenticationResult authenticate_mapped(const IdentityMapping* standing, decide::Identity identity) const;
+  void run_queued_checks();
+  void schedule_wake_up();
+  void complete_check(CheckId key, AuthenticationResult proof);
 
-  Loop& loop_;
-  Log& log_;
-  AccessFigures& figures_;
-  AccessSettings settings_;
-  AccessFiles files_;
+  EventLoop& loop_;
+  Logger& log_;
+  AuthMetrics& figures_;
+  AuthSettings settings_;
+  AuthFiles files_;
   std::uint64_t revision_ = 1;
   decide::TokenCache cache_;
   decide::CheckQueue queue_;
-  Time audit_second_{};
-  int audit_lines_ = 0;
-  std::uint64_t audit_left_out_ = 0;
-  std::unordered_map<CheckKey, Pending> pending_;
-  CheckKey next_key_ = 1;
-  TimerKey timer_{};
+  Time audit_window_start_{};
+  int audit_lines_in_window_ = 0;
+  std::uint64_t suppressed_audit_lines_ = 0;
+  std::unordered_map<CheckId, PendingCheck> pending_checks_;
+  CheckId next_check_id_ = 1;
+  TimerId wake_up_timer_{};
 };
 
 // The time that credentials are judged by: the system's clock, as those who issued them go by theirs.
-Time credential_now();
+Time wall_clock_now();
 
 }  // namespace rookproxy::access
--- a/src/access/jwt.h
+++ b/src/access/jwt.h
@@ -10,7 +10,7 @@
 namespace rookproxy::access {
 
 // Longer ones are not looked into.
-constexpr std::size_t kMostToken = 8 * 1024;
+constexpr std::size_t kMaxTokenBytes = 8 * 1024;
 
 // Under which names a token says whose its subject is and what it may do.
 struct ClaimNames {
@@ -20,10 +20,10 @@
 struct Jwt {
   decide::TokenHeader header;
   decide::TokenClaims claims;
-  std::string_view signed_text;  // of the token that was read
+  std::string_view signing_input;  // of the token that was read
   std::string signature;
 };
 // Nothing if anything in it is not as it must be; what it says is not judged here.
-std::optional<Jwt> read_jwt(std::string_view token, const ClaimNames& names);
+std::optional<Jwt> parse_jwt(std::string_view token, const ClaimNames& names);
 
 }  // namespace rookproxy::access
--- a/src/access/keys.cpp
+++ b/src/access/keys.cpp
@@ -19,10 +19,10 @@
 using decide::Algorithm;
 using nlohmann::json;
 
-constexpr std::size_t kMostKeys = 256;
-constexpr int kLeastRsaBits = 2048, kMostRsaBits = 8192;  // more would be a way to burn our time
+constexpr std::size_t kMaxKeys = 256;
+constexpr int kMinRsaBits = 2048, kMaxRsaBits = 8192;  // more would be a way to burn our time
 
-struct Deleter {
+struct OpenSslDeleter {
   void operator()(EVP_PKEY_CTX* one) const { EVP_PKEY_CTX_free(one); }
   void operator()(EVP_MD_CTX* one) const { EVP_MD_CTX_free(one); }
   void operator()(OSSL_PARAM_BLD* one) const { OSSL_PARAM_BLD_free(one); }
@@ -31,7 +31,7 @@
   void operator()(ECDSA_SIG* one) const { ECDSA_SIG_free(one); }
 };
 template <class T>
-using Owned = std::unique_ptr<T, Deleter>;
+using OpenSslPointer = std::unique_ptr<T, OpenSslDeleter>;
 
 const unsigned char* bytes(std::string_view text) {
   return reinterpret_cast<const unsigned char*>(text.data());
@@ -45,7 +45,7 @@
 }
 
 std::string binary_member(const json& key, const char* name) {
-  auto value = from_base64url(text_member(key, name));
+  auto value = decode_base64url(text_member(key, name));
   if (!value) throw KeyError(std::string(name) + ": not base64url");
   return std::move(*value);
 }
@@ -58,8 +58,8 @@
   return Time(Duration(static_cast<std::int64_t>(seconds * 1e6)));
 }
 
-Pkey from_parameters(const char* kind, OSSL_PARAM* parameters) {
-  const Owned<EVP_PKEY_CTX> context(EVP_PKEY_CTX_new_from_name(nullptr, kind, nullptr));
+Pkey public_key_from_parameters(const char* kind, OSSL_PARAM* parameters) {
+  const OpenSslPointer<EVP_PKEY_CTX> context(EVP_PKEY_CTX_new_from_name(nullptr, kind, nullptr));
   EVP_PKEY* made = nullptr;
   if (!context || EVP_PKEY_fromdata_init(context.get()) != 1 ||
       EVP_PKEY_fromdata(context.get(), &made, EVP_PKEY_PUBLIC_KEY, parameters) != 1) {
@@ -67,44 +67,44 @@
   }
   Pkey key(made);
   // A point that is not on its curve and the like.
-  const Owned<EVP_PKEY_CTX> check(EVP_PKEY_CTX_new_from_pkey(nullptr, key.get(), nullptr));
+  const OpenSslPointer<EVP_PKEY_CTX> check(EVP_PKEY_CTX_new_from_pkey(nullptr, key.get(), nullptr));
   if (!check || EVP_PKEY_public_check(check.get()) != 1) throw KeyError("no valid public key");
   return key;
 }
 
-Pkey ec_key(const json& key) {
+Pkey parse_ec_key(const json& key) {
   if (const auto curve = text_member(key, "crv"); curve != "P-256")
     throw KeyError("crv: only P-256 ('" + curve + "')");
   const std::string x = binary_member(key, "x"), y = binary_member(key, "y");
   if (x.size() != 32 || y.size() != 32) throw KeyError("x, y: not 32 bytes each");
   const std::string point = "\4" + x + y;
-  const Owned<OSSL_PARAM_BLD> build(OSSL_PARAM_BLD_new());
+  const OpenSslPointer<OSSL_PARAM_BLD> build(OSSL_PARAM_BLD_new());
   OSSL_PARAM_BLD_push_utf8_string(build.get(), OSSL_PKEY_PARAM_GROUP_NAME, "prime256v1", 0);
   OSSL_PARAM_BLD_push_octet_string(build.get(), OSSL_PKEY_PARAM_PUB_KEY, point.data(), point.size());
-  const Owned<OSSL_PARAM> parameters(OSSL_PARAM_BLD_to_param(build.get()));
-  return from_parameters("EC", parameters.get());
+  const OpenSslPointer<OSSL_PARAM> parameters(OSSL_PARAM_BLD_to_param(build.get()));
+  return public_key_from_parameters("EC", parameters.get());
 }
 
-Pkey rsa_key(const json& key) {
+Pkey parse_rsa_key(const json& key) {
   const std::string n = binary_member(key, "n"), e = binary_member(key, "e");
-  const Owned<BIGNUM> modulus(BN_bin2bn(bytes(n), static_cast<int>(n.size()), nullptr)),
+  const OpenSslPointer<BIGNUM> modulus(BN_bin2bn(bytes(n), static_cast<int>(n.size()), nullptr)),
       exponent(BN_bin2bn(bytes(e), static_cast<int>(e.size()), nullptr));
   if (!modulus || !exponent) throw KeyError("n, e: not numbers");
   const int bits = BN_num_bits(modulus.get());
-  if (bits < kLeastRsaBits || bits > kMostRsaBits) {
+  if (bits < kMinRsaBits || bits > kMaxRsaBits) {
     throw KeyError("n: " + std::to_string(bits) + " bits, 2048 to 8192 are taken");
   }
   if (!BN_is_odd(exponent.get()) || BN_num_bits(exponent.get()) < 2 || BN_num_bits(exponent.get()) > 33) {
     throw KeyError("e: no usual exponent");
   }
-  const Owned<OSSL_PARAM_BLD> build(OSSL_PARAM_BLD_new());
+  const OpenSslPointer<OSSL_PARAM_BLD> build(OSSL_PARAM_BLD_new());
   OSSL_PARAM_BLD_push_BN(build.get(), OSSL_PKEY_PARAM_RSA_N, modulus.get());
   OSSL_PARAM_BLD_push_BN(build.get(), OSSL_PKEY_PARAM_RSA_E, exponent.get());
-  const Owned<OSSL_PARAM> parameters(OSSL_PARAM_BLD_to_param(build.get()));
-  return from_parameters("RSA", parameters.get());
+  const OpenSslPointer<OSSL_PARAM> parameters(OSSL_PARAM_BLD_to_param(build.get()));
+  return public_key_from_parameters("RSA", parameters.get());
 }
 
-Pkey okp_key(const json& key) {
+Pkey parse_okp_key(const json& key) {
   if (const auto curve = text_member(key, "crv"); curve != "Ed25519")
     throw KeyError("crv: only Ed25519 ('" + curve + "')");
   const std::string x = binary_member(key, "x");
@@ -114,7 +114,7 @@
   return made;
 }
 
-void check_use(const json& key) {
+void check_key_use(const json& key) {
   for (const char* secret : {"d", "p", "q", "dp", "dq", "qi", "oth", "k"}) {
     if (key.contains(secret)) throw KeyError(std::string(secret) + ": a private key in a set of public ones");
   }
@@ -126,8 +126,8 @@
 }
 
 // DER of an ECDSA signature that JOSE has as two numbers side by side.
-std::string der_of(std::string_view signature) {
-  const Owned<ECDSA_SIG> pair(ECDSA_SIG_new());
+std::string der_encode_signature(std::string_view signature) {
+  const OpenSslPointer<ECDSA_SIG> pair(ECDSA_SIG_new());
   BIGNUM* r = BN_bin2bn(bytes(signature), 32, nullptr);
   BIGNUM* s = BN_bin2bn(bytes(signature.substr(32)), 32, nullptr);
   if (!pair || !r || !s || ECDSA_SIG_set0(pair.get(), r, s) != 1) {
@@ -145,7 +145,7 @@
 
 void PkeyDeleter::operator()(evp_pkey_st* key) const { EVP_PKEY_free(key); }
 
-std::string print_of(evp_pkey_st* key) {
+std::string public_key_fingerprint(evp_pkey_st* key) {
   unsigned char* der = nullptr;
   const int size = i2d_PUBKEY(key, &der);
   if (size <= 0) throw KeyError("no print of the key");
@@ -161,37 +161,37 @@
   return hex;
 }
 
-KeySet KeySet::read(std::string_view jwks) {
-  const auto document = parse_strictly(jwks);
+KeySet KeySet::parse(std::string_view jwks) {
+  const auto document = parse_strict_json(jwks);
   if (!document) throw KeyError("not JSON, or a name twice in one object");
   if (!document->is_object() || !document->contains("keys") || !(*document)["keys"].is_array())
     throw KeyError("keys: no list");
   const json& list = (*document)["keys"];
   if (list.empty()) throw KeyError("keys: empty, so no token could be checked");
-  if (list.size() > kMostKeys) throw KeyError("keys: more than " + std::to_string(kMostKeys));
+  if (list.size() > kMaxKeys) throw KeyError("keys: more than " + std::to_string(kMaxKeys));
   KeySet set;
   for (std::size_t i = 0; i < list.size(); ++i) {
     const json& one = list[i];
     try {
       if (!one.is_object()) throw KeyError("not an object");
-      check_use(one);
-      decide::KeyFacts facts;
+      check_key_use(one);
+      decide::KeyMetadata facts;
       facts.id = text_member(one, "kid");
       if (facts.id.empty() || facts.id.size() > 256) throw KeyError("kid: empty, or over 256 bytes");
-      for (const auto& other : set.facts_) {
+      for (const auto& other : set.metadata_) {
         if (other.id == facts.id) throw KeyError("kid: there twice ('" + facts.id + "')");
       }
       const std::string kind = text_member(one, "kty");
       Pkey key;
       if (kind == "EC") {
         facts.algorithm = Algorithm::kEs256;
-        key = ec_key(one);
+        key = parse_ec_key(one);
       } else if (kind == "RSA") {
         facts.algorithm = Algorithm::kRs256;
-        key = rsa_key(one);
+        key = parse_rsa_key(one);
       } else if (kind == "OKP") {
         facts.algorithm = Algorithm::kEdDsa;
-        key = okp_key(one);
+        key = parse_okp_key(one);
       } else {
         throw KeyError("kty: only EC, RSA and OKP ('" + kind + "')");
       }
@@ -203,8 +203,8 @@
       facts.not_after = time_member(one, "exp");
       if (facts.not_before && facts.not_after && *facts.not_before >= *facts.not_after)
         throw KeyError("exp: not after nbf");
-      facts.print = print_of(key.get());
-      set.facts_.push_back(std::move(facts));
+      facts.fingerprint = public_key_fingerprint(key.get());
+      set.metadata_.push_back(std::move(facts));
       set.keys_.emplace_back(key.release(), PkeyDeleter());
     } catch (const KeyError& fault) {
       throw KeyError("keys." + std::to_string(i) + "." + fault.what());
@@ -213,15 +213,15 @@
   return set;
 }
 
-bool KeySet::verifies(std::size_t key, std::string_view text, std::string_view signature) const {
-  const Algorithm algorithm = facts_[key].algorithm;
+bool KeySet::verify(std::size_t key, std::string_view text, std::string_view signature) const {
+  const Algorithm algorithm = metadata_[key].algorithm;
   std::string der;
   if (algorithm == Algorithm::kEs256) {
     if (signature.size() != 64) return false;
-    der = der_of(signature);
+    der = der_encode_signature(signature);
     signature = der;
   }
-  const Owned<EVP_MD_CTX> context(EVP_MD_CTX_new());
+  const OpenSslPointer<EVP_MD_CTX> context(EVP_MD_CTX_new());
   const EVP_MD* digest = algorithm == Algorithm::kEdDsa ? nullptr : EVP_sha256();
   if (!context || EVP_DigestVerifyInit(context.get(), nullptr, digest, nullptr, keys_[key].get()) != 1) {
     return false;
--- a/src/access/keys.h
+++ b/src/access/keys.h
@@ -28,17 +28,17 @@
  public:
   // Throws KeyError: on a key that is not public, not usable for signatures, of an unknown kind, too weak
   // (RSA under 2,048 bits), without an id, or with another's. A set is taken whole or not at all.
-  static KeySet read(std::string_view jwks);
-  const std::vector<decide::KeyFacts>& facts() const { return facts_; }
+  static KeySet parse(std::string_view jwks);
+  const std::vector<decide::KeyMetadata>& metadata() const { return metadata_; }
   // `signature` as JOSE has it (ES256: r and s, 32 bytes each).
-  bool verifies(std::size_t key, std::string_view text, std::string_view signature) const;
+  bool verify(std::size_t key, std::string_view text, std::string_view signature) const;
 
  private:
-  std::vector<decide::KeyFacts> facts_;
+  std::vector<decide::KeyMetadata> metadata_;
   std::vector<std::shared_ptr<evp_pkey_st>> keys_;
 };
 
 // SHA-256 over the key's SubjectPublicKeyInfo, in hex.
-std::string print_of(evp_pkey_st* key);
+std::string public_key_fingerprint(evp_pkey_st* key);
 
 }  // namespace rookproxy::access
--- a/src/access/settings.h
+++ b/src/access/settings.h
@@ -14,26 +14,26 @@
 
 namespace rookproxy::access {
 
-struct Standing {
+struct IdentityMapping {
   std::string tenant;
   std::vector<std::string> roles;
 };
 
-struct AccessSettings {
-  decide::Policy policy;
-  decide::TokenRules rules;
-  ClaimNames claims;
-  std::string token_field = "token";      // of a frame
-  std::string keys_file, revoked_file;    // empty: no tokens are taken; nothing is revoked
-  std::map<std::string, Standing> users;  // who logs in by password
+struct AuthSettings {
+  decide::AccessPolicy policy;
+  decide::TokenRules token_rules;
+  ClaimNames claim_names;
+  std::string token_field = "token";             // of a frame
+  std::string keys_file, revocation_file;        // empty: no tokens are taken; nothing is revoked
+  std::map<std::string, IdentityMapping> users;  // who logs in by password
   // By a certificate's alternative name ('URI:', 'DNS:' or 'email:' and the name) or its subject ('CN=a,O=b',
   // RFC 2253).
-  std::map<std::string, Standing> certificates;
-  decide::TokenCache::Limits cache;
-  decide::CheckQueue::Limits checks;
-  std::vector<std::string> files() const {  // which are watched
+  std::map<std::string, IdentityMapping> certificates;
+  decide::TokenCache::Limits token_cache_limits;
+  decide::CheckQueue::Limits check_queue_limits;
+  std::vector<std::string> watched_files() const {  // which are watched
     std::vector<std::string> list;
-    for (const auto& file : {keys_file, revoked_file}) {
+    for (const auto& file : {keys_file, revocation_file}) {
       if (!file.empty()) list.push_back(file);
     }
     return list;
@@ -41,10 +41,10 @@
 };
 
 // Its files as read; throws KeyError with the file's name.
-struct AccessFiles {
+struct AuthFiles {
   KeySet keys;
-  decide::Revoked revoked;
+  decide::RevocationList revocations;
 };
-AccessFiles read_files(const AccessSettings& settings);
+AuthFiles load_auth_files(const AuthSettings& settings);
 
 }  // namespace rookproxy::access
--- a/src/access/sign.cpp
+++ b/src/access/sign.cpp
@@ -13,19 +13,19 @@
 
 using decide::Algorithm;
 
-struct Deleter {
+struct OpenSslDeleter {
   void operator()(BIO* one) const { BIO_free(one); }
   void operator()(EVP_MD_CTX* one) const { EVP_MD_CTX_free(one); }
   void operator()(BIGNUM* one) const { BN_free(one); }
   void operator()(ECDSA_SIG* one) const { ECDSA_SIG_free(one); }
 };
 template <class T>
-using Owned = std::unique_ptr<T, Deleter>;
+using OpenSslPointer = std::unique_ptr<T, OpenSslDeleter>;
 
 std::string number_parameter(evp_pkey_st* key, const char* name, int size) {
   BIGNUM* taken = nullptr;
   if (EVP_PKEY_get_bn_param(key, name, &taken) != 1) throw KeyError(std::string("no ") + name);
-  const Owned<BIGNUM> number(taken);
+  const OpenSslPointer<BIGNUM> number(taken);
   std::string out(static_cast<std::size_t>(size > 0 ? size : BN_num_bytes(taken)), '\0');
   BN_bn2binpad(taken, reinterpret_cast<unsigned char*>(out.data()), static_cast<int>(out.size()));
   return out;
@@ -33,7 +33,7 @@
 
 }  // namespace
 
-Pkey new_key(Algorithm algorithm) {
+Pkey generate_key(Algorithm algorithm) {
   EVP_PKEY* key = nullptr;
   switch (algorithm) {
     case Algorithm::kEs256:
@@ -50,8 +50,8 @@
   return Pkey(key);
 }
 
-std::string private_pem(evp_pkey_st* key) {
-  const Owned<BIO> out(BIO_new(BIO_s_mem()));
+std::string to_private_pem(evp_pkey_st* key) {
+  const OpenSslPointer<BIO> out(BIO_new(BIO_s_mem()));
   if (!out || PEM_write_bio_PKCS8PrivateKey(out.get(), key, nullptr, nullptr, 0, nullptr, nullptr) != 1)
     throw KeyError("the key can't be written");
   char* data = nullptr;
@@ -59,8 +59,8 @@
   return {data, static_cast<std::size_t>(size)};
 }
 
-Pkey read_private_pem(const std::string& pem) {
-  const Owned<BIO> in(BIO_new_mem_buf(pem.data(), static_cast<int>(pem.size())));
+Pkey parse_private_pem(const std::string& pem) {
+  const OpenSslPointer<BIO> in(BIO_new_mem_buf(pem.data(), static_cast<int>(pem.size())));
   Pkey key(PEM_read_bio_PrivateKey(in.get(), nullptr, nullptr, nullptr));
   if (!key) throw KeyError("no private key in PEM");
   return key;
@@ -73,31 +73,31 @@
   throw KeyError("neither P-256, RSA nor Ed25519");
 }
 
-nlohmann::json public_jwk(evp_pkey_st* key, const std::string& id) {
+nlohmann::json to_public_jwk(evp_pkey_st* key, const std::string& id) {
   const Algorithm algorithm = algorithm_of(key);
   nlohmann::json jwk{{"kid", id}, {"use", "sig"}, {"alg", decide::algorithm_name(algorithm)}};
   if (algorithm == Algorithm::kEs256) {
     jwk["kty"] = "EC";
     jwk["crv"] = "P-256";
-    jwk["x"] = base64url(number_parameter(key, OSSL_PKEY_PARAM_EC_PUB_X, 32));
-    jwk["y"] = base64url(number_parameter(key, OSSL_PKEY_PARAM_EC_PUB_Y, 32));
+    jwk["x"] = encode_base64url(number_parameter(key, OSSL_PKEY_PARAM_EC_PUB_X, 32));
+    jwk["y"] = encode_base64url(number_parameter(key, OSSL_PKEY_PARAM_EC_PUB_Y, 32));
   } else if (algorithm == Algorithm::kRs256) {
     jwk["kty"] = "RSA";
-    jwk["n"] = base64url(number_parameter(key, OSSL_PKEY_PARAM_RSA_N, 0));
-    jwk["e"] = base64url(number_parameter(key, OSSL_PKEY_PARAM_RSA_E, 0));
+    jwk["n"] = encode_base64url(number_parameter(key, OSSL_PKEY_PARAM_RSA_N, 0));
+    jwk["e"] = encode_base64url(number_parameter(key, OSSL_PKEY_PARAM_RSA_E, 0));
   } else {
     std::string raw(32, '\0');
     std::size_t size = raw.size();
     EVP_PKEY_get_raw_public_key(key, reinterpret_cast<unsigned char*>(raw.data()), &size);
     jwk["kty"] = "OKP";
     jwk["crv"] = "Ed25519";
-    jwk["x"] = base64url(raw);
+    jwk["x"] = encode_base64url(raw);
   }
   return jwk;
 }
 
 std::string sign(evp_pkey_st* key, Algorithm algorithm, std::string_view text) {
-  const Owned<EVP_MD_CTX> context(EVP_MD_CTX_new());
+  const OpenSslPointer<EVP_MD_CTX> context(EVP_MD_CTX_new());
   const EVP_MD* digest = algorithm == Algorithm::kEdDsa ? nullptr : EVP_sha256();
   const auto* in = reinterpret_cast<const unsigned char*>(text.data());
   std::size_t size = 0;
@@ -112,7 +112,7 @@
   out.resize(size);
   if (algorithm != Algorithm::kEs256) return out;
   const auto* der = reinterpret_cast<const unsigned char*>(out.data());
-  const Owned<ECDSA_SIG> pair(d2i_ECDSA_SIG(nullptr, &der, static_cast<long>(out.size())));
+  const OpenSslPointer<ECDSA_SIG> pair(d2i_ECDSA_SIG(nullptr, &der, static_cast<long>(out.size())));
   if (!pair) throw KeyError("no signature of two numbers");
   std::string both(64, '\0');
   auto* to = reinterpret_cast<unsigned char*>(both.data());
@@ -121,13 +121,13 @@
   return both;
 }
 
-std::string mint(evp_pkey_st* key, const std::string& id, const nlohmann::json& claims,
-                 nlohmann::json header) {
+std::string sign_token(evp_pkey_st* key, const std::string& id, const nlohmann::json& claims,
+                       nlohmann::json header) {
   const Algorithm algorithm = algorithm_of(key);
   if (!header.contains("alg")) header["alg"] = decide::algorithm_name(algorithm);
   if (!header.contains("kid")) header["kid"] = id;
-  const std::string text = base64url(header.dump()) + "." + base64url(claims.dump());
-  return text + "." + base64url(sign(key, algorithm, text));
+  const std::string text = encode_base64url(header.dump()) + "." + encode_base64url(claims.dump());
+  return text + "." + encode_base64url(sign(key, algorithm, text));
 }
 
 }  // namespace rookproxy::access
--- a/src/access/strict_json.h
+++ b/src/access/strict_json.h
@@ -10,7 +10,7 @@
 
 namespace rookproxy::access {
 
-inline std::optional<nlohmann::json> parse_strictly(std::string_view text, int most_depth = 16) {
+inline std::optional<nlohmann::json> parse_strict_json(std::string_view text, int most_depth = 16) {
   using Event = nlohmann::json::parse_event_t;
   std::vector<std::set<std::string>> names;
   bool faulty = false;
--- a/src/agent/main.cpp
+++ b/src/agent/main.cpp
@@ -17,19 +17,20 @@
 
 int main(int argc, char** argv) {
   using namespace rookproxy;
-  return run_program(
-      argc, argv, "rookproxy-agent", kAbout, kFooter, true, [](const ProgramOptions& options, Log& log) {
-        const AgentConfig config = load_agent_config(options.file);
-        if (options.check) return report_fine();
-        configure_log(log, config.log);
-        Loop loop;
-        Supervisor supervisor(loop, log, config);
-        const auto shut_down = [&] { supervisor.shut_down([&loop] { loop.stop(); }); };
-        Signals signals(loop, {SIGCHLD, SIGTERM, SIGINT},
-                        [&](int signal) { signal == SIGCHLD ? supervisor.reap() : shut_down(); });
-        AgentServer server(loop, log, config.socket, supervisor, shut_down);
-        supervisor.start_all();
-        loop.run();
-        return int(kExitDone);
-      });
+  return run_program(argc, argv, "rookproxy-agent", kAbout, kFooter, true,
+                     [](const ProgramOptions& options, Logger& log) {
+                       const AgentConfig config = load_agent_config(options.config_file);
+                       if (options.check_only) return report_valid_configuration();
+                       configure_log(log, config.log);
+                       EventLoop loop;
+                       Supervisor supervisor(loop, log, config);
+                       const auto shut_down = [&] { supervisor.begin_shutdown([&loop] { loop.stop(); }); };
+                       SignalWatcher signals(loop, {SIGCHLD, SIGTERM, SIGINT}, [&](int signal) {
+                         signal == SIGCHLD ? supervisor.reap_children() : shut_down();
+                       });
+                       AgentServer server(loop, log, config.socket, supervisor, shut_down);
+                       supervisor.start_all();
+                       loop.run();
+                       return int(kExitSuccess);
+                     });
 }
--- a/src/agent/server.cpp
+++ b/src/agent/server.cpp
@@ -17,11 +17,12 @@
 
 // A socket file that nobody listens on was left by an agent that died: it may be replaced, a living one may
 // not.
-Fd own_socket(const std::string& path) {
-  if (Fd other = connect_unix(path)) throw ConfigError("socket", path + " belongs to a running agent");
+FileDescriptor own_socket(const std::string& path) {
+  if (FileDescriptor other = connect_unix(path))
+    throw ConfigError("socket", path + " belongs to a running agent");
   ::unlink(path.c_str());
   const mode_t before = ::umask(0177);  // for its owner alone: who can write to it can stop every instance
-  Fd fd = listen_unix(path);
+  FileDescriptor fd = listen_unix(path);
   const int fault = errno;
   ::umask(before);
   if (!fd) throw ConfigError("socket", "can't listen on " + path + ": " + std::strerror(fault));
@@ -30,17 +31,17 @@
 
 }  // namespace
 
-class AgentServer::Connection final : public StreamUser {
+class AgentServer::Connection final : public StreamHandler {
  public:
-  Connection(AgentServer& server, SlotKey key, Fd fd)
+  Connection(AgentServer& server, SlotKey key, FileDescriptor fd)
       : server_(server), key_(key), stream_(server.loop_, std::move(fd), *this, false, kLongestLine) {}
   std::size_t on_bytes(std::string_view bytes) override {
     const auto end = bytes.find('\n');
     if (end == bytes.npos) return 0;
-    stream_.write(server_.answer(bytes.substr(0, end)) + "\n");
+    stream_.write(server_.handle_request(bytes.substr(0, end)) + "\n");
     return end + 1;
   }
-  void on_closed(std::string_view) override { server_.drop(key_); }
+  void on_closed(std::string_view) override { server_.remove_connection(key_); }
 
  private:
   AgentServer& server_;
@@ -48,10 +49,10 @@
   Stream stream_;
 };
 
-AgentServer::AgentServer(Loop& loop, Log& log, const std::string& path, Supervisor& supervisor,
+AgentServer::AgentServer(EventLoop& loop, Logger& log, const std::string& path, Supervisor& supervisor,
                          std::function<void()> shut_down)
     : loop_(loop), log_(log), path_(path), supervisor_(supervisor), shut_down_(std::move(shut_down)) {
-  acceptor_ = std::make_unique<Acceptor>(loop, own_socket(path), [this](Fd fd) {
+  acceptor_ = std::make_unique<Acceptor>(loop, own_socket(path), [this](FileDescriptor fd) {
     if (connections_.size() >= kMostConnections) return;
     const SlotKey key = connections_.insert(nullptr);
     *connections_.find(key) = std::make_unique<Connection>(*this, key, std::move(fd));
@@ -60,12 +61,12 @@
 
 AgentServer::~AgentServer() { ::unlink(path_.c_str()); }
 
-void AgentServer::drop(SlotKey key) {
+void AgentServer::remove_connection(SlotKey key) {
   auto kept = std::make_shared<std::optional<std::unique_ptr<Connection>>>(connections_.take(key));
   loop_.defer([kept] {});
 }
 
-std::string AgentServer::answer(std::string_view line) {
+std::string AgentServer::handle_request(std::string_view line) {
   std::string fault;
   const json asked = json::parse(line, nullptr, false);
   std::vector<std::string> names;
@@ -103,7 +104,7 @@
                what != "upgrade") {
       if (fault.empty()) fault = "unknown request '" + what + "'";
     }
-    if (what != "status") log_.line(Level::kInfo, "agent", what, {{"fault", fault}});
+    if (what != "status") log_.write(LogLevel::kInfo, "agent", what, {{"fault", fault}});
   }
   if (!fault.empty())
     return json{{"ok", false}, {"error", fault}}.dump(-1, ' ', false, json::error_handler_t::replace);
@@ -112,13 +113,13 @@
     if (std::find(names.begin(), names.end(), one.name) == names.end()) continue;
     instances.push_back(
         {{"name", one.name},
-         {"state", state_text(one.state)},
+         {"state", state_name(one.state)},
          {"pid", one.process},
          {"restarts", one.restarts},
          {"last_exit", one.last_exit},
-         {"ops", one.ops},
+         {"ops", one.admin_address},
          {"upgrade", one.upgrade},
-         {"since_ms", std::chrono::duration_cast<std::chrono::milliseconds>(one.since).count()}});
+         {"since_ms", std::chrono::duration_cast<std::chrono::milliseconds>(one.time_in_state).count()}});
   }
   return json{{"ok", true}, {"instances", std::move(instances)}}.dump();
 }
--- a/src/agent/server.h
+++ b/src/agent/server.h
@@ -17,21 +17,21 @@
 class AgentServer {
  public:
   // Throws ConfigError if the socket can't be had, as when another agent has it.
-  AgentServer(Loop& loop, Log& log, const std::string& path, Supervisor& supervisor,
+  AgentServer(EventLoop& loop, Logger& log, const std::string& path, Supervisor& supervisor,
               std::function<void()> shut_down);
   ~AgentServer();
 
  private:
   class Connection;
-  std::string answer(std::string_view line);
-  void drop(SlotKey key);
+  std::string handle_request(std::string_view line);
+  void remove_connection(SlotKey key);
 
-  Loop& loop_;
-  Log& log_;
+  EventLoop& loop_;
+  Logger& log_;
   std::string path_;
   Supervisor& supervisor_;
   std::function<void()> shut_down_;
-  SlotTable<std::unique_ptr<Connection>> connections_;
+  SlotMap<std::unique_ptr<Connection>> connections_;
   std::unique_ptr<Acceptor> acceptor_;
 };
 
--- a/src/agent/supervisor.h
+++ b/src/agent/supervisor.h
@@ -20,14 +20,14 @@
     std::string name;
     State state = State::kStopped;
     pid_t process = 0;
-    int restarts = 0;       // that nobody asked for
-    std::string last_exit;  // 'exit 2', 'signal 9'; empty: never
-    Duration since{};       // in this state
-    std::string ops;        // where its process answers operators; empty: unknown here
-    std::string upgrade;    // the last one: empty, 'in progress', 'done' or 'failed: why'
+    int restarts = 0;           // that nobody asked for
+    std::string last_exit;      // 'exit 2', 'signal 9'; empty: never
+    Duration time_in_state{};   // in this state
+    std::string admin_address;  // where its process answers operators; empty: unknown here
+    std::string upgrade;        // the last one: empty, 'in progress', 'done' or 'failed: why'
   };
 
-  Supervisor(Loop& loop, Log& log, const AgentConfig& config);
+  Supervisor(EventLoop& loop, Logger& log, const AgentConfig& config);
   ~Supervisor();
 
   void start_all();
@@ -38,48 +38,48 @@
   // Starts a second process beside the running one; once that is ready the former drains, else it serves on.
   std::string upgrade(const std::string& name);
   // Drains all; calls back once none is left.
-  void shut_down(std::function<void()> done);
+  void begin_shutdown(std::function<void()> done);
   std::vector<Status> status() const;
   // To be called on SIGCHLD.
-  void reap();
+  void reap_children();
 
  private:
   struct Instance {
     InstanceConfig config;
     State state = State::kStopped;
     pid_t process = 0;
-    bool start_again = false;  // once it has drained
+    bool restart_after_drain = false;  // once it has drained
     int restarts = 0;
     Duration pause{};
     Time since, started;
     std::string last_exit;
-    TimerKey timer{};
-    std::vector<Fd> sockets;
-    std::size_t ops_at = 0;  // of its addresses, the one that its process has
-    pid_t successor = 0;     // not ready yet
-    pid_t leaving = 0;       // the former process, on its way out
-    Time ready_by;
-    TimerKey upgrade_timer{};
-    std::unique_ptr<OpsCall> call;
+    TimerId timer{};
+    std::vector<FileDescriptor> sockets;
+    std::size_t admin_address_index = 0;  // of its addresses, the one that its process has
+    pid_t successor = 0;                  // not ready yet
+    pid_t retiring_process = 0;           // the former process, on its way out
+    Time ready_deadline;
+    TimerId upgrade_timer{};
+    std::unique_ptr<AdminClient> call;
     std::string upgrade;
   };
   Instance* find(const std::string& name);
   void enter(Instance& instance, State state);
   pid_t launch(const Instance& instance, std::size_t ops_at);
   void spawn(Instance& instance);
-  void ask_successor(Instance& instance);
+  void probe_successor(Instance& instance);
   void promote(Instance& instance);
   void end_upgrade(Instance& instance, const std::string& how);
-  void ended(Instance& instance, int status);
+  void on_process_exit(Instance& instance, int status);
   void terminate(Instance& instance);
 
-  Loop& loop_;
-  Log& log_;
+  EventLoop& loop_;
+  Logger& log_;
   AgentConfig config_;
   std::vector<Instance> instances_;
-  std::function<void()> all_gone_;
+  std::function<void()> on_all_stopped_;
 };
 
-std::string_view state_text(Supervisor::State state);
+std::string_view state_name(Supervisor::State state);
 
 }  // namespace rookproxy
--- a/src/app/app.cpp
+++ b/src/app/app.cpp
@@ -12,64 +12,65 @@
 namespace {
 
 // What the process itself may open can be less than what it is told.
-decide::DescriptorShares shares(std::size_t sockets) {
-  return decide::descriptor_shares(std::min(sockets, descriptor_limit()));
+decide::DescriptorBudget descriptor_shares_of(std::size_t sockets) {
+  return decide::descriptor_budget(std::min(sockets, descriptor_limit()));
 }
-std::size_t client_share(std::size_t sockets) { return shares(sockets).clients; }
-std::size_t engine_share(std::size_t sockets) { return shares(sockets).engines; }
-std::size_t ops_share(std::size_t sockets) { return shares(sockets).operators; }
+std::size_t client_descriptors(std::size_t sockets) { return descriptor_shares_of(sockets).clients; }
+std::size_t engine_descriptors(std::size_t sockets) { return descriptor_shares_of(sockets).engines; }
+std::size_t admin_descriptors(std::size_t sockets) { return descriptor_shares_of(sockets).admin; }
 // Statements and results may take this part of the memory; buffers, tables and the module have the rest.
-std::size_t held_share(std::size_t memory_mb) { return (memory_mb << 20) / 4; }
+std::size_t buffer_budget_bytes(std::size_t memory_mb) { return (memory_mb << 20) / 4; }
 
 // A turn of the loop that takes this long is told: every answer that was due in it is late by as much.
-constexpr Duration kLongTurn = std::chrono::milliseconds(100);
+constexpr Duration kStalledIteration = std::chrono::milliseconds(100);
 
-constexpr std::size_t kMostResult = 8u << 20;  // bytes of one result from an engine that speaks MySQL
+constexpr std::size_t kMaxMysqlResultBytes = 8u
+                                             << 20;  // bytes of one result from an engine that speaks MySQL
 
 PoolLimits pool_limits(const Config& config) {
   PoolLimits limits;
-  limits.most_connections = engine_share(config.sockets);
-  limits.per_connection = config.multiplex;
+  limits.max_connections = engine_descriptors(config.sockets);
+  limits.max_streams_per_connection = config.streams_per_connection;
   // Few share a spoilt connection's end; one for each request was measured to cost engines more than it
   // saved.
-  limits.spread = std::min<std::size_t>(6, config.multiplex);
-  limits.dial_timeout = limits.probe_timeout = config.dial_timeout;
-  limits.idle = config.keepalive / 3;
-  limits.answer_time = limits.doubt = config.dial_timeout;
-  limits.page_time = 3 * config.dial_timeout;
+  limits.preferred_streams_per_connection = std::min<std::size_t>(6, config.streams_per_connection);
+  limits.connect_timeout = limits.probe_timeout = config.connect_timeout;
+  limits.idle_timeout = config.keepalive / 3;
+  limits.response_timeout = limits.cancel_unresponsive_timeout = config.connect_timeout;
+  limits.page_timeout = 3 * config.connect_timeout;
   for (const auto& cls : config.settings.classes) {
-    limits.ids_kept = std::max(limits.ids_kept, span_from_module(cls.deadline));
+    limits.request_id_retention = std::max(limits.request_id_retention, from_routing_duration(cls.timeout));
   }
-  const auto notes = config.settings.note_interval;
-  limits.silence = notes ? 3 * span_from_module(*notes) : Duration(0);
-  if (config.link == LinkKind::kMysql) {
-    limits.per_connection = 1;     // a session runs one statement at a time
-    limits.silence = Duration(0);  // and says nothing until it has an answer
+  const auto notes = config.settings.progress_interval;
+  limits.unresponsive_timeout = notes ? 3 * from_routing_duration(*notes) : Duration(0);
+  if (config.engine_protocol == EngineProtocol::kMysql) {
+    limits.max_streams_per_connection = 1;      // a session runs one statement at a time
+    limits.unresponsive_timeout = Duration(0);  // and says nothing until it has an answer
   }
   return limits;
 }
 
-CoreLimits core_limits(const Config& config) {
-  CoreLimits limits;
-  limits.held_bytes = held_share(config.memory_mb);
-  limits.refusal_pause = config.refusal_pause;
-  limits.tick = config.tick;
+DispatcherLimits core_limits(const Config& config) {
+  DispatcherLimits limits;
+  limits.max_buffered_bytes = buffer_budget_bytes(config.memory_mb);
+  limits.default_retry_after = config.rejection_retry_after;
+  limits.cancel_report_delay = config.timer_resolution;
   limits.drain_margin = decide::drain_margin(
-      config.nameserver ? decide::PollSchedule(config.directory_poll).longest_pause() : Duration(0));
+      config.nameserver ? decide::PollSchedule(config.discovery_poll_interval).max_pause() : Duration(0));
   return limits;
 }
 
 }  // namespace
 
-FleetSettings fleet_settings(const Config& config) {
-  FleetSettings settings;
-  settings.peers.peer_listen = config.peers->listen;
-  for (const auto& [name, at] : config.peers->peers) settings.peers.peers.push_back(at);
-  settings.peers.self = static_cast<decide::fleet::MemberId>(config.fleet->self);
-  settings.peers.peers_all = config.peers->all;
-  settings.peers.bytes_per_second = config.fleet->bytes_per_second;
-  const std::pair<const char*, const std::string&> files[] = {{"fleet.key", config.fleet->key},
-                                                              {"fleet.former_key", config.fleet->former_key}};
+ClusterSettings cluster_settings(const Config& config) {
+  ClusterSettings settings;
+  settings.peers.listen_address = config.peers->listen;
+  for (const auto& [name, at] : config.peers->peers) settings.peers.members.push_back(at);
+  settings.peers.self = static_cast<decide::fleet::MemberId>(config.cluster->self_index);
+  settings.peers.broadcast_address = config.peers->broadcast_address;
+  settings.peers.bytes_per_second = config.cluster->bytes_per_second;
+  const std::pair<const char*, const std::string&> files[] = {
+      {"fleet.key", config.cluster->key_file}, {"fleet.former_key", config.cluster->former_key_file}};
   for (const auto& [key, file] : files) {
     try {
       if (!file.empty()) settings.peers.keys.push_back(peers::read_peer_key(file));
@@ -77,35 +78,36 @@
       throw ConfigError(key, fault.what());
     }
   }
-  settings.period = config.fleet->period;
-  settings.lease = config.fleet->lease;
+  settings.probe_interval = config.cluster->protocol_period;
+  settings.lease_duration = config.cluster->lease_duration;
   settings.zones = config.zones;
-  membership_of(settings);  // says what is wrong
+  make_membership_settings(settings);  // says what is wrong
   return settings;
 }
 
 namespace {
 
 // A starting process waits so long for the directory; what it was told at its start has to do then.
-constexpr Duration kDirectoryWait = std::chrono::milliseconds(500);
-constexpr Duration kLookForOtherProcess = std::chrono::milliseconds(100);
-constexpr Duration kLookAtShutdown = std::chrono::milliseconds(20);
+constexpr Duration kDiscoveryWait = std::chrono::milliseconds(500);
+constexpr Duration kProcessCheckInterval = std::chrono::milliseconds(100);
+constexpr Duration kShutdownCheckInterval = std::chrono::milliseconds(20);
 
-std::string hot_restart_file(const Config& config) {
+std::string process_lease_file(const Config& config) {
   std::string name = config.name;
   std::replace(name.begin(), name.end(), '/', '_');
   return config.shared_folder + "/rookproxy-" + name + ".locks";
 }
 
-Fd listener_at(const Endpoint& at, const char* key) {
-  Fd fd = listen_tcp(at);
-  if (!fd) throw ConfigError(key, "can't listen on " + at.text() + ": " + std::strerror(errno));
+FileDescriptor open_listener(const SocketAddress& at, const char* key) {
+  FileDescriptor fd = listen_tcp(at);
+  if (!fd) throw ConfigError(key, "can't listen on " + at.to_string() + ": " + std::strerror(errno));
   return fd;
 }
 
-Fd clients_listener(const Endpoint& at, const std::optional<int>& passed, const std::string& table) {
-  if (!passed) return listener_at(at, (table + "listen").c_str());
-  Fd fd = adopt_listener(*passed);
+FileDescriptor open_client_listener(const SocketAddress& at, const std::optional<int>& passed,
+                                    const std::string& table) {
+  if (!passed) return open_listener(at, (table + "listen").c_str());
+  FileDescriptor fd = adopt_listener(*passed);
   if (!fd) {
     throw ConfigError(table + "passed_socket", "descriptor " + std::to_string(*passed) +
                                                    " is no TCP socket that listens: " + std::strerror(errno));
@@ -114,274 +116,294 @@
 }
 
 // Without usable ones a dispatcher serves as if it were alone.
-void log_peers(Log& log, const Config& config) {
-  if (!config.peers_fault.empty()) {
-    log.line(Level::kWarning, "config", "no peers: " + config.peers_fault, {});
+void log_peers(Logger& log, const Config& config) {
+  if (!config.peers_error.empty()) {
+    log.write(LogLevel::kWarning, "config", "no peers: " + config.peers_error, {});
   } else if (config.peers) {
-    log.line(Level::kInfo, "config", "peers known",
-             {{"peers", std::to_string(config.peers->peers.size())},
-              {"listen", config.peers->listen.text()},
-              {"all", config.peers->all ? config.peers->all->text() : "-"}});
+    log.write(
+        LogLevel::kInfo, "config", "peers known",
+        {{"peers", std::to_string(config.peers->peers.size())},
+         {"listen", config.peers->listen.to_string()},
+         {"all", config.peers->broadcast_address ? config.peers->broadcast_address->to_string() : "-"}});
   }
 }
 
 }  // namespace
 
-App::App(Loop& loop, Log& log, const Config& config)
+App::App(EventLoop& loop, Logger& log, const Config& config)
     : loop_(loop),
       log_(log),
       config_(config),
-      core_(loop, log, figures_, config.settings, config.zones, core_limits(config)) {
+      dispatcher_(loop, log, metrics_, config.settings, config.zones, core_limits(config)) {
   const PoolLimits limits = pool_limits(config);
-  if (config.link == LinkKind::kMysql) {
-    const auto& account = config.mysql_link;
-    links_ = std::make_unique<MysqlPool>(loop, log, core_, figures_, limits,
-                                         MysqlAccount{account.user, account.password, account.schema},
-                                         kMostResult, held_share(config.memory_mb));
+  if (config.engine_protocol == EngineProtocol::kMysql) {
+    const auto& account = config.mysql_engines;
+    connection_pool_ =
+        std::make_unique<MysqlPool>(loop, log, dispatcher_, metrics_, limits,
+                                    MysqlAccount{account.user, account.password, account.schema},
+                                    kMaxMysqlResultBytes, buffer_budget_bytes(config.memory_mb));
   } else {
-    links_ = std::make_unique<LinesPool>(loop, log, core_, figures_, limits);
+    connection_pool_ = std::make_unique<LineProtocolPool>(loop, log, dispatcher_, metrics_, limits);
   }
-  core_.use(*links_);
-  watch_ = watch_files(config);  // before they are read, so that no change falls in between
-  if (config.tls) tls_ = tls::ServerContext::load(config.tls->server);
+  dispatcher_.set_transport(*connection_pool_);
+  credential_watch_ =
+      watch_credential_files(config);  // before they are read, so that no change falls in between
+  if (config.tls) tls_context_ = tls::ServerContext::load(config.tls->server);
   if (config.access) {
-    gate_ = std::make_unique<access::Gatekeeper>(loop, log, figures_.access, *config.access, config.seed);
+    authenticator_ =
+        std::make_unique<access::Authenticator>(loop, log, metrics_.auth, *config.access, config.seed);
   }
-  core_.learn_members(config.known, true);
-  core_.settle();
-  find_engines(config);
+  dispatcher_.update_endpoints(config.initial_endpoints, true);
+  dispatcher_.process_events();
+  configure_discovery(config);
   log_peers(log, config);
   if (config.listen) {
-    frames_ = std::make_unique<FramesFront>(
-        loop, log, core_, clients_listener(*config.listen, config.passed_socket, ""), FramesFront::Limits(),
-        gate_.get(), config.tls && config.tls->frames ? tls_ : nullptr);
-    log.line(Level::kNotice, "start", "serving frames",
-             {{"port", std::to_string(frames_->port())}, {"engines", std::to_string(config.known.size())}});
+    platform_frontend_ = std::make_unique<FramesFrontend>(
+        loop, log, dispatcher_, open_client_listener(*config.listen, config.passed_socket, ""),
+        FramesFrontend::Limits(), authenticator_.get(),
+        config.tls && config.tls->frames ? tls_context_ : nullptr);
+    log.write(LogLevel::kNotice, "start", "serving frames",
+              {{"port", std::to_string(platform_frontend_->port())},
+               {"engines", std::to_string(config.initial_endpoints.size())}});
   }
   if (config.mysql) {
-    mysql_ = std::make_unique<MysqlFront>(
-        loop, log, core_, clients_listener(config.mysql->listen, config.mysql->passed_socket, "mysql."),
-        *config.mysql, config.seed, gate_.get(),
-        config.tls && config.tls->mysql != TlsConfig::Mysql::kOff ? tls_ : nullptr,
-        config.tls && config.tls->mysql == TlsConfig::Mysql::kRequired);
-    log.line(Level::kNotice, "start", "serving mysql", {{"port", std::to_string(mysql_->port())}});
+    mysql_frontend_ = std::make_unique<MysqlFrontend>(
+        loop, log, dispatcher_,
+        open_client_listener(config.mysql->listen, config.mysql->passed_socket, "mysql."), *config.mysql,
+        config.seed, authenticator_.get(),
+        config.tls && config.tls->mysql != TlsConfig::MysqlMode::kOff ? tls_context_ : nullptr,
+        config.tls && config.tls->mysql == TlsConfig::MysqlMode::kRequired);
+    log.write(LogLevel::kNotice, "start", "serving mysql",
+              {{"port", std::to_string(mysql_frontend_->port())}});
   }
   if (config.passed_socket || (config.mysql && config.mysql->passed_socket))
-    hot_restart_.emplace(hot_restart_file(config));
-  if (hot_restart_ && !hot_restart_->has_seat()) {
-    log.line(Level::kWarning, "start", "no lock in the shared folder: taken to be alone",
-             {{"folder", config.shared_folder}});
+    process_lease_.emplace(process_lease_file(config));
+  if (process_lease_ && !process_lease_->is_acquired()) {
+    log.write(LogLevel::kWarning, "start", "no lock in the shared folder: taken to be alone",
+              {{"folder", config.shared_folder}});
   }
-  if (config.ops) {
-    OpsServer::Limits callers;
-    callers.most_callers = ops_share(config.sockets);
-    ops_ = std::make_unique<OpsServer>(loop, listener_at(*config.ops, "ops"), *this, callers);
-    log.line(Level::kNotice, "start", "answering operators", {{"port", std::to_string(ops_->port())}});
+  if (config.admin) {
+    AdminServer::Limits callers;
+    callers.max_clients = admin_descriptors(config.sockets);
+    admin_server_ = std::make_unique<AdminServer>(loop, open_listener(*config.admin, "ops"), *this, callers);
+    log.write(LogLevel::kNotice, "start", "answering operators",
+              {{"port", std::to_string(admin_server_->port())}});
   }
-  if (config.fleet) fleet_ = std::make_unique<Fleet>(loop, log, fleet_settings(config), config.seed);
-  resize();
-  if (hot_restart_) share_with_other_process();
+  if (config.cluster) cluster_ = std::make_unique<Cluster>(loop, log, cluster_settings(config), config.seed);
+  apply_resource_share();
+  if (process_lease_) update_resource_share();
   // From the loop: a signal to end that has waited for it comes first.
-  loop.at(loop.now(), [this, until = loop.now() + kDirectoryWait] { become_ready(until); });
-  loop.each_turn([this] { core_.settle(); });
-  loop.on_long_turn(kLongTurn, [this](Duration took) {
+  loop.run_at(loop.now(), [this, until = loop.now() + kDiscoveryWait] { start_accepting(until); });
+  loop.on_iteration_end([this] { dispatcher_.process_events(); });
+  loop.on_stalled_iteration(kStalledIteration, [this](Duration took) {
     const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(took).count();
-    log_.line(Level::kWarning, "loop", "stood still", {{"ms", std::to_string(ms)}});
+    log_.write(LogLevel::kWarning, "loop", "stood still", {{"ms", std::to_string(ms)}});
   });
 }
 
-std::string App::why_not_ready() const { return draining_ ? "draining" : ready_ ? "" : "starting"; }
+std::string App::not_ready_reason() const { return draining_ ? "draining" : ready_ ? "" : "starting"; }
 
 // Nothing is accepted until the directory has been heard: what waits at the socket is not lost meanwhile.
 // Told to end before that, it never opens: clients would come to a process that is about to leave.
-void App::become_ready(Time at_the_latest) {
+void App::start_accepting(Time at_the_latest) {
   if (draining_) return;
-  if (directory_ && !directory_->has_answered() && loop_.now() < at_the_latest) {
-    loop_.at(loop_.now() + std::chrono::milliseconds(5),
-             [this, at_the_latest] { become_ready(at_the_latest); });
+  if (discovery_ && !discovery_->has_endpoint_list() && loop_.now() < at_the_latest) {
+    loop_.run_at(loop_.now() + std::chrono::milliseconds(5),
+                 [this, at_the_latest] { start_accepting(at_the_latest); });
     return;
   }
   ready_ = true;
-  if (frames_) frames_->accept_clients(true);
-  if (mysql_) mysql_->accept_clients(true);
-  if (hot_restart_) hot_restart_->say_ready(true);
-  log_.line(Level::kNotice, "start", "ready to serve", {});
+  if (platform_frontend_) platform_frontend_->set_accepting(true);
+  if (mysql_frontend_) mysql_frontend_->set_accepting(true);
+  if (process_lease_) process_lease_->set_ready(true);
+  log_.write(LogLevel::kNotice, "start", "ready to serve", {});
 }
 
-void App::share_with_other_process() {
-  const bool shared = hot_restart_->another_lives();
-  if (shared != shared_) {
-    shared_ = shared;
-    log_.line(Level::kNotice, "start", shared_ ? "another process lives: half of every share" : "alone", {});
-    resize();
+void App::update_resource_share() {
+  const bool shared = process_lease_->another_is_running();
+  if (shared != resources_shared_) {
+    resources_shared_ = shared;
+    log_.write(LogLevel::kNotice, "start",
+               resources_shared_ ? "another process lives: half of every share" : "alone", {});
+    apply_resource_share();
   }
-  loop_.at(loop_.now() + kLookForOtherProcess, [this] { share_with_other_process(); });
+  loop_.run_at(loop_.now() + kProcessCheckInterval, [this] { update_resource_share(); });
 }
 
 // Two processes of one dispatcher have one limit on memory and sockets together. The shares are halved and
 // not the limit: what a process itself holds is no smaller for another beside it.
-void App::resize() {
-  const std::size_t parts = shared_ ? 2 : 1;
+void App::apply_resource_share() {
+  const std::size_t parts = resources_shared_ ? 2 : 1;
   const std::size_t bytes = (config_.memory_mb << 20) / parts;
-  if (frames_) frames_->resize(client_share(config_.sockets) / parts, bytes / 8, bytes / 8);
-  if (mysql_)
-    mysql_->resize(std::max<std::size_t>(1, config_.mysql->most_connections / parts), bytes / 8, bytes / 8);
-  core_.share(parts);
+  if (platform_frontend_)
+    platform_frontend_->set_resource_limits(client_descriptors(config_.sockets) / parts, bytes / 8,
+                                            bytes / 8);
+  if (mysql_frontend_)
+    mysql_frontend_->set_resource_limits(std::max<std::size_t>(1, config_.mysql->max_connections / parts),
+                                         bytes / 8, bytes / 8);
+  dispatcher_.set_process_count(parts);
   PoolLimits limits = pool_limits(config_);
-  limits.most_connections = engine_share(config_.sockets) / parts;
-  links_->change(limits);
+  limits.max_connections = engine_descriptors(config_.sockets) / parts;
+  connection_pool_->update_limits(limits);
 }
 
 // What its files say is taken as they change, without a signal: a credential that was taken back must not
 // wait for one.
-std::unique_ptr<FileWatch> App::watch_files(const Config& config) {
+std::unique_ptr<FileWatcher> App::watch_credential_files(const Config& config) {
   std::vector<std::string> files;
-  if (config.access) files = config.access->files();
+  if (config.access) files = config.access->watched_files();
   if (config.tls) {
     for (auto& file : config.tls->server.files()) files.push_back(std::move(file));
   }
   if (files.empty()) return nullptr;
-  return std::make_unique<FileWatch>(loop_, std::move(files), config.access_poll, [this] {
+  return std::make_unique<FileWatcher>(loop_, std::move(files), config.credential_poll_interval, [this] {
     try {
-      take_credentials(config_);
-      ++figures_.loads;
+      apply_credentials(config_);
+      ++metrics_.config_reloads;
     } catch (const std::exception& fault) {
-      ++figures_.load_errors;
-      log_.line(Level::kError, "access", std::string("the former keys stay: ") + fault.what(), {});
+      ++metrics_.config_reload_errors;
+      log_.write(LogLevel::kError, "access", std::string("the former keys stay: ") + fault.what(), {});
     }
   });
 }
 
 // Keys, certificates, lists and rights: all of them, or it throws and none is taken.
-void App::take_credentials(const Config& config) {
-  auto fresh = config.tls ? tls::ServerContext::load(config.tls->server, tls_.get()) : nullptr;
-  if (gate_) gate_->take(*config.access);
-  tls_ = std::move(fresh);
-  if (frames_) frames_->credentials_changed(config.tls && config.tls->frames ? tls_ : nullptr);
-  if (mysql_)
-    mysql_->credentials_changed(config.tls && config.tls->mysql != TlsConfig::Mysql::kOff ? tls_ : nullptr);
+void App::apply_credentials(const Config& config) {
+  auto fresh = config.tls ? tls::ServerContext::load(config.tls->server, tls_context_.get()) : nullptr;
+  if (authenticator_) authenticator_->replace_settings(*config.access);
+  tls_context_ = std::move(fresh);
+  if (platform_frontend_)
+    platform_frontend_->credentials_changed(config.tls && config.tls->frames ? tls_context_ : nullptr);
+  if (mysql_frontend_)
+    mysql_frontend_->credentials_changed(
+        config.tls && config.tls->mysql != TlsConfig::MysqlMode::kOff ? tls_context_ : nullptr);
 }
 
-void App::find_engines(const Config& config) {
+void App::configure_discovery(const Config& config) {
   if (!config.nameserver) {
-    directory_.reset();
-  } else if (directory_) {
-    directory_->move_to(*config.nameserver, config.service, config.directory_poll);
+    discovery_.reset();
+  } else if (discovery_) {
+    discovery_->change_server(*config.nameserver, config.service, config.discovery_poll_interval);
   } else {
-    directory_ = std::make_unique<DnsDirectory>(
-        loop_, log_, *config.nameserver, config.service, config.directory_poll, config.known_offset,
-        config.seed, [this](const std::vector<Member>& members) {
-          core_.learn_members(members, false, directory_->told_since());
+    discovery_ = std::make_unique<DnsDiscoveryClient>(
+        loop_, log_, *config.nameserver, config.service, config.discovery_poll_interval,
+        config.initial_endpoints_version, config.seed, [this](const std::vector<EngineEndpoint>& members) {
+          dispatcher_.update_endpoints(members, false, discovery_->list_effective_since());
         });
   }
 }
 
 void App::reload(const std::function<Config(const Config& running)>& load) {
   try {
-    take_over(load(config_));
-    ++figures_.loads;
+    apply_configuration(load(config_));
+    ++metrics_.config_reloads;
   } catch (const std::exception& fault) {
-    ++figures_.load_errors;
-    log_.line(Level::kError, "config", std::string("the former settings stay: ") + fault.what(), {});
+    ++metrics_.config_reload_errors;
+    log_.write(LogLevel::kError, "config", std::string("the former settings stay: ") + fault.what(), {});
   }
 }
 
 // Everything was read and checked before; but for the files of [access], [tls] and [fleet] nothing can be
 // turned down here.
-void App::take_over(Config fresh) {
+void App::apply_configuration(Config fresh) {
   // The process keeps what it was started with; so do its shares.
   fresh.listen = config_.listen;
-  fresh.ops = config_.ops;
+  fresh.admin = config_.admin;
   fresh.passed_socket = config_.passed_socket;
-  fresh.link = config_.link;
+  fresh.engine_protocol = config_.engine_protocol;
   // Whether callers are identified is not changed in service: it would let in or shut out everybody at once.
   if (fresh.access.has_value() != config_.access.has_value())
     throw ConfigError("access",
                       fresh.access ? "needs a restart to begin" : "missing, and it was there before");
   const auto in_tls = [](const Config& config) {
     return config.tls ? std::pair(config.tls->frames, config.tls->mysql)
-                      : std::pair(false, TlsConfig::Mysql::kOff);
+                      : std::pair(false, TlsConfig::MysqlMode::kOff);
   };
   if (in_tls(fresh) != in_tls(config_))
     throw ConfigError("tls", "which fronts have it is not changed in service");
-  if (fresh.fleet.has_value() != config_.fleet.has_value())
-    throw ConfigError("fleet", fresh.fleet ? "needs a restart to begin" : "missing, and it was there before");
-  std::optional<Fleet::Change> of_fleet;
-  if (fleet_) of_fleet = fleet_->prepare(fleet_settings(fresh));
-  auto watch = watch_files(fresh);
-  take_credentials(fresh);  // the last that may be turned down
-  if (of_fleet) fleet_->take(std::move(*of_fleet));
-  watch_ = std::move(watch);
-  if (!mysql_) fresh.mysql.reset();
-  if (mysql_) fresh.mysql->passed_socket = config_.mysql->passed_socket;
+  if (fresh.cluster.has_value() != config_.cluster.has_value())
+    throw ConfigError("fleet",
+                      fresh.cluster ? "needs a restart to begin" : "missing, and it was there before");
+  std::optional<Cluster::PreparedReload> of_fleet;
+  if (cluster_) of_fleet = cluster_->prepare_reload(cluster_settings(fresh));
+  auto watch = watch_credential_files(fresh);
+  apply_credentials(fresh);  // the last that may be turned down
+  if (of_fleet) cluster_->apply_reload(std::move(*of_fleet));
+  credential_watch_ = std::move(watch);
+  if (!mysql_frontend_) fresh.mysql.reset();
+  if (mysql_frontend_) fresh.mysql->passed_socket = config_.mysql->passed_socket;
   fresh.sockets = config_.sockets;
   fresh.memory_mb = config_.memory_mb;
-  fresh.peers = peers_after(config_, fresh);
+  fresh.peers = peers_after_reload(config_, fresh);
   config_ = std::move(fresh);
   const Config& config = config_;
   configure_log(log_, config.log);
   log_peers(log_, config);
-  core_.change(config.settings, config.zones, core_limits(config));
-  find_engines(config);
+  dispatcher_.change_settings(config.settings, config.zones, core_limits(config));
+  configure_discovery(config);
   // With a directory the file's list is that of some start, perhaps long ago: the directory knows better.
-  if (!directory_) core_.learn_members(config.known, false);
-  if (mysql_) mysql_->reload(*config.mysql);
-  resize();
-  log_.line(Level::kNotice, "config", "reread",
-            {{"nameserver", config.nameserver ? config.nameserver->text() : "-"}});
+  if (!discovery_) dispatcher_.update_endpoints(config.initial_endpoints, false);
+  if (mysql_frontend_) mysql_frontend_->reload(*config.mysql);
+  apply_resource_share();
+  log_.write(LogLevel::kNotice, "config", "reread",
+             {{"nameserver", config.nameserver ? config.nameserver->to_string() : "-"}});
 }
 
 void App::drain() {
   if (std::exchange(draining_, true)) return;
-  log_.line(Level::kNotice, "stop", "draining", {{"open", std::to_string(core_.open_requests())}});
-  if (hot_restart_) hot_restart_->say_ready(false);
-  if (fleet_) fleet_->leave();
-  if (frames_) frames_->drain();
-  if (mysql_ && !config_.mysql->passed_socket) mysql_->drain();
-  drained_at_ = last_open_ = loop_.now();
+  log_.write(LogLevel::kNotice, "stop", "draining",
+             {{"open", std::to_string(dispatcher_.open_request_count())}});
+  if (process_lease_) process_lease_->set_ready(false);
+  if (cluster_) cluster_->leave();
+  if (platform_frontend_) platform_frontend_->drain();
+  if (mysql_frontend_ && !config_.mysql->passed_socket) mysql_frontend_->stop_listening();
+  drain_started_ = last_request_open_ = loop_.now();
   Duration longest{};
   for (const auto& cls : config_.settings.classes)
-    longest = std::max(longest, span_from_module(cls.deadline));
+    longest = std::max(longest, from_routing_duration(cls.timeout));
   shutdown_times_ = decide::shutdown_times(longest);
-  shut_down();
+  advance_shutdown();
 }
 
-bool App::is_taking_in() const {
-  return (frames_ && (frames_->is_receiving() || !frames_->is_flushed())) ||
-         (mysql_ && !mysql_->is_flushed());
+bool App::is_receiving_requests() const {
+  return (platform_frontend_ && (platform_frontend_->is_receiving() || !platform_frontend_->is_flushed())) ||
+         (mysql_frontend_ && !mysql_frontend_->is_flushed());
 }
 
-void App::shut_down() {
+void App::advance_shutdown() {
   decide::ShutdownState state;
-  state.since = loop_.now() - drained_at_;
-  state.opened = ready_;
-  state.door_is_shared = config_.passed_socket.has_value() || (config_.mysql && config_.mysql->passed_socket);
-  state.successor_ready = hot_restart_ && hot_restart_->another_is_ready();
-  state.ending = ending_;
-  state.taking_in = !ending_ && is_taking_in();
-  state.seen_all = std::exchange(looks_, false) && loop_.is_quiet();
-  state.has_connections = (frames_ && frames_->has_connections()) || (mysql_ && mysql_->has_connections());
-  state.open_requests = core_.open_requests();
-  if (state.open_requests > 0) last_open_ = loop_.now();
-  state.none_open_for = loop_.now() - last_open_;
-  const decide::ShutdownOrder order = decide::next_shutdown_step(shutdown_times_, state);
+  state.elapsed = loop_.now() - drain_started_;
+  state.was_ready = ready_;
+  state.listener_is_shared =
+      config_.passed_socket.has_value() || (config_.mysql && config_.mysql->passed_socket);
+  state.successor_ready = process_lease_ && process_lease_->another_is_ready();
+  state.closing_clients = closing_clients_;
+  state.is_receiving = !closing_clients_ && is_receiving_requests();
+  state.input_drained = std::exchange(observes_iteration_, false) && loop_.is_idle();
+  state.has_connections = (platform_frontend_ && platform_frontend_->has_connections()) ||
+                          (mysql_frontend_ && mysql_frontend_->has_connections());
+  state.open_requests = dispatcher_.open_request_count();
+  if (state.open_requests > 0) last_request_open_ = loop_.now();
+  state.idle_for = loop_.now() - last_request_open_;
+  const decide::ShutdownAction order = decide::next_shutdown_step(shutdown_times_, state);
   if (order.step == decide::ShutdownStep::kExit) {
-    log_.line(Level::kNotice, "stop", "idle, so done", {});
+    log_.write(LogLevel::kNotice, "stop", "idle, so done", {});
     return loop_.stop();
   }
-  if (order.step == decide::ShutdownStep::kEndClients) {
-    ending_ = true;
-    log_.line(Level::kInfo, "stop", "ending clients", {{"open", std::to_string(state.open_requests)}});
+  if (order.step == decide::ShutdownStep::kCloseClients) {
+    closing_clients_ = true;
+    log_.write(LogLevel::kInfo, "stop", "ending clients", {{"open", std::to_string(state.open_requests)}});
   }
-  if (ending_) {  // also those let in since
-    const Duration bound = decide::end_bound(shutdown_times_, state.since);
-    if (frames_) frames_->end_all(bound);
-    if (mysql_) mysql_->end_all(bound);
+  if (closing_clients_) {  // also those let in since
+    const Duration bound = decide::client_close_timeout(shutdown_times_, state.elapsed);
+    if (platform_frontend_) platform_frontend_->close_all_gracefully(bound);
+    if (mysql_frontend_) mysql_frontend_->close_all_gracefully(bound);
   }
-  if (frames_) frames_->accept_clients(order.let_in);
-  if (mysql_ && state.successor_ready) mysql_->leave();
-  looks_ = order.step == decide::ShutdownStep::kLook;
-  loop_.at(loop_.now() + (looks_ ? Duration(0) : kLookAtShutdown), [this] { shut_down(); });
+  if (platform_frontend_) platform_frontend_->set_accepting(order.accept_clients);
+  if (mysql_frontend_ && state.successor_ready) mysql_frontend_->close_after_next_response();
+  observes_iteration_ = order.step == decide::ShutdownStep::kDrainInput;
+  loop_.run_at(loop_.now() + (observes_iteration_ ? Duration(0) : kShutdownCheckInterval),
+               [this] { advance_shutdown(); });
 }
 
 }  // namespace rookproxy
--- a/src/app/app.h
+++ b/src/app/app.h
@@ -20,11 +20,11 @@
 namespace rookproxy {
 
 // Of a configuration with [fleet]; reads the keys' files. Throws SettingsError.
-FleetSettings fleet_settings(const Config& config);
+ClusterSettings cluster_settings(const Config& config);
 
-class App final : public OpsSource {
+class App final : public AdminSource {
  public:
-  App(Loop& loop, Log& log, const Config& config);
+  App(EventLoop& loop, Logger& log, const Config& config);
   // Takes over what a new configuration says and a running dispatcher can change: the settings, the
   // directory's address, the fixed list of engines, the log, the MySQL front's classes, users, times and cap.
   // Requests and the list's serial go on. If `load` throws, the former configuration stays as a whole: a bad
@@ -35,42 +35,43 @@
   void drain();
 
  private:
-  std::string why_not_ready() const override;
-  const Figures& figures() const override { return figures_; }
-  Gauges gauges() const override { return core_.gauges(); }
-  std::vector<Fleet::Figure> more_figures() const override {
-    return fleet_ ? fleet_->figures() : std::vector<Fleet::Figure>();
+  std::string not_ready_reason() const override;
+  const Metrics& metrics() const override { return metrics_; }
+  Gauges gauges() const override { return dispatcher_.gauges(); }
+  std::vector<Cluster::MetricValue> optional_metrics() const override {
+    return cluster_ ? cluster_->metrics() : std::vector<Cluster::MetricValue>();
   }
-  void take_over(Config config);
-  std::unique_ptr<FileWatch> watch_files(const Config& config);
-  void take_credentials(const Config& config);
-  void find_engines(const Config& config);
-  void shut_down();
-  bool is_taking_in() const;
-  void become_ready(Time at_the_latest);
-  void share_with_other_process();
-  void resize();
+  void apply_configuration(Config config);
+  std::unique_ptr<FileWatcher> watch_credential_files(const Config& config);
+  void apply_credentials(const Config& config);
+  void configure_discovery(const Config& config);
+  void advance_shutdown();
+  bool is_receiving_requests() const;
+  void start_accepting(Time at_the_latest);
+  void update_resource_share();
+  void apply_resource_share();
 
-  Loop& loop_;
-  Log& log_;
+  EventLoop& loop_;
+  Logger& log_;
   Config config_;  // as last taken over
-  Figures figures_;
-  Dispatcher core_;
-  std::unique_ptr<access::Gatekeeper> gate_;  // where callers are identified
-  std::shared_ptr<const tls::ServerContext> tls_;
-  std::unique_ptr<FileWatch> watch_;
-  std::unique_ptr<Pool> links_;
-  std::unique_ptr<DnsDirectory> directory_;
-  std::unique_ptr<Fleet> fleet_;  // where the dispatchers act as one
-  std::unique_ptr<FramesFront> frames_;
-  std::unique_ptr<MysqlFront> mysql_;
-  std::unique_ptr<OpsServer> ops_;
-  std::optional<HotRestart> hot_restart_;  // where the clients' socket was passed: without, there can be none
-  Time drained_at_{}, last_open_{};        // told to end; a request was open
-  decide::ShutdownTimes shutdown_times_;   // by the classes' deadlines as they were then
-  bool ready_ = false, draining_ = false, shared_ = false;
-  bool looks_ = false;   // the turn that follows waits for nothing, to see what there is
-  bool ending_ = false;  // clients are being ended
+  Metrics metrics_;
+  Dispatcher dispatcher_;
+  std::unique_ptr<access::Authenticator> authenticator_;  // where callers are identified
+  std::shared_ptr<const tls::ServerContext> tls_context_;
+  std::unique_ptr<FileWatcher> credential_watch_;
+  std::unique_ptr<ConnectionPool> connection_pool_;
+  std::unique_ptr<DnsDiscoveryClient> discovery_;
+  std::unique_ptr<Cluster> cluster_;  // where the dispatchers act as one
+  std::unique_ptr<FramesFrontend> platform_frontend_;
+  std::unique_ptr<MysqlFrontend> mysql_frontend_;
+  std::unique_ptr<AdminServer> admin_server_;
+  std::optional<ProcessLease>
+      process_lease_;  // where the clients' socket was passed: without, there can be none
+  Time drain_started_{}, last_request_open_{};  // told to end; a request was open
+  decide::ShutdownTimes shutdown_times_;        // by the classes' deadlines as they were then
+  bool ready_ = false, draining_ = false, resources_shared_ = false;
+  bool observes_iteration_ = false;  // the turn that follows waits for nothing, to see what there is
+  bool closing_clients_ = false;     // clients are being ended
 };
 
 }  // namespace rookproxy
--- a/src/app/hot_restart.cpp
+++ b/src/app/hot_restart.cpp
@@ -4,9 +4,9 @@
 
 namespace rookproxy {
 namespace {
-constexpr int kSeats = 8;  // two processes at a time, and some that are still on their way out
+constexpr int kMaxProcesses = 8;  // two processes at a time, and some that are still on their way out
 
-struct flock record(short type, int seat, int byte) {
+struct flock make_record_lock(short type, int seat, int byte) {
   struct flock lock {};
   lock.l_type = type;
   lock.l_whence = SEEK_SET;
@@ -16,27 +16,27 @@
 }
 }  // namespace
 
-HotRestart::HotRestart(const std::string& file)
+ProcessLease::ProcessLease(const std::string& file)
     : file_(::open(file.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600)) {
-  for (int seat = 0; file_ && seat < kSeats && seat_ < 0; ++seat) {
-    if (lock(seat, kLives, true)) seat_ = seat;
+  for (int seat = 0; file_ && seat < kMaxProcesses && slot_ < 0; ++seat) {
+    if (lock(seat, kRunning, true)) slot_ = seat;
   }
 }
 
-bool HotRestart::lock(int seat, Byte byte, bool take) const {
-  struct flock wanted = record(take ? F_WRLCK : F_UNLCK, seat, byte);
+bool ProcessLease::lock(int seat, LockByte byte, bool take) const {
+  struct flock wanted = make_record_lock(take ? F_WRLCK : F_UNLCK, seat, byte);
   return ::fcntl(file_.get(), F_SETLK, &wanted) == 0;
 }
 
-void HotRestart::say_ready(bool ready) {
-  if (has_seat()) lock(seat_, kReady, ready);
+void ProcessLease::set_ready(bool ready) {
+  if (is_acquired()) lock(slot_, kReady, ready);
 }
 
 // Asks without taking: a lock tried for a moment could keep another process from its seat.
-bool HotRestart::another(Byte byte) const {
-  for (int seat = 0; has_seat() && seat < kSeats; ++seat) {
-    struct flock found = record(F_WRLCK, seat, byte);
-    if (seat != seat_ && ::fcntl(file_.get(), F_GETLK, &found) == 0 && found.l_type != F_UNLCK) return true;
+bool ProcessLease::another_holds(LockByte byte) const {
+  for (int seat = 0; is_acquired() && seat < kMaxProcesses; ++seat) {
+    struct flock found = make_record_lock(F_WRLCK, seat, byte);
+    if (seat != slot_ && ::fcntl(file_.get(), F_GETLK, &found) == 0 && found.l_type != F_UNLCK) return true;
   }
   return false;
 }
--- a/src/config/agent_config.cpp
+++ b/src/config/agent_config.cpp
@@ -9,8 +9,8 @@
 namespace rookproxy {
 namespace {
 
-InstanceConfig read_instance(const Reader& reader) {
-  reader.only({"name", "command", "environment", "autostart", "listen", "ops"});
+InstanceConfig read_instance(const ConfigReader& reader) {
+  reader.allow_only({"name", "command", "environment", "autostart", "listen", "ops"});
   InstanceConfig instance;
   instance.name = reader.text("name");
   const bool plain =
@@ -20,16 +20,16 @@
   if (!plain)
     throw ConfigError(reader.path("name"),
                       "only letters, digits, '-', '_' and '.' ('" + instance.name + "')");
-  for (const auto& word : reader.need("command")) {
+  for (const auto& word : reader.required("command")) {
     if (!word.is_string()) throw ConfigError(reader.path("command"), "not a list of texts");
     instance.command.push_back(word.get<std::string>());
   }
   if (instance.command.empty()) throw ConfigError(reader.path("command"), "empty");
   const auto addresses = [&reader](const char* key, std::size_t most) {
-    std::vector<Endpoint> list;
+    std::vector<SocketAddress> list;
     if (!reader.has(key)) return list;
-    for (const auto& entry : reader.need(key)) {
-      const auto address = entry.is_string() ? parse_endpoint(entry.get<std::string>()) : std::nullopt;
+    for (const auto& entry : reader.required(key)) {
+      const auto address = entry.is_string() ? parse_socket_address(entry.get<std::string>()) : std::nullopt;
       if (!address) throw ConfigError(reader.path(key), "not a list of addresses like 127.0.0.1:8443");
       list.push_back(*address);
     }
@@ -37,16 +37,16 @@
     return list;
   };
   instance.listen = addresses("listen", 8);
-  instance.ops = addresses("ops", 2);
+  instance.admin = addresses("ops", 2);
   if (reader.has("environment")) {
-    const Reader environment = reader.table("environment");
+    const ConfigReader environment = reader.table("environment");
     for (const auto& [name, value] : environment.json().items())
       instance.environment[name] = environment.text(name);
   }
   if (reader.has("autostart")) {
-    if (!reader.need("autostart").is_boolean())
+    if (!reader.required("autostart").is_boolean())
       throw ConfigError(reader.path("autostart"), "neither true nor false");
-    instance.autostart = reader.need("autostart").get<bool>();
+    instance.autostart = reader.required("autostart").get<bool>();
   }
   return instance;
 }
@@ -54,23 +54,23 @@
 }  // namespace
 
 AgentConfig read_agent_config(const nlohmann::json& document) {
-  const Reader reader(document, "");
-  reader.only({"socket", "backoff_first_ms", "backoff_most_ms", "steady_ms", "ready_within_ms",
-               "stop_within_ms", "instances", "log"});
+  const ConfigReader reader(document, "");
+  reader.allow_only({"socket", "backoff_first_ms", "backoff_most_ms", "steady_ms", "ready_within_ms",
+                     "stop_within_ms", "instances", "log"});
   AgentConfig config;
   config.socket = reader.text("socket");
-  config.backoff_first = reader.milliseconds_or("backoff_first_ms", config.backoff_first, 1);
-  config.backoff_most = reader.milliseconds_or("backoff_most_ms", config.backoff_most, 1);
-  if (config.backoff_most < config.backoff_first)
+  config.initial_backoff = reader.milliseconds_or("backoff_first_ms", config.initial_backoff, 1);
+  config.max_backoff = reader.milliseconds_or("backoff_most_ms", config.max_backoff, 1);
+  if (config.max_backoff < config.initial_backoff)
     throw ConfigError("backoff_most_ms", "less than backoff_first_ms");
-  config.steady = reader.milliseconds_or("steady_ms", config.steady, 1);
-  config.ready_within = reader.milliseconds_or("ready_within_ms", config.ready_within, 1);
-  config.stop_within = reader.milliseconds_or("stop_within_ms", config.stop_within, 1);
+  config.stable_after = reader.milliseconds_or("steady_ms", config.stable_after, 1);
+  config.ready_timeout = reader.milliseconds_or("ready_within_ms", config.ready_timeout, 1);
+  config.stop_timeout = reader.milliseconds_or("stop_within_ms", config.stop_timeout, 1);
   std::set<std::string> names;
   std::size_t number = 0;
-  for (const auto& entry : reader.need("instances")) {
+  for (const auto& entry : reader.required("instances")) {
     const std::string path = "instances." + std::to_string(number++);
-    config.instances.push_back(read_instance(Reader(entry, path)));
+    config.instances.push_back(read_instance(ConfigReader(entry, path)));
     if (!names.insert(config.instances.back().name).second) throw ConfigError(path + ".name", "used twice");
   }
   if (config.instances.empty()) throw ConfigError("instances", "none");
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -44,12 +44,12 @@
 
 // The module's reader takes its own defaults for what is missing, as the simulator's wire has it. Here a
 // class with no deadline, or with an effect that nobody named, would be served by rules that nobody set.
-void check_classes(const Reader& settings) {
-  const json& grades = settings.need("grades");
+void check_classes(const ConfigReader& settings) {
+  const json& grades = settings.required("grades");
   if (!grades.is_array() || grades.empty()) throw ConfigError(settings.path("grades"), "names no class");
   std::set<std::string> names;
   for (std::size_t i = 0; i < grades.size(); ++i) {
-    const Reader cls(grades[i], settings.path("grades." + std::to_string(i)));
+    const ConfigReader cls(grades[i], settings.path("grades." + std::to_string(i)));
     const std::string name = cls.text("name");
     // Names stand in figures, a line each, and in the engines' lists of fields.
     const bool plain = !name.empty() && std::all_of(name.begin(), name.end(), [](unsigned char c) {
@@ -66,7 +66,7 @@
 
 // What was told and is told no more has been cut off, not taken back: a running dispatcher does not fall back
 // to defaults. Only what the pages call optional may go, and single classes, tenants and engines.
-void check_nothing_lost(const json& was, const json& now, const std::string& path) {
+void check_nothing_removed(const json& was, const json& now, const std::string& path) {
   static const std::set<std::string, std::less<>> optional{
       "aim_stretch", "keep_order",   "models_allowed", "allowed_in", "streaming", "window",
       "group",       "repeat_ratio", "counted_over",   "min_extra",  "turn_gap",  "fleet"};
@@ -74,11 +74,11 @@
     const std::string at = path + "." + key;
     if (value.is_null() || optional.contains(key)) continue;
     if (!now.contains(key) || now[key].is_null()) throw ConfigError(at, "missing, and it was there before");
-    if (value.is_object() && now[key].is_object()) check_nothing_lost(value, now[key], at);
+    if (value.is_object() && now[key].is_object()) check_nothing_removed(value, now[key], at);
     if (key != "grades" || !value.is_array() || !now[key].is_array()) continue;
     // Of classes, what each of them had. The first stands for all: they come from one form.
     for (std::size_t i = 0; i < now[key].size() && !value.empty(); ++i) {
-      check_nothing_lost(value.front(), now[key][i], at + "." + std::to_string(i));
+      check_nothing_removed(value.front(), now[key][i], at + "." + std::to_string(i));
     }
   }
 }
@@ -87,7 +87,7 @@
   std::vector<std::string> pairs;
   flatten(settings, "", pairs);
   const std::vector<std::string_view> views(pairs.begin(), pairs.end());
-  check_classes(Reader(settings, "settings"));
+  check_classes(ConfigReader(settings, "settings"));
   try {
     config.settings = lemonshift::wire::parse_settings(config.seed, views);
     // The module has checks of its own. A running one could not be talked into half of what it turns down.
@@ -103,65 +103,69 @@
       if (name.is_string()) config.settings.tenants[i].name = name.get<std::string>();
     }
   }
-  const Reader reader(settings, "settings");
+  const ConfigReader reader(settings, "settings");
   if (reader.has("localities")) {
-    for (const auto& zone : reader.need("localities")) {
+    for (const auto& zone : reader.required("localities")) {
       if (!zone.is_string()) throw ConfigError("settings.localities", "not a list of texts");
       config.zones.push_back(zone.get<std::string>());
     }
   }
-  config.tick = Duration(reader.whole_or("resolution", config.tick.count(), 0, 1'000'000));
+  config.timer_resolution =
+      Duration(reader.integer_or("resolution", config.timer_resolution.count(), 0, 1'000'000));
   if (!reader.has("permissions")) return;
-  const Reader permissions = reader.table("permissions");
+  const ConfigReader permissions = reader.table("permissions");
   const auto micros = [&](const char* key, Duration fallback) {
-    return Duration(permissions.whole_or(key, fallback.count(), 1, 3'600'000'000));
+    return Duration(permissions.integer_or(key, fallback.count(), 1, 3'600'000'000));
   };
   config.keepalive = micros("keepalive", config.keepalive);
-  config.dial_timeout = micros("dial_timeout", config.dial_timeout);
+  config.connect_timeout = micros("dial_timeout", config.connect_timeout);
   // 0 stands for clients that heed no advice; they are given some for those that do.
-  const auto longest = permissions.whole_or("max_retry_after", 0, 0, 3'600'000'000);
-  if (longest > 0) config.refusal_pause = Duration(longest);
-  config.multiplex = static_cast<std::size_t>(permissions.whole_or("multiplex", 32, 1, 10'000));
+  const auto longest = permissions.integer_or("max_retry_after", 0, 0, 3'600'000'000);
+  if (longest > 0) config.rejection_retry_after = Duration(longest);
+  config.streams_per_connection =
+      static_cast<std::size_t>(permissions.integer_or("multiplex", 32, 1, 10'000));
 }
 
-lemonshift::EngineState read_state(const std::string& word, const std::string& path) {
+lemonshift::EngineState read_engine_state(const std::string& word, const std::string& path) {
   if (word == "up") return lemonshift::EngineState::kServing;
   if (word == "draining") return lemonshift::EngineState::kDraining;
-  if (word == "removed") return lemonshift::EngineState::kGone;
+  if (word == "removed") return lemonshift::EngineState::kRemoved;
   throw ConfigError(path, "unknown state '" + word + "'");
 }
 
 // The first event carries the whole list, each later one what changed or, if complete, the whole list again.
-void read_known(const Reader& known, Config& config) {
-  config.known_offset = static_cast<std::uint64_t>(known.whole_or("offset", 0, 0, 1'000'000'000'000));
-  std::vector<Member> members;
+void read_initial_endpoints(const ConfigReader& known, Config& config) {
+  config.initial_endpoints_version =
+      static_cast<std::uint64_t>(known.integer_or("offset", 0, 0, 1'000'000'000'000));
+  std::vector<EngineEndpoint> members;
   std::size_t event_number = 0;
-  for (const auto& event : known.need("batch")) {
+  for (const auto& event : known.required("batch")) {
     const std::string path = "known.batch." + std::to_string(event_number++);
-    const Reader topology = Reader(event, path).table("topology");
+    const ConfigReader topology = ConfigReader(event, path).table("topology");
     if (topology.json().value("complete", false)) members.clear();
     std::size_t number = 0;
-    for (const auto& entry : topology.need("members")) {
-      Member member = read_member(entry, topology.path("members." + std::to_string(number++)));
-      std::erase_if(members, [&](const Member& old) { return old.id == member.id; });
-      if (member.state != lemonshift::EngineState::kGone) members.push_back(std::move(member));
+    for (const auto& entry : topology.required("members")) {
+      EngineEndpoint member =
+          read_engine_endpoint(entry, topology.path("members." + std::to_string(number++)));
+      std::erase_if(members, [&](const EngineEndpoint& old) { return old.id == member.id; });
+      if (member.state != lemonshift::EngineState::kRemoved) members.push_back(std::move(member));
     }
   }
-  config.known = std::move(members);
+  config.initial_endpoints = std::move(members);
 }
 
-std::optional<int> passed_socket(const Reader& reader) {
+std::optional<int> passed_socket(const ConfigReader& reader) {
   if (!reader.has("passed_socket")) return std::nullopt;
-  return static_cast<int>(reader.whole_or("passed_socket", 3, 3, 1'000'000));
+  return static_cast<int>(reader.integer_or("passed_socket", 3, 3, 1'000'000));
 }
 
-void read_mysql(const Reader& mysql, Config& config) {
-  mysql.only({"listen", "users", "read_class", "load_class", "read_deadline_ms", "load_deadline_ms",
-              "most_connections", "idle_ms", "passed_socket"});
+void read_mysql_frontend(const ConfigReader& mysql, Config& config) {
+  mysql.allow_only({"listen", "users", "read_class", "load_class", "read_deadline_ms", "load_deadline_ms",
+                    "most_connections", "idle_ms", "passed_socket"});
   MysqlFrontConfig front;
   front.listen = mysql.endpoint("listen");
   front.passed_socket = passed_socket(mysql);
-  const Reader users = mysql.table("users");
+  const ConfigReader users = mysql.table("users");
   for (const auto& [name, password] : users.json().items()) front.users[name] = users.text(name);
   if (front.users.empty()) throw ConfigError(mysql.path("users"), "names nobody, so nobody could log in");
   const auto class_of = [&](const char* key) {
@@ -174,30 +178,30 @@
   const auto* read = class_of("read_class");
   const auto* load = class_of("load_class");
   // A statement not known to only read must not be sent twice, so its class must be one that forbids it.
-  if (load->effect != lemonshift::Effect::kUnsafe) {
+  if (load->idempotency != lemonshift::Idempotency::kNonIdempotent) {
     throw ConfigError(mysql.path("load_class"),
                       "class '" + load->name + "' may be repeated; it must be side_effect");
   }
   front.read_class = read->name;
   front.load_class = load->name;
-  front.read_deadline = mysql.milliseconds_or("read_deadline_ms", span_from_module(read->deadline), 50);
-  front.load_deadline = mysql.milliseconds_or("load_deadline_ms", span_from_module(load->deadline), 50);
-  front.most_connections = static_cast<std::size_t>(
-      mysql.whole_or("most_connections", 100, 1, static_cast<std::int64_t>(config.sockets)));
-  front.idle = mysql.milliseconds_or("idle_ms", front.idle, 100);
+  front.read_timeout = mysql.milliseconds_or("read_deadline_ms", from_routing_duration(read->timeout), 50);
+  front.load_timeout = mysql.milliseconds_or("load_deadline_ms", from_routing_duration(load->timeout), 50);
+  front.max_connections = static_cast<std::size_t>(
+      mysql.integer_or("most_connections", 100, 1, static_cast<std::int64_t>(config.sockets)));
+  front.idle_timeout = mysql.milliseconds_or("idle_ms", front.idle_timeout, 100);
   config.mysql = std::move(front);
 }
 
 }  // namespace
 
-LogConfig read_log_config(const Reader& log) {
-  log.only({"level", "syslog", "facility"});
+LogConfig read_log_config(const ConfigReader& log) {
+  log.allow_only({"level", "syslog", "facility"});
   LogConfig config;
-  const auto level = level_named(log.text_or("level", "info"));
+  const auto level = parse_log_level(log.text_or("level", "info"));
   if (!level) throw ConfigError(log.path("level"), "not one of error, warning, notice, info, debug");
   config.level = *level;
   if (log.has("syslog")) config.syslog = log.endpoint("syslog");
-  config.facility = static_cast<int>(log.whole_or("facility", 16, 0, 23));
+  config.facility = static_cast<int>(log.integer_or("facility", 16, 0, 23));
   return config;
 }
 
@@ -219,30 +223,30 @@
   }
 }
 
-Member read_member(const json& entry, const std::string& path) {
-  const Reader reader(entry, path);
-  Member member;
+EngineEndpoint read_engine_endpoint(const json& entry, const std::string& path) {
+  const ConfigReader reader(entry, path);
+  EngineEndpoint member;
   member.id = reader.text("id");
   if (member.id.empty()) throw ConfigError(reader.path("id"), "empty");
-  member.state = read_state(reader.text_or("phase", "up"), reader.path("phase"));
-  if (member.state != lemonshift::EngineState::kGone || reader.has("host_port")) {
+  member.state = read_engine_state(reader.text_or("phase", "up"), reader.path("phase"));
+  if (member.state != lemonshift::EngineState::kRemoved || reader.has("host_port")) {
     member.address = reader.endpoint("host_port");
   }
   member.zone = reader.text_or("locality", "");
-  member.kind = reader.text_or("flavor", "");
-  member.cell = static_cast<std::uint32_t>(reader.whole_or("cell", 0, 0, UINT32_MAX));
+  member.machine_type = reader.text_or("flavor", "");
+  member.cell = static_cast<std::uint32_t>(reader.integer_or("cell", 0, 0, UINT32_MAX));
   member.weight = reader.has("size") ? reader.number("size", 0, 1e9) : 1;
-  const auto started = reader.whole_or("up_since_ms", 0, 0, 1'000'000'000'000'000);
-  if (started > 0) member.started = Time(std::chrono::milliseconds(started));
+  const auto started = reader.integer_or("up_since_ms", 0, 0, 1'000'000'000'000'000);
+  if (started > 0) member.started_at = Time(std::chrono::milliseconds(started));
   return member;
 }
 
 Config read_config(const json& document) {
-  const Reader reader(document, "");
+  const ConfigReader reader(document, "");
   Config config;
   config.name = reader.text_or("name", config.name);
   if (reader.has("listen")) config.listen = reader.endpoint("listen");
-  if (reader.has("ops")) config.ops = reader.endpoint("ops");
+  if (reader.has("ops")) config.admin = reader.endpoint("ops");
   config.passed_socket = passed_socket(reader);
   if (config.passed_socket && !config.listen)
     throw ConfigError("passed_socket", "there is no `listen` for it");
@@ -254,45 +258,47 @@
     config.seed = *read;
   }
   if (reader.has("limits")) {
-    const Reader limits = reader.table("limits");
-    config.memory_mb = static_cast<std::size_t>(limits.whole_or("memory_mb", 192, 16, 1'000'000));
-    config.sockets = static_cast<std::size_t>(limits.whole_or("sockets", 1024, 32, 1'000'000));
+    const ConfigReader limits = reader.table("limits");
+    config.memory_mb = static_cast<std::size_t>(limits.integer_or("memory_mb", 192, 16, 1'000'000));
+    config.sockets = static_cast<std::size_t>(limits.integer_or("sockets", 1024, 32, 1'000'000));
   }
   if (reader.has("nameserver")) config.nameserver = reader.endpoint("nameserver");
   config.service = reader.text_or("service", config.service);
-  config.directory_poll = reader.milliseconds_or("directory_poll_ms", config.directory_poll, 10);
-  read_settings(reader.need("settings"), config);
+  config.discovery_poll_interval =
+      reader.milliseconds_or("directory_poll_ms", config.discovery_poll_interval, 10);
+  read_settings(reader.required("settings"), config);
   try {
     config.peers = read_peers(document);
   } catch (const ConfigError& fault) {
-    config.peers_fault = fault.what();
+    config.peers_error = fault.what();
   }
-  if (reader.has("known")) read_known(reader.table("known"), config);
+  if (reader.has("known")) read_initial_endpoints(reader.table("known"), config);
   if (reader.has("engines")) {  // an operator's fixed list
     std::size_t number = 0;
-    config.known.clear();
-    for (const auto& entry : reader.need("engines")) {
-      config.known.push_back(read_member(entry, "engines." + std::to_string(number++)));
+    config.initial_endpoints.clear();
+    for (const auto& entry : reader.required("engines")) {
+      config.initial_endpoints.push_back(read_engine_endpoint(entry, "engines." + std::to_string(number++)));
     }
   }
   const std::string link = reader.text_or("link", "lines");
   if (link != "lines" && link != "mysql")
     throw ConfigError("link", "neither 'lines' nor 'mysql' ('" + link + "')");
-  config.link = link == "mysql" ? LinkKind::kMysql : LinkKind::kLines;
-  if (config.link == LinkKind::kMysql) {
-    const Reader engines = reader.table("mysql_engines");
-    engines.only({"user", "password", "schema"});
-    config.mysql_link = {engines.text("user"), engines.text_or("password", ""),
-                         engines.text_or("schema", "")};
+  config.engine_protocol = link == "mysql" ? EngineProtocol::kMysql : EngineProtocol::kLines;
+  if (config.engine_protocol == EngineProtocol::kMysql) {
+    const ConfigReader engines = reader.table("mysql_engines");
+    engines.allow_only({"user", "password", "schema"});
+    config.mysql_engines = {engines.text("user"), engines.text_or("password", ""),
+                            engines.text_or("schema", "")};
   }
   if (reader.has("mysql")) {
-    if (config.link != LinkKind::kMysql)
+    if (config.engine_protocol != EngineProtocol::kMysql)
       throw ConfigError("link", "the MySQL front needs engines that speak MySQL");
-    read_mysql(reader.table("mysql"), config);
+    read_mysql_frontend(reader.table("mysql"), config);
   }
   if (reader.has("access")) {
-    config.access = read_access(reader.need("access"), config.settings);
-    config.access_poll = reader.table("access").milliseconds_or("poll_ms", config.access_poll, 20);
+    config.access = read_access(reader.required("access"), config.settings);
+    config.credential_poll_interval =
+        reader.table("access").milliseconds_or("poll_ms", config.credential_poll_interval, 20);
     // Passwords stay for whoever sets them up, and each of those has to be somebody.
     if (config.mysql) {
       for (const auto& [name, password] : config.mysql->users) {
@@ -302,21 +308,21 @@
     }
   }
   if (reader.has("tls")) {
-    config.tls = read_tls(reader.need("tls"));
+    config.tls = read_tls(reader.required("tls"));
     if (config.tls->frames && !config.listen) throw ConfigError("tls.frames", "there is no `listen` for it");
-    if (config.tls->mysql != TlsConfig::Mysql::kOff && !config.mysql)
+    if (config.tls->mysql != TlsConfig::MysqlMode::kOff && !config.mysql)
       throw ConfigError("tls.mysql", "there is no [mysql] for it");
     if (config.tls->server.client_certificates != tls::ClientCertificates::kNone && !config.access)
       throw ConfigError("tls.client_certificates", "there is no [access] to say what they stand for");
     if (config.access && !config.access->keys_file.empty() && config.mysql &&
-        config.tls->mysql == TlsConfig::Mysql::kOff) {
+        config.tls->mysql == TlsConfig::MysqlMode::kOff) {
       throw ConfigError("tls.mysql", "off, and tokens are taken in TLS only");
     }
   }
-  if (reader.has("fleet")) config.fleet = read_fleet(reader.need("fleet"), config);
+  if (reader.has("fleet")) config.cluster = read_cluster(reader.required("fleet"), config);
   if (reader.has("log")) config.log = read_log_config(reader.table("log"));
   if (!config.listen && !config.mysql) throw ConfigError("listen", "missing, and there is no other front");
-  if (config.known.empty() && !config.nameserver)
+  if (config.initial_endpoints.empty() && !config.nameserver)
     throw ConfigError("engines", "no engines and no nameserver");
   return config;
 }
@@ -330,7 +336,7 @@
 }
 
 // Files that an operator's file names without a folder's root lie beside it.
-void name_files_from(json& document, const std::string& operators) {
+void resolve_relative_files(json& document, const std::string& operators) {
   const auto folder = std::filesystem::path(operators).parent_path();
   for (const auto& [section, keys] :
        std::map<std::string, std::vector<std::string>>{{"access", {"keys", "revoked"}},
@@ -347,7 +353,7 @@
 }
 
 Config load_config(const Environment& environment, const std::string& operators) {
-  const std::string& platform = environment.config;
+  const std::string& platform = environment.config_file;
   json document = json::object();
   if (!platform.empty()) {
     try {
@@ -358,10 +364,10 @@
   }
   if (!operators.empty()) {
     json file = read_toml(operators);
-    name_files_from(file, operators);
+    resolve_relative_files(file, operators);
     document.merge_patch(file);
   }
-  if (!environment.ops.empty()) document["ops"] = environment.ops;
+  if (!environment.admin.empty()) document["ops"] = environment.admin;
   // $TMPDIR is set for many reasons: a folder that was named is meant.
   if (!environment.shared_folder.empty() && !document.contains("shared_folder"))
     document["shared_folder"] = environment.shared_folder;
@@ -387,7 +393,7 @@
     const bool lists_engines = std::string_view(key) == "nameserver" || std::string_view(key) == "known";
     if (lists_engines && fresh.document->contains("engines")) continue;
     if (!fresh.document->contains(key)) throw ConfigError(key, "missing, and it was there before");
-    if (was[key].is_object()) check_nothing_lost(was[key], (*fresh.document)[key], key);
+    if (was[key].is_object()) check_nothing_removed(was[key], (*fresh.document)[key], key);
   }
   return fresh;
 }
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -21,15 +21,15 @@
   ConfigError(const std::string& key, const std::string& what) : SettingsError(key + ": " + what) {}
 };
 
-enum class LinkKind { kLines, kMysql };
+enum class EngineProtocol { kLines, kMysql };
 
 struct MysqlFrontConfig {
-  Endpoint listen;
+  SocketAddress listen;
   std::map<std::string, std::string> users;  // name to password
   std::string read_class, load_class;        // of statements known to only read; of all others
-  Duration read_deadline{}, load_deadline{};
-  std::size_t most_connections = 100;
-  Duration idle = std::chrono::minutes(5);
+  Duration read_timeout{}, load_timeout{};
+  std::size_t max_connections = 100;
+  Duration idle_timeout = std::chrono::minutes(5);
   std::optional<int> passed_socket;  // an inherited descriptor that listens for `listen`
 };
 
@@ -37,71 +37,71 @@
 struct TlsConfig {
   tls::ServerSettings server;
   bool frames = false;  // every connection of the frames front
-  enum class Mysql { kOff, kOptional, kRequired } mysql = Mysql::kOff;
+  enum class MysqlMode { kOff, kOptional, kRequired } mysql = MysqlMode::kOff;
 };
 
 // The dispatchers act as one, [fleet].
-struct FleetConfig {
-  std::string key, former_key;  // files; empty: none
+struct ClusterOptions {
+  std::string key_file, former_key_file;  // files; empty: none
   std::uint32_t bytes_per_second = 64 * 1024;
-  Duration period = std::chrono::milliseconds(500), lease = std::chrono::seconds(4);
-  std::size_t self = 0;  // our place among the peers
+  Duration protocol_period = std::chrono::milliseconds(500), lease_duration = std::chrono::seconds(4);
+  std::size_t self_index = 0;  // our place among the peers
 };
 
-struct MysqlLinkConfig {
+struct MysqlEnginesConfig {
   std::string user, password, schema;
 };
 
 struct LogConfig {
-  Level level = Level::kInfo;
-  std::optional<Endpoint> syslog;
+  LogLevel level = LogLevel::kInfo;
+  std::optional<SocketAddress> syslog;
   int facility = 16;  // local0
 };
 
-inline void configure_log(Log& log, const LogConfig& config) {
-  log.set_least(config.level);
-  log.to_syslog(config.syslog, config.facility);
+inline void configure_log(Logger& log, const LogConfig& config) {
+  log.set_min_level(config.level);
+  log.set_syslog_target(config.syslog, config.facility);
 }
 
 // Other dispatchers of the tier and where they reach us, where the settings allow to tell them anything. By
 // their own names, or by their places in the list.
 struct PeersConfig {
-  Endpoint listen;
-  std::vector<std::pair<std::string, Endpoint>> peers;  // as given; may hold our own address
-  std::optional<Endpoint> all;                          // reaches every one of them
+  SocketAddress listen;
+  std::vector<std::pair<std::string, SocketAddress>> peers;  // as given; may hold our own address
+  std::optional<SocketAddress> broadcast_address;            // reaches every one of them
   bool operator==(const PeersConfig&) const = default;
 };
 
 struct Config {
   std::string name = "rookproxy";
-  std::optional<Endpoint> listen;    // the platform's front
-  std::optional<Endpoint> ops;       // where operators call
-  std::optional<int> passed_socket;  // an inherited descriptor that listens for `listen`
-  std::string shared_folder;         // where processes of one dispatcher know of each other
+  std::optional<SocketAddress> listen;  // the platform's front
+  std::optional<SocketAddress> admin;   // where operators call
+  std::optional<int> passed_socket;     // an inherited descriptor that listens for `listen`
+  std::string shared_folder;            // where processes of one dispatcher know of each other
   std::uint64_t seed = 1;
   std::size_t memory_mb = 192, sockets = 1024;
-  std::optional<Endpoint> nameserver;
+  std::optional<SocketAddress> nameserver;
   std::string service = "_app._tcp.cluster.lan";
-  Duration directory_poll = std::chrono::milliseconds(200);
-  std::uint64_t known_offset = 0;
-  std::vector<Member> known;
+  Duration discovery_poll_interval = std::chrono::milliseconds(200);
+  std::uint64_t initial_endpoints_version = 0;
+  std::vector<EngineEndpoint> initial_endpoints;
   lemonshift::Settings settings;
   std::vector<std::string> zones;
-  Duration keepalive = std::chrono::seconds(30), dial_timeout = std::chrono::milliseconds(250);
-  std::size_t multiplex = 32;
-  Duration tick = std::chrono::milliseconds(5);
-  Duration refusal_pause = std::chrono::seconds(1);
+  Duration keepalive = std::chrono::seconds(30), connect_timeout = std::chrono::milliseconds(250);
+  std::size_t streams_per_connection = 32;
+  Duration timer_resolution = std::chrono::milliseconds(5);
+  Duration rejection_retry_after = std::chrono::seconds(1);
   std::optional<PeersConfig> peers;
   // What is wrong with them. It stops no dispatcher from serving, which needs no peers for it; --check says
   // it.
-  std::string peers_fault;
-  LinkKind link = LinkKind::kLines;
-  MysqlLinkConfig mysql_link;
+  std::string peers_error;
+  EngineProtocol engine_protocol = EngineProtocol::kLines;
+  MysqlEnginesConfig mysql_engines;
   std::optional<MysqlFrontConfig> mysql;
-  std::optional<access::AccessSettings> access;  // absent: callers are not identified
+  std::optional<access::AuthSettings> access;  // absent: callers are not identified
   std::optional<TlsConfig> tls;
-  std::optional<FleetConfig> fleet;                       // absent: every dispatcher for itself
-  Duration access_poll = std::chrono::milliseconds(250);  // how often its files are looked at
+  std::optional<ClusterOptions> cluster;                               // absent: every dispatcher for itself
+  Duration credential_poll_interval = std::chrono::milliseconds(250);  // how often its files are looked at
   LogConfig log;
   std::shared_ptr<const nlohmann::json> document;  // as it was read
 };
@@ -110,7 +110,7 @@
 // be empty. Where both name a key, the operator's file wins; what the environment says of this process wins
 // over both, which another process of the same dispatcher may have been given, too.
 struct Environment {
-  std::string config, ops, passed_socket,
+  std::string config_file, admin, passed_socket,
       shared_folder;  // $NODE_CONFIG, $NODE_OPS, $NODE_PASSED_SOCKET, $TMPDIR
 };
 Environment read_environment();
@@ -119,15 +119,15 @@
 Config load_config(const Environment& environment, const std::string& operators, const Config& running);
 Config read_config(const nlohmann::json& document);
 // The section [access]; its files are named and not read. Throws ConfigError.
-access::AccessSettings read_access(const nlohmann::json& section, const lemonshift::Settings& settings);
+access::AuthSettings read_access(const nlohmann::json& section, const lemonshift::Settings& settings);
 TlsConfig read_tls(const nlohmann::json& section);
 // `peers`, `peers_all` and `peer_listen`; nothing if there are none or the settings allow to send nothing.
 // Throws ConfigError, also where nothing may be sent.
 std::optional<PeersConfig> read_peers(const nlohmann::json& document);
 // Those after a change of settings: an address that is listened at stays, and unusable ones change nothing.
-std::optional<PeersConfig> peers_after(const Config& running, const Config& fresh);
+std::optional<PeersConfig> peers_after_reload(const Config& running, const Config& fresh);
 // The section [fleet], of a configuration whose settings and peers have been read. Throws ConfigError.
-FleetConfig read_fleet(const nlohmann::json& section, const Config& config);
+ClusterOptions read_cluster(const nlohmann::json& section, const Config& config);
 // Checks a section against the published schema (src/config/*.schema.json); throws ConfigError with the key.
 void check_schema(const nlohmann::json& section, const std::string& name);
 
@@ -137,6 +137,6 @@
 nlohmann::json read_toml(const std::string& path);
 
 // One member of a list of engines, as the platform words it.
-Member read_member(const nlohmann::json& entry, const std::string& path);
+EngineEndpoint read_engine_endpoint(const nlohmann::json& entry, const std::string& path);
 
 }  // namespace rookproxy
--- a/src/config/reader.h
+++ b/src/config/reader.h
@@ -11,20 +11,20 @@
 
 namespace rookproxy {
 
-class Reader {
+class ConfigReader {
  public:
-  Reader(const nlohmann::json& at, std::string path) : at_(at), path_(std::move(path)) {
-    if (!at_.is_object()) throw ConfigError(path_.empty() ? "the document" : path_, "not a table");
+  ConfigReader(const nlohmann::json& at, std::string path) : object_(at), path_(std::move(path)) {
+    if (!object_.is_object()) throw ConfigError(path_.empty() ? "the document" : path_, "not a table");
   }
-  bool has(const std::string& key) const { return at_.contains(key) && !at_[key].is_null(); }
+  bool has(const std::string& key) const { return object_.contains(key) && !object_[key].is_null(); }
   std::string path(const std::string& key) const { return path_.empty() ? key : path_ + "." + key; }
-  Reader table(const std::string& key) const { return Reader(need(key), path(key)); }
-  const nlohmann::json& need(const std::string& key) const {
+  ConfigReader table(const std::string& key) const { return ConfigReader(required(key), path(key)); }
+  const nlohmann::json& required(const std::string& key) const {
     if (!has(key)) throw ConfigError(path(key), "missing");
-    return at_[key];
+    return object_[key];
   }
   std::string text(const std::string& key) const {
-    const auto& value = need(key);
+    const auto& value = required(key);
     if (!value.is_string()) throw ConfigError(path(key), "not a text");
     return value.get<std::string>();
   }
@@ -32,7 +32,7 @@
     return has(key) ? text(key) : fallback;
   }
   double number(const std::string& key, double least, double most) const {
-    const auto& value = need(key);
+    const auto& value = required(key);
     if (!value.is_number()) throw ConfigError(path(key), "not a number");
     const double number = value.get<double>();
     if (!(number >= least && number <= most)) {
@@ -40,8 +40,8 @@
     }
     return number;
   }
-  std::int64_t whole_or(const std::string& key, std::int64_t fallback, std::int64_t least,
-                        std::int64_t most) const {
+  std::int64_t integer_or(const std::string& key, std::int64_t fallback, std::int64_t least,
+                          std::int64_t most) const {
     if (!has(key)) return fallback;
     const double value = number(key, static_cast<double>(least), static_cast<double>(most));
     if (value != std::floor(value)) throw ConfigError(path(key), "not a whole number");
@@ -49,27 +49,27 @@
   }
   Duration milliseconds_or(const std::string& key, Duration fallback, std::int64_t least) const {
     if (!has(key)) return fallback;
-    return std::chrono::milliseconds(whole_or(key, 0, least, 86'400'000));
+    return std::chrono::milliseconds(integer_or(key, 0, least, 86'400'000));
   }
-  Endpoint endpoint(const std::string& key) const {
-    const auto value = parse_endpoint(text(key));
+  SocketAddress endpoint(const std::string& key) const {
+    const auto value = parse_socket_address(text(key));
     if (!value) throw ConfigError(path(key), "not an address like 127.0.0.1:8443 ('" + text(key) + "')");
     return *value;
   }
   // A misspelt key in an operator's file would else be a setting that silently does not hold.
-  void only(std::initializer_list<std::string_view> known) const {
-    for (const auto& [key, value] : at_.items()) {
+  void allow_only(std::initializer_list<std::string_view> known) const {
+    for (const auto& [key, value] : object_.items()) {
       if (std::find(known.begin(), known.end(), key) == known.end())
         throw ConfigError(path(key), "unknown key");
     }
   }
-  const nlohmann::json& json() const { return at_; }
+  const nlohmann::json& json() const { return object_; }
 
  private:
-  const nlohmann::json& at_;
+  const nlohmann::json& object_;
   std::string path_;
 };
 
-LogConfig read_log_config(const Reader& log);
+LogConfig read_log_config(const ConfigReader& log);
 
 }  // namespace rookproxy
--- a/src/core/module_time.h
+++ b/src/core/module_time.h
@@ -6,9 +6,9 @@
 
 namespace rookproxy {
 
-inline lemonshift::Time to_module(Time at) { return at.time_since_epoch().count(); }
-inline lemonshift::Time to_module(Duration span) { return span.count(); }
-inline Time time_from_module(lemonshift::Time at) { return Time(Duration(at)); }
-inline Duration span_from_module(lemonshift::Time span) { return Duration(span); }
+inline lemonshift::Time to_routing_time(Time at) { return at.time_since_epoch().count(); }
+inline lemonshift::Time to_routing_duration(Duration span) { return span.count(); }
+inline Time from_routing_time(lemonshift::Time at) { return Time(Duration(at)); }
+inline Duration from_routing_duration(lemonshift::Time span) { return Duration(span); }
 
 }  // namespace rookproxy
--- a/src/core/rules.cpp
+++ b/src/core/rules.cpp
@@ -6,28 +6,30 @@
 namespace {
 
 using lemonshift::ClassSettings;
-using lemonshift::Effect;
+using lemonshift::Idempotency;
 
 // Safe, keyed and unsafe stand in the order of what they forbid; of two keyed ones the narrower binds.
-void tighten(ClassSettings& cls, const ClassSettings& former) {
-  if (former.effect == Effect::kKeyed && cls.effect == Effect::kKeyed) {
+void restrict_retries(ClassSettings& cls, const ClassSettings& former) {
+  if (former.idempotency == Idempotency::kKeyed && cls.idempotency == Idempotency::kKeyed) {
     // From all engines over a zone to a cell; where they differ a zone and a cell hold it together.
-    if (former.repeat_scope && (!cls.repeat_scope || *former.repeat_scope > *cls.repeat_scope)) {
-      cls.repeat_scope = former.repeat_scope;
+    if (former.idempotency_scope &&
+        (!cls.idempotency_scope || *former.idempotency_scope > *cls.idempotency_scope)) {
+      cls.idempotency_scope = former.idempotency_scope;
     }
-    if (former.repeat_window && (!cls.repeat_window || *former.repeat_window < *cls.repeat_window)) {
-      cls.repeat_window = former.repeat_window;
+    if (former.idempotency_window &&
+        (!cls.idempotency_window || *former.idempotency_window < *cls.idempotency_window)) {
+      cls.idempotency_window = former.idempotency_window;
     }
-  } else if (former.effect > cls.effect) {
-    cls.effect = former.effect;
-    cls.repeat_scope = former.repeat_scope;
-    cls.repeat_window = former.repeat_window;
+  } else if (former.idempotency > cls.idempotency) {
+    cls.idempotency = former.idempotency;
+    cls.idempotency_scope = former.idempotency_scope;
+    cls.idempotency_window = former.idempotency_window;
   }
 }
 
 }  // namespace
 
-lemonshift::Settings stricter(const lemonshift::Settings& former, const lemonshift::Settings& fresh) {
+lemonshift::Settings merge_stricter(const lemonshift::Settings& former, const lemonshift::Settings& fresh) {
   lemonshift::Settings both = fresh;
   for (const auto& old : former.classes) {
     const auto same = std::find_if(both.classes.begin(), both.classes.end(),
@@ -35,7 +37,7 @@
     if (same == both.classes.end()) {
       both.classes.push_back(old);
     } else {
-      tighten(*same, old);
+      restrict_retries(*same, old);
     }
   }
   // A tenant that is dropped keeps its quota as long as its clients still name it.
@@ -45,8 +47,8 @@
     if (!stays) both.tenants.push_back(old);
   }
   both.max_attempts = std::min(former.max_attempts, fresh.max_attempts);
-  both.drain_grace = std::min(former.drain_grace, fresh.drain_grace);
-  both.second_copies = former.second_copies && fresh.second_copies;
+  both.drain_grace_period = std::min(former.drain_grace_period, fresh.drain_grace_period);
+  both.hedging = former.hedging && fresh.hedging;
   return both;
 }
 
--- a/src/ctl/certificates.cpp
+++ b/src/ctl/certificates.cpp
@@ -43,7 +43,7 @@
   return std::string(data, static_cast<std::size_t>(size));
 }
 
-void must(bool fine, const char* doing) {
+void require_success(bool fine, const char* doing) {
   if (!fine) throw std::runtime_error(std::string("OpenSSL failed to ") + doing);
 }
 
@@ -58,25 +58,26 @@
     if (fs::exists(path)) throw std::runtime_error(path + ": there already; it is not written over");
   }
   const std::unique_ptr<EVP_PKEY, PkeyFree> pair(EVP_EC_gen("P-256"));
-  must(pair != nullptr, "make a P-256 key");
+  require_success(pair != nullptr, "make a P-256 key");
   const std::unique_ptr<X509, X509Free> made(X509_new());
-  must(made != nullptr, "make a certificate");
+  require_success(made != nullptr, "make a certificate");
   X509* cert = made.get();
-  must(X509_set_version(cert, 2) == 1, "set the version");
+  require_success(X509_set_version(cert, 2) == 1, "set the version");
   unsigned char serial[16];
-  must(RAND_bytes(serial, sizeof serial) == 1, "draw a serial number");
+  require_success(RAND_bytes(serial, sizeof serial) == 1, "draw a serial number");
   serial[0] &= 0x7f;  // positive, RFC 5280 section 4.1.2.2
   BIGNUM* number = BN_bin2bn(serial, sizeof serial, nullptr);
-  must(number && BN_to_ASN1_INTEGER(number, X509_get_serialNumber(cert)), "set the serial number");
+  require_success(number && BN_to_ASN1_INTEGER(number, X509_get_serialNumber(cert)), "set the serial number");
   BN_free(number);
-  must(X509_gmtime_adj(X509_getm_notBefore(cert), -3600) != nullptr, "set the start");
-  must(X509_gmtime_adj(X509_getm_notAfter(cert), days * 86400L) != nullptr, "set the end");
+  require_success(X509_gmtime_adj(X509_getm_notBefore(cert), -3600) != nullptr, "set the start");
+  require_success(X509_gmtime_adj(X509_getm_notAfter(cert), days * 86400L) != nullptr, "set the end");
   X509_NAME* subject = X509_get_subject_name(cert);
-  must(X509_NAME_add_entry_by_txt(subject, "CN", MBSTRING_ASC,
-                                  reinterpret_cast<const unsigned char*>(name.c_str()), -1, -1, 0) == 1,
-       "set the name");
-  must(X509_set_issuer_name(cert, subject) == 1, "set the issuer");
-  must(X509_set_pubkey(cert, pair.get()) == 1, "set the key");
+  require_success(
+      X509_NAME_add_entry_by_txt(subject, "CN", MBSTRING_ASC,
+                                 reinterpret_cast<const unsigned char*>(name.c_str()), -1, -1, 0) == 1,
+      "set the name");
+  require_success(X509_set_issuer_name(cert, subject) == 1, "set the issuer");
+  require_success(X509_set_pubkey(cert, pair.get()) == 1, "set the key");
   X509V3_CTX context;
   X509V3_set_ctx_nodb(&context);
   X509V3_set_ctx(&context, cert, cert, nullptr, nullptr, 0);
@@ -86,25 +87,26 @@
                                    std::pair{NID_key_usage, "critical,digitalSignature"},
                                    std::pair{NID_ext_key_usage, "serverAuth,clientAuth"}}) {
     X509_EXTENSION* extension = X509V3_EXT_conf_nid(nullptr, &context, nid, value);
-    must(extension != nullptr && X509_add_ext(cert, extension, -1) == 1, "add an extension");
+    require_success(extension != nullptr && X509_add_ext(cert, extension, -1) == 1, "add an extension");
     X509_EXTENSION_free(extension);
   }
-  must(X509_sign(cert, pair.get(), EVP_sha256()) > 0, "sign the certificate");
+  require_success(X509_sign(cert, pair.get(), EVP_sha256()) > 0, "sign the certificate");
   const std::unique_ptr<BIO, BioFree> key_text(BIO_new(BIO_s_mem())), cert_text(BIO_new(BIO_s_mem()));
-  must(PEM_write_bio_PrivateKey(key_text.get(), pair.get(), nullptr, nullptr, 0, nullptr, nullptr) == 1,
-       "write the key");
-  must(PEM_write_bio_X509(cert_text.get(), cert) == 1, "write the certificate");
-  write_whole(key, bio_text(key_text.get()), 0600);
-  write_whole(certificate, bio_text(cert_text.get()), 0644);
+  require_success(
+      PEM_write_bio_PrivateKey(key_text.get(), pair.get(), nullptr, nullptr, 0, nullptr, nullptr) == 1,
+      "write the key");
+  require_success(PEM_write_bio_X509(cert_text.get(), cert) == 1, "write the certificate");
+  write_file_atomically(key, bio_text(key_text.get()), 0600);
+  write_file_atomically(certificate, bio_text(cert_text.get()), 0644);
 }
 
-long whole_days(const std::string& text) {
+long parse_days(const std::string& text) {
   if (!std::regex_match(text, std::regex("[0-9]{1,4}"))) throw std::runtime_error("--days '" + text + "'");
   return std::stol(text);
 }
 
 int new_certificate(const CertificateOptions& options) {
-  make_certificate(options.certificate, options.key, options.name, whole_days(options.life));
+  make_certificate(options.certificate, options.key, options.name, parse_days(options.life));
   std::cout << options.certificate << ": self-signed for " << options.name << ", " << options.life
             << " days\n"
             << options.key << ": its private key, for the dispatcher alone\n";
@@ -118,7 +120,7 @@
   int made = 0;
   if (config.access && !config.access->keys_file.empty() && !fs::exists(config.access->keys_file)) {
     const std::string folder = fs::path(config.access->keys_file).parent_path().string();
-    make_key_set(config.access->keys_file, "k1", folder.empty() ? "." : folder);
+    create_key_set(config.access->keys_file, "k1", folder.empty() ? "." : folder);
     std::cout << config.access->keys_file << ": a key set with key k1; " << (folder.empty() ? "." : folder)
               << "/k1.pem signs tokens\n";
     ++made;
@@ -130,7 +132,7 @@
       throw std::runtime_error((has_key ? server.certificate : server.key) +
                                ": missing beside the other of the pair; a half pair is not made whole");
     if (!has_certificate) {
-      make_certificate(server.certificate, server.key, options.name, whole_days(options.life));
+      make_certificate(server.certificate, server.key, options.name, parse_days(options.life));
       std::cout << server.certificate << ", " << server.key << ": self-signed for " << options.name << "\n";
       ++made;
     }
--- a/src/ctl/keys.cpp
+++ b/src/ctl/keys.cpp
@@ -31,26 +31,26 @@
 
 enum Exit { kDone = 0, kRefused = 1, kUsage = 2 };
 
-struct Fault : std::runtime_error {
+struct CommandError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
 std::int64_t seconds_now() {
-  return std::chrono::duration_cast<std::chrono::seconds>(access::credential_now().time_since_epoch())
+  return std::chrono::duration_cast<std::chrono::seconds>(access::wall_clock_now().time_since_epoch())
       .count();
 }
 
 // '90s', '10m', '12h', '30d' or plain seconds.
-std::int64_t span(const std::string& text) {
+std::int64_t parse_duration_seconds(const std::string& text) {
   std::smatch parts;
   if (!std::regex_match(text, parts, std::regex("([0-9]{1,9})([smhd]?)")))
-    throw Fault("'" + text + "' is no span like 90s, 10m, 12h or 30d");
+    throw CommandError("'" + text + "' is no span like 90s, 10m, 12h or 30d");
   const std::string unit = parts[2];
   const std::int64_t each = unit == "m" ? 60 : unit == "h" ? 3600 : unit == "d" ? 86400 : 1;
   return std::stoll(parts[1]) * each;
 }
 
-std::string date(double seconds) {
+std::string format_utc_time(double seconds) {
   const auto whole = static_cast<std::time_t>(seconds);
   std::tm parts{};
   ::gmtime_r(&whole, &parts);
@@ -59,10 +59,10 @@
   return out.str();
 }
 
-std::string read_whole(const std::string& path) {
+std::string read_text_file(const std::string& path) {
   std::ifstream in(path, std::ios::binary);
   std::ostringstream text;
-  if (!in || !(text << in.rdbuf())) throw Fault(path + ": can't be read");
+  if (!in || !(text << in.rdbuf())) throw CommandError(path + ": can't be read");
   return std::move(text).str();
 }
 
@@ -70,15 +70,15 @@
 
 // Written aside, synced and renamed into place: a dispatcher that looks in between sees the former file or
 // the new one.
-void write_whole(const std::string& path, const std::string& text, mode_t mode) {
+void write_file_atomically(const std::string& path, const std::string& text, mode_t mode) {
   std::string aside = path + ".XXXXXX";
-  const Fd fd(::mkstemp(aside.data()));
+  const FileDescriptor fd(::mkstemp(aside.data()));
   const auto fail = [&](const char* doing) {
     const std::string why = std::strerror(errno);
     ::unlink(aside.c_str());
-    throw Fault(path + ": " + doing + ": " + why);
+    throw CommandError(path + ": " + doing + ": " + why);
   };
-  if (!fd) throw Fault(path + ": can't be written: " + std::strerror(errno));
+  if (!fd) throw CommandError(path + ": can't be written: " + std::strerror(errno));
   for (std::size_t at = 0; at < text.size();) {
     const ssize_t put = ::write(fd.get(), text.data() + at, text.size() - at);
     if (put < 0 && errno != EINTR) fail("can't be written");
@@ -87,7 +87,8 @@
   if (::fchmod(fd.get(), mode) != 0 || ::fsync(fd.get()) != 0) fail("can't be written");
   if (::rename(aside.c_str(), path.c_str()) != 0) fail("can't be put in place");
   const std::string parent = fs::path(path).parent_path().string();
-  const Fd folder(::open(parent.empty() ? "." : parent.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
+  const FileDescriptor folder(
+      ::open(parent.empty() ? "." : parent.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
   if (folder) ::fsync(folder.get());
 }
 
@@ -95,19 +96,19 @@
 
 json read_set(const std::string& path, bool may_be_missing) {
   if (may_be_missing && !fs::exists(path)) return {{"keys", json::array()}};
-  const std::string text = read_whole(path);
+  const std::string text = read_text_file(path);
   try {
-    access::KeySet::read(text);  // nothing is built on a set that no dispatcher would take
+    access::KeySet::parse(text);  // nothing is built on a set that no dispatcher would take
   } catch (const access::KeyError& fault) {
-    throw Fault(path + ": " + fault.what());
+    throw CommandError(path + ": " + fault.what());
   }
-  return *access::parse_strictly(text);
+  return *access::parse_strict_json(text);
 }
 
 void write_set(const std::string& path, const json& set) {
   const std::string text = set.dump(2) + "\n";
-  access::KeySet::read(text);
-  write_whole(path, text, 0644);
+  access::KeySet::parse(text);
+  write_file_atomically(path, text, 0644);
 }
 
 std::string private_path(const std::string& folder, const std::string& id) {
@@ -116,7 +117,7 @@
 
 void check_id(const std::string& id) {
   if (!std::regex_match(id, std::regex("[A-Za-z0-9_.-]{1,128}")) || id.front() == '.')
-    throw Fault("kid '" + id + "': only letters, digits, '-', '_' and '.'");
+    throw CommandError("kid '" + id + "': only letters, digits, '-', '_' and '.'");
 }
 
 struct KeyOptions {
@@ -127,15 +128,15 @@
 // A new pair: its private half in a file for the issuer alone, its public half for the set.
 json make(const KeyOptions& options, std::int64_t from) {
   check_id(options.id);
-  const auto algorithm = decide::algorithm_named(options.algorithm);
-  if (!algorithm) throw Fault("--alg '" + options.algorithm + "': one of ES256, RS256, EdDSA");
+  const auto algorithm = decide::parse_algorithm(options.algorithm);
+  if (!algorithm) throw CommandError("--alg '" + options.algorithm + "': one of ES256, RS256, EdDSA");
   const std::string path = private_path(options.folder, options.id);
-  if (fs::exists(path)) throw Fault(path + ": there already; a key is not written over");
-  const auto key = access::new_key(*algorithm);
-  json jwk = access::public_jwk(key.get(), options.id);
+  if (fs::exists(path)) throw CommandError(path + ": there already; a key is not written over");
+  const auto key = access::generate_key(*algorithm);
+  json jwk = access::to_public_jwk(key.get(), options.id);
   if (from > 0) jwk["nbf"] = from;
-  if (options.life) jwk["exp"] = (from > 0 ? from : seconds_now()) + span(*options.life);
-  write_whole(path, access::private_pem(key.get()), 0600);
+  if (options.life) jwk["exp"] = (from > 0 ? from : seconds_now()) + parse_duration_seconds(*options.life);
+  write_file_atomically(path, access::to_private_pem(key.get()), 0600);
   return jwk;
 }
 
@@ -146,7 +147,7 @@
 
 int new_key(const KeyOptions& options) {
   json set = read_set(options.set, true);
-  if (holds(set, options.id)) throw Fault(options.set + ": has a key '" + options.id + "' already");
+  if (holds(set, options.id)) throw CommandError(options.set + ": has a key '" + options.id + "' already");
   set["keys"].push_back(make(options, 0));
   write_set(options.set, set);
   std::cout << private_path(options.folder, options.id) << ": the private key, for who signs tokens alone\n"
@@ -158,8 +159,9 @@
 // that ended are taken out.
 int rotate(const KeyOptions& options) {
   json set = read_set(options.set, false);
-  if (holds(set, options.id)) throw Fault(options.set + ": has a key '" + options.id + "' already");
-  const std::int64_t now = seconds_now(), from = now + span(options.lead), end = from + span(options.overlap);
+  if (holds(set, options.id)) throw CommandError(options.set + ": has a key '" + options.id + "' already");
+  const std::int64_t now = seconds_now(), from = now + parse_duration_seconds(options.lead),
+                     end = from + parse_duration_seconds(options.overlap);
   json kept = json::array();
   for (json key : set["keys"]) {
     if (key.contains("exp") && key["exp"].get<double>() <= static_cast<double>(now)) {
@@ -167,13 +169,14 @@
       continue;
     }
     if (!key.contains("exp") || key["exp"].get<double>() > static_cast<double>(end)) key["exp"] = end;
-    std::cout << key["kid"].get<std::string>() << ": good until " << date(key["exp"].get<double>()) << "\n";
+    std::cout << key["kid"].get<std::string>() << ": good until " << format_utc_time(key["exp"].get<double>())
+              << "\n";
     kept.push_back(std::move(key));
   }
-  kept.push_back(make(options, span(options.lead) > 0 ? from : 0));
+  kept.push_back(make(options, parse_duration_seconds(options.lead) > 0 ? from : 0));
   set["keys"] = std::move(kept);
   write_set(options.set, set);
-  std::cout << options.id << ": sign with it from " << date(static_cast<double>(from)) << " on ("
+  std::cout << options.id << ": sign with it from " << format_utc_time(static_cast<double>(from)) << " on ("
             << private_path(options.folder, options.id) << ")\n";
   return kDone;
 }
@@ -191,8 +194,8 @@
                                                                        : "in force";
     std::cout << std::setw(24) << key["kid"].get<std::string>() << std::setw(8)
               << (key.contains("alg") ? key["alg"].get<std::string>() : "-") << std::setw(12) << state
-              << std::setw(22) << (key.contains("nbf") ? date(at("nbf")) : "-") << std::setw(22)
-              << (key.contains("exp") ? date(at("exp")) : "-") << "\n";
+              << std::setw(22) << (key.contains("nbf") ? format_utc_time(at("nbf")) : "-") << std::setw(22)
+              << (key.contains("exp") ? format_utc_time(at("exp")) : "-") << "\n";
   }
   return kDone;
 }
@@ -203,17 +206,21 @@
 };
 
 int mint(const TokenOptions& options) {
-  const auto key = access::read_private_pem(read_whole(options.key));
+  const auto key = access::parse_private_pem(read_text_file(options.key));
   const std::int64_t now = seconds_now();
-  json claims{{"iss", options.issuer},          {"aud", options.audience}, {"sub", options.subject},
-              {"tenant", options.tenant},       {"roles", options.roles},  {"iat", now},
-              {"exp", now + span(options.life)}};
+  json claims{{"iss", options.issuer},
+              {"aud", options.audience},
+              {"sub", options.subject},
+              {"tenant", options.tenant},
+              {"roles", options.roles},
+              {"iat", now},
+              {"exp", now + parse_duration_seconds(options.life)}};
   if (!options.token_id.empty()) claims["jti"] = options.token_id;
   const json extra = json::parse(options.extra, nullptr, false);
-  if (!extra.is_object()) throw Fault("--claims: not a JSON object");
+  if (!extra.is_object()) throw CommandError("--claims: not a JSON object");
   claims.merge_patch(extra);
   const std::string id = options.id.empty() ? fs::path(options.key).stem().string() : options.id;
-  std::cout << access::mint(key.get(), id, claims) << "\n";
+  std::cout << access::sign_token(key.get(), id, claims) << "\n";
   return kDone;
 }
 
@@ -225,22 +232,23 @@
 }
 
 json decoded(std::string_view part) {
-  const auto bytes = access::from_base64url(part);
-  const auto document = bytes ? access::parse_strictly(*bytes) : std::nullopt;
-  if (!document) throw Fault("no token: its parts are not JSON in base64url");
+  const auto bytes = access::decode_base64url(part);
+  const auto document = bytes ? access::parse_strict_json(*bytes) : std::nullopt;
+  if (!document) throw CommandError("no token: its parts are not JSON in base64url");
   return *document;
 }
 
 int show(const TokenOptions& options) {
   const std::string text = token_text(options);
   const auto first = text.find('.'), second = text.find('.', first == text.npos ? 0 : first + 1);
-  if (first == text.npos || second == text.npos) throw Fault("no token: three parts with dots between them");
+  if (first == text.npos || second == text.npos)
+    throw CommandError("no token: three parts with dots between them");
   std::cout << decoded(std::string_view(text).substr(0, first)).dump(2) << "\n";
   const json claims = decoded(std::string_view(text).substr(first + 1, second - first - 1));
   std::cout << claims.dump(2) << "\n";
   for (const char* name : {"iat", "nbf", "exp"}) {
     if (claims.contains(name) && claims[name].is_number())
-      std::cout << name << ": " << date(claims[name].get<double>()) << "\n";
+      std::cout << name << ": " << format_utc_time(claims[name].get<double>()) << "\n";
   }
   std::cerr << "rookproxyctl: shown as it is; `token check` says whether it is good\n";
   return kDone;
@@ -249,45 +257,49 @@
 // By the rules of a dispatcher's own file.
 int check(const TokenOptions& options) {
   const Config config = load_config(Environment(), options.file);
-  if (!config.access) throw Fault(options.file + ": has no [access]");
-  const auto files = access::read_files(*config.access);
+  if (!config.access) throw CommandError(options.file + ": has no [access]");
+  const auto files = access::load_auth_files(*config.access);
   const std::string text = token_text(options);
-  const auto jwt = access::read_jwt(text, config.access->claims);
-  const Time now = access::credential_now();
+  const auto jwt = access::parse_jwt(text, config.access->claim_names);
+  const Time now = access::wall_clock_now();
   decide::Denial denial = decide::Denial::kMalformed;
   decide::Identity identity;
   if (jwt) {
-    const auto choice = decide::choose_key(jwt->header, files.keys.facts(), now, config.access->rules.leeway);
+    const auto choice =
+        decide::select_key(jwt->header, files.keys.metadata(), now, config.access->token_rules.leeway);
     denial = choice.denial;
     if (denial == decide::Denial::kNone)
-      denial = decide::judge_claims(jwt->claims, config.access->rules, files.revoked, now);
-    if (denial == decide::Denial::kNone && !files.keys.verifies(choice.key, jwt->signed_text, jwt->signature))
-      denial = decide::Denial::kSignature;
+      denial = decide::validate_claims(jwt->claims, config.access->token_rules, files.revocations, now);
+    if (denial == decide::Denial::kNone &&
+        !files.keys.verify(choice.key_index, jwt->signing_input, jwt->signature))
+      denial = decide::Denial::kInvalidSignature;
     if (denial == decide::Denial::kNone) {
-      identity = decide::identity_of(jwt->claims, config.access->rules, files.keys.facts()[choice.key]);
-      denial = decide::judge_identity(config.access->policy, identity, now);
+      identity = decide::identity_from_claims(jwt->claims, config.access->token_rules,
+                                              files.keys.metadata()[choice.key_index]);
+      denial = decide::authorize_identity(config.access->policy, identity, now);
     }
   }
   if (denial != decide::Denial::kNone) {
-    std::cout << "denied: " << decide::denial_word(denial) << ": " << decide::denial_text(denial) << "\n";
+    std::cout << "denied: " << decide::reason_code(denial) << ": " << decide::reason_message(denial) << "\n";
     return kRefused;
   }
   std::cout << "good: " << identity.subject << " of " << identity.tenant << ", until "
-            << date(static_cast<double>(identity.not_after->time_since_epoch().count()) / 1e6) << "\n";
+            << format_utc_time(static_cast<double>(identity.not_after->time_since_epoch().count()) / 1e6)
+            << "\n";
   for (const auto& name : identity.roles) {
-    const auto* role = config.access->policy.role(name);
+    const auto* role = config.access->policy.find_role(name);
     if (!role) continue;
     std::cout << "  " << name << ": ";
     for (const auto& cls : role->classes) std::cout << cls << " ";
-    std::cout << (role->writes ? "(writes)" : "(reads)") << "\n";
+    std::cout << (role->may_write ? "(writes)" : "(reads)") << "\n";
   }
   return kDone;
 }
 
 }  // namespace
 
-void make_key_set(const std::string& set, const std::string& id, const std::string& folder) {
-  if (fs::exists(set)) throw Fault(set + ": there already; a set is not written over");
+void create_key_set(const std::string& set, const std::string& id, const std::string& folder) {
+  if (fs::exists(set)) throw CommandError(set + ": there already; a set is not written over");
   KeyOptions options;
   options.set = set;
   options.id = id;
--- a/src/ctl/keys.h
+++ b/src/ctl/keys.h
@@ -15,10 +15,10 @@
 
 // Written aside, synced and renamed into place with `mode`: a reader sees the former file or the new one.
 // Throws std::runtime_error naming the path.
-void write_whole(const std::string& path, const std::string& text, mode_t mode);
+void write_file_atomically(const std::string& path, const std::string& text, mode_t mode);
 
 // A new JSON Web Key Set at `set` with one ES256 key `id`, its private half in FOLDER/ID.pem (mode 0600).
 // Throws std::runtime_error if either file is there already: nothing is written over.
-void make_key_set(const std::string& set, const std::string& id, const std::string& folder);
+void create_key_set(const std::string& set, const std::string& id, const std::string& folder);
 
 }  // namespace rookproxy
--- a/src/ctl/main.cpp
+++ b/src/ctl/main.cpp
@@ -46,7 +46,7 @@
   std::chrono::seconds timeout{60};
 };
 
-bool wait_for(const rookproxy::Fd& fd, short what, Clock::time_point until) {
+bool wait_for(const rookproxy::FileDescriptor& fd, short what, Clock::time_point until) {
   const auto left = std::chrono::ceil<std::chrono::milliseconds>(until - Clock::now()).count();
   pollfd one{fd.get(), what, 0};
   return left > 0 && ::poll(&one, 1, static_cast<int>(left)) > 0;
@@ -55,7 +55,7 @@
 // One question, one answer; nothing if there is no agent (`late`: or it did not answer in time).
 std::optional<json> ask(const Options& options, const std::string& order, Clock::time_point until,
                         bool& late) {
-  const rookproxy::Fd fd = rookproxy::connect_unix(options.socket);
+  const rookproxy::FileDescriptor fd = rookproxy::connect_unix(options.socket);
   if (!fd) return std::nullopt;
   json question{{"do", order}};
   if (!options.names.empty()) question["names"] = options.names;
@@ -110,8 +110,8 @@
 
 // What an instance says at its operators' address, without the frame round it; nothing if it does not answer.
 std::optional<std::string> figures_of(const std::string& address, Clock::time_point until) {
-  const auto at = rookproxy::parse_endpoint(address);
-  const rookproxy::Fd fd = at ? rookproxy::connect_tcp(*at) : rookproxy::Fd();
+  const auto at = rookproxy::parse_socket_address(address);
+  const rookproxy::FileDescriptor fd = at ? rookproxy::connect_tcp(*at) : rookproxy::FileDescriptor();
   if (!fd || !wait_for(fd, POLLOUT, until)) return std::nullopt;
   rookproxy::send_best_effort(fd, "METRICS\n");
   std::string answer;
--- a/src/decide/access.cpp
+++ b/src/decide/access.cpp
@@ -8,60 +8,62 @@
 namespace rookproxy::decide {
 namespace {
 
-struct Words {
+struct DenialDescription {
   Denial denial;
-  std::string_view word, text;
+  std::string_view code, message;
 };
-constexpr std::array<Words, 26> kWords{{
+constexpr std::array<DenialDescription, 26> kDenialDescriptions{{
     {Denial::kNone, "none", "allowed"},
     {Denial::kNoCredentials, "no_credentials", "no token and no certificate was shown"},
     {Denial::kMalformed, "malformed", "the token can't be read"},
-    {Denial::kAlgorithm, "algorithm", "the token's algorithm is not taken for its key"},
-    {Denial::kCritical, "critical", "the token demands extensions that are not understood here"},
+    {Denial::kAlgorithmNotAccepted, "algorithm", "the token's algorithm is not taken for its key"},
+    {Denial::kCriticalExtension, "critical", "the token demands extensions that are not understood here"},
     {Denial::kUnknownKey, "unknown_key", "the token names no key that is in force"},
-    {Denial::kSignature, "signature", "the token's signature does not verify"},
-    {Denial::kIssuer, "issuer", "the token is of an issuer that is not trusted here"},
-    {Denial::kAudience, "audience", "the token is meant for somebody else"},
+    {Denial::kInvalidSignature, "signature", "the token's signature does not verify"},
+    {Denial::kUntrustedIssuer, "issuer", "the token is of an issuer that is not trusted here"},
+    {Denial::kWrongAudience, "audience", "the token is meant for somebody else"},
     {Denial::kNoExpiry, "no_expiry", "the token names no end"},
-    {Denial::kNotYet, "not_yet", "the token's time has not come"},
+    {Denial::kNotYetValid, "not_yet", "the token's time has not come"},
     {Denial::kExpired, "expired", "the credential has expired: go on with a fresh one"},
     {Denial::kRevoked, "revoked", "the credential was revoked"},
     {Denial::kRevocationUnknown, "revocation_unknown", "nobody can tell whether the credential was revoked"},
     {Denial::kNoSubject, "no_subject", "the credential names nobody"},
     {Denial::kWrongUser, "wrong_user", "the token is another user's"},
-    {Denial::kUntrusted, "untrusted", "the certificate is not trusted here"},
-    {Denial::kUnmapped, "unmapped", "the certificate stands for nobody here"},
-    {Denial::kTenant, "tenant", "the caller's tenant is not known here"},
-    {Denial::kNoRole, "no_role", "the caller has no role that is known here"},
-    {Denial::kClass, "class", "the caller may not ask for this class"},
-    {Denial::kWrite, "write", "the caller may only read"},
-    {Denial::kWriteAsRead, "write_as_read", "the statement does more than read, in a class for reads"},
-    {Denial::kTables, "tables", "the statement's tables can't be made out"},
-    {Denial::kSchema, "schema", "the statement names data that is not the caller's"},
+    {Denial::kUntrustedCertificate, "untrusted", "the certificate is not trusted here"},
+    {Denial::kUnmappedIdentity, "unmapped", "the certificate stands for nobody here"},
+    {Denial::kUnknownTenant, "tenant", "the caller's tenant is not known here"},
+    {Denial::kNoKnownRole, "no_role", "the caller has no role that is known here"},
+    {Denial::kClassNotAllowed, "class", "the caller may not ask for this class"},
+    {Denial::kWriteNotAllowed, "write", "the caller may only read"},
+    {Denial::kWriteInReadClass, "write_as_read", "the statement does more than read, in a class for reads"},
+    {Denial::kUnresolvedTables, "tables", "the statement's tables can't be made out"},
+    {Denial::kSchemaNotAllowed, "schema", "the statement names data that is not the caller's"},
     {Denial::kBusy, "busy", "too many credentials wait to be checked"},
 }};
 
-constexpr bool in_order() {
-  for (std::size_t i = 0; i < kWords.size(); ++i) {
-    if (static_cast<std::size_t>(kWords[i].denial) != i) return false;
+constexpr bool descriptions_are_in_order() {
+  for (std::size_t i = 0; i < kDenialDescriptions.size(); ++i) {
+    if (static_cast<std::size_t>(kDenialDescriptions[i].denial) != i) return false;
   }
   return true;
 }
-static_assert(in_order(), "one row for each denial, in their order");
+static_assert(descriptions_are_in_order(), "one row for each denial, in their order");
 
-const Words& words_of(Denial denial) { return kWords[static_cast<std::size_t>(denial)]; }
+const DenialDescription& describe(Denial denial) {
+  return kDenialDescriptions[static_cast<std::size_t>(denial)];
+}
 
-bool allows(const Role& role, std::string_view class_name) {
+bool allows_class(const Role& role, std::string_view class_name) {
   return std::any_of(role.classes.begin(), role.classes.end(),
                      [&](const std::string& name) { return name == "*" || name == class_name; });
 }
 
 }  // namespace
 
-std::string_view denial_word(Denial denial) { return words_of(denial).word; }
-std::string_view denial_text(Denial denial) { return words_of(denial).text; }
+std::string_view reason_code(Denial denial) { return describe(denial).code; }
+std::string_view reason_message(Denial denial) { return describe(denial).message; }
 
-bool Tenant::owns(std::string_view schema) const {
+bool Tenant::owns_schema(std::string_view schema) const {
   if (schema.empty()) return false;
   bool by_prefix = false;
   for (const std::string& rule : schemas) {
@@ -81,57 +83,59 @@
          });
 }
 
-const Role* Policy::role(std::string_view name) const {
+const Role* AccessPolicy::find_role(std::string_view name) const {
   const auto found = std::find_if(roles.begin(), roles.end(), [&](const Role& r) { return r.name == name; });
   return found == roles.end() ? nullptr : &*found;
 }
 
-const Tenant* Policy::tenant(std::string_view name) const {
+const Tenant* AccessPolicy::find_tenant(std::string_view name) const {
   const auto found =
       std::find_if(tenants.begin(), tenants.end(), [&](const Tenant& t) { return t.name == name; });
   return found == tenants.end() ? nullptr : &*found;
 }
 
-Denial judge_identity(const Policy& policy, const Identity& identity, Time now) {
-  if (identity.by == Credential::kNone) return Denial::kNoCredentials;
+Denial authorize_identity(const AccessPolicy& policy, const Identity& identity, Time now) {
+  if (identity.credential_kind == CredentialKind::kNone) return Denial::kNoCredentials;
   if (identity.subject.empty()) return Denial::kNoSubject;
   if (identity.not_after && now >= *identity.not_after) return Denial::kExpired;
-  if (identity.known_until && now >= *identity.known_until) return Denial::kRevocationUnknown;
-  if (!policy.tenant(identity.tenant)) return Denial::kTenant;
+  if (identity.revocation_known_until && now >= *identity.revocation_known_until)
+    return Denial::kRevocationUnknown;
+  if (!policy.find_tenant(identity.tenant)) return Denial::kUnknownTenant;
   const bool any = std::any_of(identity.roles.begin(), identity.roles.end(),
-                               [&](const std::string& name) { return policy.role(name) != nullptr; });
-  return any ? Denial::kNone : Denial::kNoRole;
+                               [&](const std::string& name) { return policy.find_role(name) != nullptr; });
+  return any ? Denial::kNone : Denial::kNoKnownRole;
 }
 
-Denial judge_ask(const Policy& policy, const Identity& identity, const Ask& ask, Time now,
+Denial authorize(const AccessPolicy& policy, const Identity& identity, const AccessRequest& ask, Time now,
                  std::string* schema) {
-  if (const Denial denial = judge_identity(policy, identity, now); denial != Denial::kNone) return denial;
+  if (const Denial denial = authorize_identity(policy, identity, now); denial != Denial::kNone) return denial;
   // One role must allow the whole of it: a student who also writes elsewhere gains no writes in lookups.
   bool class_allowed = false, write_allowed = false;
-  const bool writes = ask.facts->effect == StatementEffect::kWrites;
+  const bool writes = ask.statement->effect == StatementEffect::kWrites;
   for (const std::string& name : identity.roles) {
-    const Role* role = policy.role(name);
-    if (!role || !allows(*role, ask.class_name)) continue;
+    const Role* role = policy.find_role(name);
+    if (!role || !allows_class(*role, ask.class_name)) continue;
     class_allowed = true;
-    write_allowed = write_allowed || role->writes;
+    write_allowed = write_allowed || role->may_write;
   }
-  if (!class_allowed) return Denial::kClass;
-  if (writes && !ask.class_may_write) return Denial::kWriteAsRead;
-  if (writes && !write_allowed) return Denial::kWrite;
-  if (!ask.facts->tables_known) return Denial::kTables;
-  const Tenant& tenant = *policy.tenant(identity.tenant);
-  for (const std::string& name : ask.facts->schemas) {
-    if (tenant.owns(name)) continue;
-    if (name.empty()) return Denial::kTables;
+  if (!class_allowed) return Denial::kClassNotAllowed;
+  if (writes && !ask.class_may_write) return Denial::kWriteInReadClass;
+  if (writes && !write_allowed) return Denial::kWriteNotAllowed;
+  if (!ask.statement->tables_resolved) return Denial::kUnresolvedTables;
+  const Tenant& tenant = *policy.find_tenant(identity.tenant);
+  for (const std::string& name : ask.statement->schemas) {
+    if (tenant.owns_schema(name)) continue;
+    if (name.empty()) return Denial::kUnresolvedTables;
     if (schema) *schema = name;
-    return Denial::kSchema;
+    return Denial::kSchemaNotAllowed;
   }
   return Denial::kNone;
 }
 
-Denial judge_schema(const Policy& policy, const Identity& identity, std::string_view schema, Time now) {
-  if (const Denial denial = judge_identity(policy, identity, now); denial != Denial::kNone) return denial;
-  return policy.tenant(identity.tenant)->owns(schema) ? Denial::kNone : Denial::kSchema;
+Denial authorize_schema(const AccessPolicy& policy, const Identity& identity, std::string_view schema,
+                        Time now) {
+  if (const Denial denial = authorize_identity(policy, identity, now); denial != Denial::kNone) return denial;
+  return policy.find_tenant(identity.tenant)->owns_schema(schema) ? Denial::kNone : Denial::kSchemaNotAllowed;
 }
 
 }  // namespace rookproxy::decide
--- a/src/decide/directory_path.cpp
+++ b/src/decide/directory_path.cpp
@@ -5,34 +5,35 @@
 
 namespace rookproxy::decide {
 
-DirectoryPath::News DirectoryPath::tell(News news) {
-  return std::exchange(told_, news) == news ? News::kNone : news;
+DiscoveryPath::Event DiscoveryPath::report_fault(Event news) {
+  return std::exchange(reported_fault_, news) == news ? Event::kNone : news;
 }
 
-void DirectoryPath::opened() {
-  patience_ = std::min(2 * patience_, kMostPatience);
-  unanswered_ = 0;
-  ++fresh_;
+void DiscoveryPath::on_socket_opened() {
+  new_socket_threshold_ = std::min(2 * new_socket_threshold_, kMaxThreshold);
+  unanswered_on_socket_ = 0;
+  ++sockets_opened_;
 }
 
-DirectoryPath::News DirectoryPath::asked() {
-  const bool silent = on_all_ >= kSilent;
-  ++unanswered_;
-  ++on_all_;
+DiscoveryPath::Event DiscoveryPath::on_poll_sent() {
+  const bool silent = unanswered_on_all_sockets_ >= kServerUnresponsiveThreshold;
+  ++unanswered_on_socket_;
+  ++unanswered_on_all_sockets_;
   // A refusal says more than silence.
-  return silent && told_ != News::kRefused ? tell(News::kServerSilent) : News::kNone;
+  return silent && reported_fault_ != Event::kConnectionRefused ? report_fault(Event::kServerUnresponsive)
+                                                                : Event::kNone;
 }
 
-DirectoryPath::News DirectoryPath::answered(bool first, bool whole) {
+DiscoveryPath::Event DiscoveryPath::on_response(bool first, bool whole) {
   // The one fresh socket's first question: the server was there, the former socket's path was not.
-  const bool path = whole && first && fresh_ == 1 && told_ == News::kNone;
-  patience_ = kFirstPatience;
-  unanswered_ = on_all_ = fresh_ = 0;
-  if (!whole) return tell(News::kSpoilt);
-  if (path) return News::kPathSilent;
-  return std::exchange(told_, News::kNone) == News::kNone ? News::kNone : News::kHeardAgain;
+  const bool path = whole && first && sockets_opened_ == 1 && reported_fault_ == Event::kNone;
+  new_socket_threshold_ = kInitialThreshold;
+  unanswered_on_socket_ = unanswered_on_all_sockets_ = sockets_opened_ = 0;
+  if (!whole) return report_fault(Event::kMalformedResponse);
+  if (path) return Event::kPathUnresponsive;
+  return std::exchange(reported_fault_, Event::kNone) == Event::kNone ? Event::kNone : Event::kRecovered;
 }
 
-DirectoryPath::News DirectoryPath::refused() { return tell(News::kRefused); }
+DiscoveryPath::Event DiscoveryPath::on_refused() { return report_fault(Event::kConnectionRefused); }
 
 }  // namespace rookproxy::decide
--- a/src/decide/directory_path.h
+++ b/src/decide/directory_path.h
@@ -11,37 +11,44 @@
 
 namespace rookproxy::decide {
 
-class DirectoryPath {
+class DiscoveryPath {
  public:
   // What an operator is told, once for each change.
-  enum class News { kNone, kServerSilent, kRefused, kSpoilt, kPathSilent, kHeardAgain };
+  enum class Event {
+    kNone,
+    kServerUnresponsive,
+    kConnectionRefused,
+    kMalformedResponse,
+    kPathUnresponsive,
+    kRecovered
+  };
 
   // Is the next question to go from a fresh socket? Once so many on the present one went unanswered, and
   // twice as many each further time: a server that answers, but late, must find the socket still open.
-  bool wants_fresh() const { return unanswered_ >= patience_; }
+  bool needs_new_socket() const { return unanswered_on_socket_ >= new_socket_threshold_; }
   // A fresh socket was had, and the present one is the former now.
-  void opened();
+  void on_socket_opened();
   // A question goes out on the present socket.
-  News asked();
+  Event on_poll_sent();
   // An answer to a question of ours came, whole (its list may be used) or not; `first`: to the first that was
   // asked on its socket.
-  News answered(bool first, bool whole);
+  Event on_response(bool first, bool whole);
   // Nobody listens there: the path brought that back, so it is not silent.
-  News refused();
+  Event on_refused();
 
  private:
   // One answer lost is nothing unusual; two in a row are looked into.
-  static constexpr std::size_t kFirstPatience = 2, kMostPatience = 32;
+  static constexpr std::size_t kInitialThreshold = 2, kMaxThreshold = 32;
   // All questions of the first socket and of a fresh one: it is not the path of one. So many also where no
   // fresh socket is to be had.
-  static constexpr std::size_t kSilent = 3 * kFirstPatience;
-  News tell(News news);
+  static constexpr std::size_t kServerUnresponsiveThreshold = 3 * kInitialThreshold;
+  Event report_fault(Event news);
 
-  std::size_t patience_ = kFirstPatience;
-  std::size_t unanswered_ = 0;  // on the present socket, since an answer came on any
-  std::size_t on_all_ = 0;      // on all sockets
-  std::size_t fresh_ = 0;       // sockets opened since then
-  News told_ = News::kNone;     // the fault an operator knows of; none: all is well
+  std::size_t new_socket_threshold_ = kInitialThreshold;
+  std::size_t unanswered_on_socket_ = 0;       // on the present socket, since an answer came on any
+  std::size_t unanswered_on_all_sockets_ = 0;  // on all sockets
+  std::size_t sockets_opened_ = 0;             // sockets opened since then
+  Event reported_fault_ = Event::kNone;        // the fault an operator knows of; none: all is well
 };
 
 }  // namespace rookproxy::decide
--- a/src/decide/drains.cpp
+++ b/src/decide/drains.cpp
@@ -5,12 +5,12 @@
 namespace rookproxy::decide {
 namespace {
 // A busy turn of the loop and a timer that fires late.
-constexpr Duration kTurn = std::chrono::milliseconds(30);
+constexpr Duration kIterationDelay = std::chrono::milliseconds(30);
 }  // namespace
 
-Duration drain_margin(Duration longest_pause) { return longest_pause + kTurn; }
+Duration drain_margin(Duration longest_pause) { return longest_pause + kIterationDelay; }
 
-Time last_send(Time told, Duration grace, Duration margin) {
+Time latest_drain_start(Time told, Duration grace, Duration margin) {
   return told + std::max(Duration(0), grace - margin);
 }
 
--- a/src/decide/drains.h
+++ b/src/decide/drains.h
@@ -16,6 +16,6 @@
 
 // The last moment, of a grace that began when we were told. Never before that: a grace shorter than the
 // margin means that nothing more is sent.
-Time last_send(Time told, Duration grace, Duration margin);
+Time latest_drain_start(Time told, Duration grace, Duration margin);
 
 }  // namespace rookproxy::decide
