--- a/src/decide/fleet/agreement.cpp
+++ b/src/decide/fleet/agreement.cpp
@@ -11,12 +11,12 @@
 
 namespace {
 
-constexpr Duration kCatchUp(100'000);                // between two questions of who has fallen behind
-constexpr std::uint32_t kMostRound = 1'000'000'000;  // beyond it a ballot is no honest one
+constexpr Duration kCatchUpInterval(100'000);       // between two questions of who has fallen behind
+constexpr std::uint32_t kMaxRound = 1'000'000'000;  // beyond it a ballot is no honest one
 constexpr Duration kNever = Duration::max() / 4;
 
-bool fits(const FleetPlan& plan) {
-  return plan.zones.size() <= kMostZones && plan.retirements.size() <= kMostRetirements;
+bool is_within_limits(const ClusterConfig& plan) {
+  return plan.zones.size() <= kMaxZones && plan.retirements.size() <= kMaxRetirements;
 }
 
 void put(std::string& out, std::uint64_t value) {
@@ -25,7 +25,7 @@
     value /= 128;
   } while (value != 0);
 }
-void put(std::string& out, const FleetPlan& plan) {
+void put(std::string& out, const ClusterConfig& plan) {
   put(out, plan.epoch);
   put(out, plan.fingerprint);
   put(out, plan.zones.size());
@@ -64,65 +64,75 @@
 
 }  // namespace
 
-Agreement::Agreement(const Settings& settings, FleetPlan settings_plan, Time now)
-    : settings_(settings), seen_(now), plan_(std::move(settings_plan)) {
-  settings_.members = std::clamp<std::size_t>(settings_.members, 1, kMostMembers);
+Consensus::Consensus(const Settings& settings, ClusterConfig settings_plan, Time now)
+    : settings_(settings), last_event_time_(now), plan_(std::move(settings_plan)) {
+  settings_.member_count = std::clamp<std::size_t>(settings_.member_count, 1, kMaxMembers);
   plan_.epoch = 0;
-  number_ = static_cast<std::uint32_t>(
-      XXH3_64bits_withSeed(&settings_.life, sizeof settings_.life, settings_.self));
-  rank_ = settings_.self;
-  alive_ = settings_.members;
-  asked_.resize(settings_.members);
-  knows_ = !settings_.wait_after_restart;
+  query_number_ = static_cast<std::uint32_t>(XXH3_64bits_withSeed(
+      &settings_.process_incarnation, sizeof settings_.process_incarnation, settings_.self));
+  renewal_rank_ = settings_.self;
+  alive_count_ = settings_.member_count;
+  received_queries_.resize(settings_.member_count);
+  recovered_ = !settings_.recover_after_restart;
   // A fleet that starts at one moment does not ask in step.
-  ask_at_ =
-      Duration(static_cast<Duration::rep>(draw(static_cast<std::uint64_t>(settings_.ask_every.count()) + 1)));
+  next_query_at_ = Duration(static_cast<Duration::rep>(
+      random_below(static_cast<std::uint64_t>(settings_.recovery_query_interval.count()) + 1)));
 }
 
-std::uint64_t Agreement::draw(std::uint64_t below) {
+std::uint64_t Consensus::random_below(std::uint64_t below) {
   if (below <= 1) return 0;
-  ++draws_;
-  return XXH3_64bits_withSeed(&draws_, sizeof draws_, settings_.seed ^ settings_.life) % below;
+  ++random_draws_;
+  return XXH3_64bits_withSeed(&random_draws_, sizeof random_draws_,
+                              settings_.seed ^ settings_.process_incarnation) %
+         below;
 }
-Duration Agreement::half_to_whole(Duration span) {
+Duration Consensus::with_jitter(Duration span) {
   const auto half = span.count() / 2;
   return Duration(span.count() - half +
-                  static_cast<Duration::rep>(draw(static_cast<std::uint64_t>(half) + 1)));
+                  static_cast<Duration::rep>(random_below(static_cast<std::uint64_t>(half) + 1)));
 }
 
-Agreement::Since Agreement::since(Time now) const { return now_ + std::max(Duration(0), now - seen_); }
+Consensus::Elapsed Consensus::elapsed_at(Time now) const {
+  return elapsed_ + std::max(Duration(0), now - last_event_time_);
+}
 
-void Agreement::move_clock(Time now) {
-  if (now < seen_) {
+void Consensus::advance_clock(Time now) {
+  if (now < last_event_time_) {
     // How long it really was nobody knows: what counts on a span is over.
-    lease_ = majority_ = now_;
-    asked_.assign(settings_.members, {});
-    if (question_ && question_->renews) question_.reset();
+    lease_expires_at_ = quorum_expires_at_ = elapsed_;
+    received_queries_.assign(settings_.member_count, {});
+    if (pending_query_ && pending_query_->renews_lease) pending_query_.reset();
   }
-  now_ = since(now);
-  seen_ = now;
+  elapsed_ = elapsed_at(now);
+  last_event_time_ = now;
 }
 
-bool Agreement::lease_holds(Time now) const { return now >= seen_ && since(now) < lease_; }
-bool Agreement::in_majority(Time now) const { return now >= seen_ && since(now) < majority_; }
+bool Consensus::lease_holds(Time now) const {
+  return now >= last_event_time_ && elapsed_at(now) < lease_expires_at_;
+}
+bool Consensus::has_quorum(Time now) const {
+  return now >= last_event_time_ && elapsed_at(now) < quorum_expires_at_;
+}
 
-void Agreement::to_all(const Body& body, std::vector<Outgoing>& out) const {
-  out.reserve(out.size() + settings_.members);
-  for (std::size_t i = 0; i < settings_.members; ++i) {
+void Consensus::broadcast(const MessageBody& body, std::vector<OutgoingMessage>& out) const {
+  out.reserve(out.size() + settings_.member_count);
+  for (std::size_t i = 0; i < settings_.member_count; ++i) {
     if (i != settings_.self) out.push_back({static_cast<MemberId>(i), body});
   }
 }
 
-std::vector<Outgoing> Agreement::receive(Time now, MemberId from, Incarnation incarnation, const Body& body) {
-  std::vector<Outgoing> out;
-  move_clock(now);
-  advance(out);  // first what has run out: a process that was stopped finds old messages
-  if (from >= settings_.members || from == settings_.self) return out;
-  sender_ = incarnation;
+std::vector<OutgoingMessage> Consensus::receive(Time now, MemberId from, Incarnation incarnation,
+                                                const MessageBody& body) {
+  std::vector<OutgoingMessage> out;
+  advance_clock(now);
+  run_timers(out);  // first what has run out: a process that was stopped finds old messages
+  if (from >= settings_.member_count || from == settings_.self) return out;
+  sender_incarnation_ = incarnation;
   std::visit(
       [&](const auto& message) {
         using T = std::decay_t<decltype(message)>;
-        if constexpr (!std::is_same_v<T, Ping> && !std::is_same_v<T, PingFor> && !std::is_same_v<T, Ack>) {
+        if constexpr (!std::is_same_v<T, Ping> && !std::is_same_v<T, PingRequest> &&
+                      !std::is_same_v<T, Ack>) {
           on(from, message, out);
         }
       },
@@ -130,428 +140,441 @@
   return out;
 }
 
-std::vector<Outgoing> Agreement::on_time(Time now) {
-  std::vector<Outgoing> out;
-  move_clock(now);
-  advance(out);
+std::vector<OutgoingMessage> Consensus::on_timer(Time now) {
+  std::vector<OutgoingMessage> out;
+  advance_clock(now);
+  run_timers(out);
   return out;
 }
 
-void Agreement::advance(std::vector<Outgoing>& out) {
-  if (!lease_counted_ && now_ >= lease_) {
-    ++figures_.leases_run_out;
-    lease_counted_ = true;
+void Consensus::run_timers(std::vector<OutgoingMessage>& out) {
+  if (!lease_expiry_counted_ && elapsed_ >= lease_expires_at_) {
+    ++metrics_.leases_expired;
+    lease_expiry_counted_ = true;
   }
-  if (question_ && question_->renews && now_ >= question_->at + settings_.ask_span) end_question();
-  if (round_ && now_ >= round_->until) end_round(false);
-  if ((wanted_ || closing_) && now_ >= wanted_until_) {
-    if (round_) end_round(false);
-    if (wanted_) proposal_ = Proposal::kNoMajority;
-    wanted_.reset();
+  if (pending_query_ && pending_query_->renews_lease &&
+      elapsed_ >= pending_query_->sent_at + settings_.query_timeout)
+    finish_query();
+  if (round_ && elapsed_ >= round_->deadline) finish_proposal(false);
+  if ((requested_plan_ || closing_) && elapsed_ >= request_deadline_) {
+    if (round_) finish_proposal(false);
+    if (requested_plan_) proposal_state_ = ProposalState::kNoMajority;
+    requested_plan_.reset();
     closing_ = false;
   }
-  if (lost_ && now_ >= *lost_ + settings_.cold_wait) {
-    ++figures_.founded;
-    begin_to_vote(plan_.epoch);
+  if (quorum_lost_at_ && elapsed_ >= *quorum_lost_at_ + settings_.bootstrap_delay) {
+    ++metrics_.bootstraps;
+    start_voting(plan_.epoch);
   }
   if (retired_) return;
-  if (!votes()) {
-    if (now_ >= ask_at_) ask(false, out);
+  if (!is_voting()) {
+    if (elapsed_ >= next_query_at_) send_query(false, out);
   } else {
-    if ((wanted_ || closing_) && !round_ && now_ >= retry_) begin_round(out);
-    if (!question_ && now_ >= renew_at()) ask(true, out);
+    if ((requested_plan_ || closing_) && !round_ && elapsed_ >= retry_at_) start_proposal(out);
+    if (!pending_query_ && elapsed_ >= next_renewal_at()) send_query(true, out);
   }
 }
 
-Time Agreement::due() const {
-  Since at = kNever;
-  const auto when = [&](bool it_is, Since then) {
+Time Consensus::next_due() const {
+  Elapsed at = kNever;
+  const auto when = [&](bool it_is, Elapsed then) {
     if (it_is) at = std::min(at, then);
   };
-  when(!lease_counted_, lease_);
-  if (question_) when(question_->renews, question_->at + settings_.ask_span);
-  if (round_) when(true, round_->until);
-  when(wanted_ || closing_, wanted_until_);
-  if (lost_) when(true, *lost_ + settings_.cold_wait);
+  when(!lease_expiry_counted_, lease_expires_at_);
+  if (pending_query_) when(pending_query_->renews_lease, pending_query_->sent_at + settings_.query_timeout);
+  if (round_) when(true, round_->deadline);
+  when(requested_plan_ || closing_, request_deadline_);
+  if (quorum_lost_at_) when(true, *quorum_lost_at_ + settings_.bootstrap_delay);
   if (!retired_) {
-    when(!votes(), ask_at_);
-    when(votes() && (wanted_ || closing_) && !round_, retry_);
-    when(votes() && !question_, renew_at());
+    when(!is_voting(), next_query_at_);
+    when(is_voting() && (requested_plan_ || closing_) && !round_, retry_at_);
+    when(is_voting() && !pending_query_, next_renewal_at());
   }
-  return seen_ + std::max(Duration(0), at - now_);
+  return last_event_time_ + std::max(Duration(0), at - elapsed_);
 }
 
-void Agreement::set_hint(const std::vector<MemberId>& alive) {
-  rank_ = 0;
-  alive_ = 1;
+void Consensus::set_alive_members(const std::vector<MemberId>& alive) {
+  renewal_rank_ = 0;
+  alive_count_ = 1;
   for (const auto member : alive) {
-    if (member == settings_.self || member >= settings_.members) continue;
-    ++alive_;
-    if (member < settings_.self) ++rank_;
+    if (member == settings_.self || member >= settings_.member_count) continue;
+    ++alive_count_;
+    if (member < settings_.self) ++renewal_rank_;
   }
 }
 
 // ---- proposing --------------------------------------------------------------------------------------------
 
-ProposeAnswer Agreement::propose(Time now, const FleetPlan& next_plan, std::vector<Outgoing>& out) {
-  move_clock(now);
-  advance(out);
-  if (!votes()) return ProposeAnswer::kNotVoting;
-  if (wanted_) return ProposeAnswer::kBusy;
-  if (next_plan.epoch != next()) return ProposeAnswer::kWrongEpoch;
-  if (!fits(next_plan)) return ProposeAnswer::kTooLarge;
-  wanted_ = next_plan;
-  wanted_until_ = now_ + settings_.propose_span;
-  proposal_ = Proposal::kOpen;
-  retry_ = std::max(retry_, learned_ + settings_.epoch_span);
-  advance(out);
-  return ProposeAnswer::kTaken;
-}
-
-void Agreement::begin_round(std::vector<Outgoing>& out) {
-  if (highest_round_ >= kMostRound) {  // no honest fleet gets there
-    retry_ = now_ + settings_.most_backoff;
+ProposeResult Consensus::propose(Time now, const ClusterConfig& next_plan,
+                                 std::vector<OutgoingMessage>& out) {
+  advance_clock(now);
+  run_timers(out);
+  if (!is_voting()) return ProposeResult::kNotVoting;
+  if (requested_plan_) return ProposeResult::kBusy;
+  if (next_plan.epoch != next_epoch()) return ProposeResult::kWrongEpoch;
+  if (!is_within_limits(next_plan)) return ProposeResult::kTooLarge;
+  requested_plan_ = next_plan;
+  request_deadline_ = elapsed_ + settings_.request_timeout;
+  proposal_state_ = ProposalState::kInProgress;
+  retry_at_ = std::max(retry_at_, learned_at_ + settings_.min_epoch_interval);
+  run_timers(out);
+  return ProposeResult::kStarted;
+}
+
+void Consensus::start_proposal(std::vector<OutgoingMessage>& out) {
+  if (highest_round_ >= kMaxRound) {  // no honest fleet gets there
+    retry_at_ = elapsed_ + settings_.max_backoff;
     return;
   }
-  ++figures_.rounds_begun;
-  Round round;
+  ++metrics_.proposals_started;
+  ProposalRound round;
   round.ballot = {++highest_round_, settings_.self};
-  round.until = now_ + settings_.round_span;
+  round.deadline = elapsed_ + settings_.proposal_timeout;
   round_ = std::move(round);
   // Its own vote comes first: so no later life of this member uses this ballot.
-  promised_ = round_->ballot;
-  voted_ = next();
-  to_all(Prepare{next(), round_->ballot}, out);
-  promised_to_us(settings_.self, accepted_, accepted_plan_, out);
+  promised_ballot_ = round_->ballot;
+  highest_voted_epoch_ = next_epoch();
+  broadcast(Prepare{next_epoch(), round_->ballot}, out);
+  record_promise(settings_.self, accepted_ballot_, accepted_plan_, out);
 }
 
-void Agreement::end_round(bool won) {
-  ++(won ? figures_.rounds_won : figures_.rounds_lost);
+void Consensus::finish_proposal(bool won) {
+  ++(won ? metrics_.proposals_succeeded : metrics_.proposals_failed);
   round_.reset();
   if (won) return;
-  const auto most = settings_.most_backoff;
-  auto pause = settings_.backoff;
-  for (int i = 0; i < failures_ && pause < most; ++i) pause *= 2;
-  if (pause < most) ++failures_;
-  retry_ = now_ + half_to_whole(std::min(pause, most));
+  const auto most = settings_.max_backoff;
+  auto pause = settings_.initial_backoff;
+  for (int i = 0; i < failed_rounds_ && pause < most; ++i) pause *= 2;
+  if (pause < most) ++failed_rounds_;
+  retry_at_ = elapsed_ + with_jitter(std::min(pause, most));
 }
 
 // Votes for another's ballot: it can't for its own, lower one any more, and leaves the other the time it
 // needs.
-void Agreement::give_way() {
-  if (round_) end_round(false);
-  if (wanted_ || closing_) retry_ = std::max(retry_, now_ + half_to_whole(settings_.round_span));
+void Consensus::yield_to_higher_ballot() {
+  if (round_) finish_proposal(false);
+  if (requested_plan_ || closing_)
+    retry_at_ = std::max(retry_at_, elapsed_ + with_jitter(settings_.proposal_timeout));
 }
 
-void Agreement::promised_to_us(MemberId from, const std::optional<Ballot>& best,
-                               const std::optional<FleetPlan>& plan, std::vector<Outgoing>& out) {
-  round_->yes.set(from);
-  if (best && plan && (!round_->best || *round_->best < *best)) {
-    round_->best = best;
-    round_->best_plan = plan;
+void Consensus::record_promise(MemberId from, const std::optional<Ballot>& best,
+                               const std::optional<ClusterConfig>& plan, std::vector<OutgoingMessage>& out) {
+  round_->granted.set(from);
+  if (best && plan && (!round_->highest_accepted_ballot || *round_->highest_accepted_ballot < *best)) {
+    round_->highest_accepted_ballot = best;
+    round_->highest_accepted_plan = plan;
   }
-  if (round_->yes.count() < majority()) return;
+  if (round_->granted.count() < majority()) return;
   round_->accepting = true;
-  round_->yes.reset();
-  round_->no.reset();
-  if (round_->best_plan) {
-    round_->value = *round_->best_plan;
-  } else if (wanted_) {
-    round_->value = *wanted_;
+  round_->granted.reset();
+  round_->rejected.reset();
+  if (round_->highest_accepted_plan) {
+    round_->value = *round_->highest_accepted_plan;
+  } else if (requested_plan_) {
+    round_->value = *requested_plan_;
   } else {
     round_->value = plan_;  // closes the instance with the same plan
-    round_->value.epoch = next();
+    round_->value.epoch = next_epoch();
   }
-  to_all(Accept{round_->ballot, round_->value}, out);
-  accepted_ = round_->ballot;
+  broadcast(Accept{round_->ballot, round_->value}, out);
+  accepted_ballot_ = round_->ballot;
   accepted_plan_ = round_->value;
-  accepted_of_us(settings_.self, out);
+  record_acceptance(settings_.self, out);
 }
 
-void Agreement::accepted_of_us(MemberId from, std::vector<Outgoing>& out) {
-  round_->yes.set(from);
-  if (round_->yes.count() < majority()) return;
-  const FleetPlan plan = round_->value;
-  end_round(true);
-  ++figures_.chosen;
-  learn(plan);
-  to_all(Chosen{plan}, out);
+void Consensus::record_acceptance(MemberId from, std::vector<OutgoingMessage>& out) {
+  round_->granted.set(from);
+  if (round_->granted.count() < majority()) return;
+  const ClusterConfig plan = round_->value;
+  finish_proposal(true);
+  ++metrics_.chosen;
+  learn_plan(plan);
+  broadcast(Chosen{plan}, out);
 }
 
-void Agreement::learn(const FleetPlan& plan) {
-  if (round_) end_round(false);
-  const bool voted_before = votes();
-  ++figures_.epochs;
+void Consensus::learn_plan(const ClusterConfig& plan) {
+  if (round_) finish_proposal(false);
+  const bool voted_before = is_voting();
+  ++metrics_.plans_learned;
   plan_ = plan;
-  learned_ = now_;
-  promised_.reset();
-  accepted_.reset();
+  learned_at_ = elapsed_;
+  promised_ballot_.reset();
+  accepted_ballot_.reset();
   accepted_plan_.reset();
   highest_round_ = 0;
-  failures_ = 0;
-  retry_ = now_ + settings_.epoch_span;
+  failed_rounds_ = 0;
+  retry_at_ = elapsed_ + settings_.min_epoch_interval;
   closing_ = false;
-  open_since_.reset();
-  if (wanted_) {
-    proposal_ = *wanted_ == plan_ ? Proposal::kChosen : Proposal::kSuperseded;
-    wanted_.reset();
+  instance_open_since_.reset();
+  if (requested_plan_) {
+    proposal_state_ = *requested_plan_ == plan_ ? ProposalState::kChosen : ProposalState::kSuperseded;
+    requested_plan_.reset();
   }
   // What others said of the epoch before is of no use. A lease stays: it says that a majority held no newer
   // plan than the one known here, which is all the truer now.
-  before_.clear();
-  silent_.clear();
-  lost_.reset();
-  if (question_ && question_->renews) {
-    question_.reset();
-    renew_from_ = now_ - static_cast<int>(rank_) * settings_.takeover_pause;
+  previous_non_voting_.clear();
+  current_non_voting_.clear();
+  quorum_lost_at_.reset();
+  if (pending_query_ && pending_query_->renews_lease) {
+    pending_query_.reset();
+    renewal_base_ = elapsed_ - static_cast<int>(renewal_rank_) * settings_.takeover_delay;
   }
-  if (!voted_before && votes()) votes_again();
+  if (!voted_before && is_voting()) on_voting_resumed();
 }
 
 // ---- messages of rounds -----------------------------------------------------------------------------------
 
-void Agreement::on(MemberId from, const Prepare& message, std::vector<Outgoing>& out) {
-  if (message.ballot.member != from || message.ballot.round > kMostRound) return;
+void Consensus::on(MemberId from, const Prepare& message, std::vector<OutgoingMessage>& out) {
+  if (message.ballot.member != from || message.ballot.round > kMaxRound) return;
   if (message.epoch <= plan_.epoch) return out.push_back({from, Chosen{plan_}});
-  if (message.epoch > next()) return catch_up(from, out);
+  if (message.epoch > next_epoch()) return request_newer_plan(from, out);
   if (!may_vote(message.epoch)) {
-    ++figures_.votes_withheld;
+    ++metrics_.votes_withheld;
     return;
   }
   highest_round_ = std::max(highest_round_, message.ballot.round);
-  if (promised_ && message.ballot < *promised_)
-    return out.push_back({from, Refusal{message.epoch, *promised_}});
-  give_way();
-  promised_ = message.ballot;
-  voted_ = message.epoch;
-  out.push_back({from, Promise{message.epoch, message.ballot, accepted_, accepted_plan_}});
+  if (promised_ballot_ && message.ballot < *promised_ballot_)
+    return out.push_back({from, Nack{message.epoch, *promised_ballot_}});
+  yield_to_higher_ballot();
+  promised_ballot_ = message.ballot;
+  highest_voted_epoch_ = message.epoch;
+  out.push_back({from, Promise{message.epoch, message.ballot, accepted_ballot_, accepted_plan_}});
 }
 
-void Agreement::on(MemberId from, const Accept& message, std::vector<Outgoing>& out) {
+void Consensus::on(MemberId from, const Accept& message, std::vector<OutgoingMessage>& out) {
   const auto epoch = message.plan.epoch;
-  if (message.ballot.member != from || message.ballot.round > kMostRound || !fits(message.plan)) return;
+  if (message.ballot.member != from || message.ballot.round > kMaxRound || !is_within_limits(message.plan))
+    return;
   if (epoch <= plan_.epoch) return out.push_back({from, Chosen{plan_}});
-  if (epoch > next()) return catch_up(from, out);
+  if (epoch > next_epoch()) return request_newer_plan(from, out);
   if (!may_vote(epoch)) {
-    ++figures_.votes_withheld;
+    ++metrics_.votes_withheld;
     return;
   }
   highest_round_ = std::max(highest_round_, message.ballot.round);
-  if (promised_ && message.ballot < *promised_) return out.push_back({from, Refusal{epoch, *promised_}});
-  give_way();
-  promised_ = accepted_ = message.ballot;
+  if (promised_ballot_ && message.ballot < *promised_ballot_)
+    return out.push_back({from, Nack{epoch, *promised_ballot_}});
+  yield_to_higher_ballot();
+  promised_ballot_ = accepted_ballot_ = message.ballot;
   accepted_plan_ = message.plan;
-  voted_ = epoch;
+  highest_voted_epoch_ = epoch;
   out.push_back({from, Accepted{epoch, message.ballot}});
 }
 
-void Agreement::on(MemberId from, const Promise& message, std::vector<Outgoing>& out) {
-  if (!round_ || round_->accepting || message.epoch != next() || message.ballot != round_->ballot) return;
-  if (message.plan && (message.plan->epoch != next() || !fits(*message.plan))) return;
-  promised_to_us(from, message.accepted, message.plan, out);
+void Consensus::on(MemberId from, const Promise& message, std::vector<OutgoingMessage>& out) {
+  if (!round_ || round_->accepting || message.epoch != next_epoch() || message.ballot != round_->ballot)
+    return;
+  if (message.plan && (message.plan->epoch != next_epoch() || !is_within_limits(*message.plan))) return;
+  record_promise(from, message.accepted, message.plan, out);
 }
 
-void Agreement::on(MemberId from, const Accepted& message, std::vector<Outgoing>& out) {
-  if (!round_ || !round_->accepting || message.epoch != next() || message.ballot != round_->ballot) return;
-  accepted_of_us(from, out);
+void Consensus::on(MemberId from, const Accepted& message, std::vector<OutgoingMessage>& out) {
+  if (!round_ || !round_->accepting || message.epoch != next_epoch() || message.ballot != round_->ballot)
+    return;
+  record_acceptance(from, out);
 }
 
-void Agreement::on(MemberId from, const Refusal& message, std::vector<Outgoing>&) {
-  if (!round_ || message.epoch != next() || message.promised.round > kMostRound) return;
+void Consensus::on(MemberId from, const Nack& message, std::vector<OutgoingMessage>&) {
+  if (!round_ || message.epoch != next_epoch() || message.promised.round > kMaxRound) return;
   if (message.promised < round_->ballot) return;  // of an earlier round
   highest_round_ = std::max(highest_round_, message.promised.round);
-  if (!round_->no[from]) ++figures_.refusals;
-  round_->no.set(from);
-  if (settings_.members - round_->no.count() < majority()) end_round(false);
+  if (!round_->rejected[from]) ++metrics_.nacks_received;
+  round_->rejected.set(from);
+  if (settings_.member_count - round_->rejected.count() < majority()) finish_proposal(false);
 }
 
-void Agreement::on(MemberId, const Chosen& message, std::vector<Outgoing>&) {
-  if (!fits(message.plan)) return;
+void Consensus::on(MemberId, const Chosen& message, std::vector<OutgoingMessage>&) {
+  if (!is_within_limits(message.plan)) return;
   if (message.plan.epoch > plan_.epoch) {
-    learn(message.plan);
+    learn_plan(message.plan);
   } else if (message.plan.epoch == plan_.epoch && message.plan != plan_ && plan_.epoch != 0) {
-    ++figures_.contradictions;
+    ++metrics_.conflicting_plans;
   }
 }
 
 // ---- asking -----------------------------------------------------------------------------------------------
 
-void Agreement::ask(bool renews, std::vector<Outgoing>& out) {
-  if (++number_ == 0) ++number_;
-  question_ = Question{};
-  question_->number = number_;
-  question_->at = now_;
-  question_->renews = renews;
-  to_all(Ask{number_, plan_.epoch}, out);
+void Consensus::send_query(bool renews, std::vector<OutgoingMessage>& out) {
+  if (++query_number_ == 0) ++query_number_;
+  pending_query_ = PendingQuery{};
+  pending_query_->number = query_number_;
+  pending_query_->sent_at = elapsed_;
+  pending_query_->renews_lease = renews;
+  broadcast(RecoveryQuery{query_number_, plan_.epoch}, out);
   if (!renews) {
-    before_ = std::move(silent_);
-    silent_.assign(settings_.members, {});
-    auto pause = settings_.ask_every;
-    for (int i = 0; i < asked_times_ && pause < settings_.most_ask_every; ++i) pause *= 2;
-    if (pause < settings_.most_ask_every) ++asked_times_;
-    ask_at_ = now_ + half_to_whole(std::min(pause, settings_.most_ask_every));
+    previous_non_voting_ = std::move(current_non_voting_);
+    current_non_voting_.assign(settings_.member_count, {});
+    auto pause = settings_.recovery_query_interval;
+    for (int i = 0; i < queries_sent_ && pause < settings_.max_recovery_query_interval; ++i) pause *= 2;
+    if (pause < settings_.max_recovery_query_interval) ++queries_sent_;
+    next_query_at_ = elapsed_ + with_jitter(std::min(pause, settings_.max_recovery_query_interval));
   }
-  look_at_answers(out);
+  evaluate_replies(out);
 }
 
 // Who sees by a message that others have gone on. A number of 0 asks for no count.
-void Agreement::catch_up(MemberId from, std::vector<Outgoing>& out) {
-  if (now_ < catch_up_) return;
-  catch_up_ = now_ + kCatchUp;
-  out.push_back({from, Ask{0, plan_.epoch}});
+void Consensus::request_newer_plan(MemberId from, std::vector<OutgoingMessage>& out) {
+  if (elapsed_ < next_catch_up_at_) return;
+  next_catch_up_at_ = elapsed_ + kCatchUpInterval;
+  out.push_back({from, RecoveryQuery{0, plan_.epoch}});
 }
 
-void Agreement::on(MemberId from, const Ask& message, std::vector<Outgoing>& out) {
-  if (message.number != 0) asked_[from] = {message.number, now_};
+void Consensus::on(MemberId from, const RecoveryQuery& message, std::vector<OutgoingMessage>& out) {
+  if (message.number != 0) received_queries_[from] = {message.number, elapsed_};
   if (message.epoch < plan_.epoch) out.push_back({from, Chosen{plan_}});
-  out.push_back({from, Tell{message.number, plan_.epoch, votes(), voted()}});
-  if (message.epoch > plan_.epoch) catch_up(from, out);
+  out.push_back({from, RecoveryReply{message.number, plan_.epoch, is_voting(), highest_voted_epoch()}});
+  if (message.epoch > plan_.epoch) request_newer_plan(from, out);
 }
 
-void Agreement::on(MemberId from, const Tell& message, std::vector<Outgoing>& out) {
-  if (!question_ || message.number != question_->number) return;
-  auto& question = *question_;
+void Consensus::on(MemberId from, const RecoveryReply& message, std::vector<OutgoingMessage>& out) {
+  if (!pending_query_ || message.number != pending_query_->number) return;
+  auto& question = *pending_query_;
   const bool same_epoch = message.epoch == plan_.epoch;
-  if (question.renews) {
-    if (now_ >= question.at + settings_.ask_span) return;
-    if (same_epoch && message.voted > plan_.epoch) question.open = true;
-    if (same_epoch && message.votes) question.agree.set(from);
-    const bool again = question.won && !question.told[from];
-    question.told.set(from);
+  if (question.renews_lease) {
+    if (elapsed_ >= question.sent_at + settings_.query_timeout) return;
+    if (same_epoch && message.voted > plan_.epoch) question.instance_open = true;
+    if (same_epoch && message.votes) question.agreeing.set(from);
+    const bool again = question.quorum_reached && !question.replied[from];
+    question.replied.set(from);
     if (again) {
-      out.push_back({from, Lease{plan_.epoch, question.at + settings_.lease_span - now_, question.number}});
+      out.push_back({from, Lease{plan_.epoch, question.sent_at + settings_.lease_duration - elapsed_,
+                                 question.number}});
     }
   } else {
-    question.told.set(from);
+    question.replied.set(from);
     if (message.votes) {
-      told_voted_.set(from);
-      told_highest_ = std::max(told_highest_, message.voted);
-    } else if (same_epoch && from < silent_.size()) {
-      silent_[from] = {true, sender_};
+      voting_repliers_.set(from);
+      highest_reported_epoch_ = std::max(highest_reported_epoch_, message.voted);
+    } else if (same_epoch && from < current_non_voting_.size()) {
+      current_non_voting_[from] = {true, sender_incarnation_};
     }
   }
-  look_at_answers(out);
+  evaluate_replies(out);
 }
 
-void Agreement::look_at_answers(std::vector<Outgoing>& out) {
-  auto& question = *question_;
-  if (question.renews) {
-    if (question.won || question.agree.count() + 1 < majority()) return;
-    question.won = true;
-    renewed(question.at + settings_.lease_span);
+void Consensus::evaluate_replies(std::vector<OutgoingMessage>& out) {
+  auto& question = *pending_query_;
+  if (question.renews_lease) {
+    if (question.quorum_reached || question.agreeing.count() + 1 < majority()) return;
+    question.quorum_reached = true;
+    extend_lease(question.sent_at + settings_.lease_duration);
     // To those alone that have answered in time: then they were asked not long ago by their own clocks too.
-    const auto left = question.at + settings_.lease_span - now_;
-    for (std::size_t i = 0; i < settings_.members; ++i) {
-      if (question.told[i])
+    const auto left = question.sent_at + settings_.lease_duration - elapsed_;
+    for (std::size_t i = 0; i < settings_.member_count; ++i) {
+      if (question.replied[i])
         out.push_back({static_cast<MemberId>(i), Lease{plan_.epoch, left, question.number}});
     }
     return;
   }
-  look_for_loss();
-  if (!knows_ && !lost_ && told_voted_.count() >= meets_any_majority()) {
-    begin_to_vote(std::max(told_highest_, plan_.epoch) + 1);
+  detect_quorum_loss();
+  if (!recovered_ && !quorum_lost_at_ && voting_repliers_.count() >= recovery_quorum()) {
+    start_voting(std::max(highest_reported_epoch_, plan_.epoch) + 1);
   }
 }
 
 // Do so many not vote that the others are no majority, and did so at one moment for certain?
-void Agreement::look_for_loss() {
-  if (lost_ || before_.empty() || question_->told.count() + 1 < majority()) return;
+void Consensus::detect_quorum_loss() {
+  if (quorum_lost_at_ || previous_non_voting_.empty() || pending_query_->replied.count() + 1 < majority())
+    return;
   std::size_t silent = 1;  // itself
-  for (std::size_t i = 0; i < silent_.size(); ++i) {
-    if (silent_[i].is && before_[i].is && silent_[i].incarnation == before_[i].incarnation) ++silent;
+  for (std::size_t i = 0; i < current_non_voting_.size(); ++i) {
+    if (current_non_voting_[i].received && previous_non_voting_[i].received &&
+        current_non_voting_[i].incarnation == previous_non_voting_[i].incarnation)
+      ++silent;
   }
-  if (silent >= meets_any_majority()) lost_ = now_;
+  if (silent >= recovery_quorum()) quorum_lost_at_ = elapsed_;
 }
 
-void Agreement::begin_to_vote(std::uint32_t floor) {
-  knows_ = true;
-  floor_ = floor;
-  lost_.reset();
-  if (votes()) {
-    votes_again();
+void Consensus::start_voting(std::uint32_t floor) {
+  recovered_ = true;
+  vote_floor_ = floor;
+  quorum_lost_at_.reset();
+  if (is_voting()) {
+    on_voting_resumed();
   } else {
-    ask_at_ = now_ + half_to_whole(settings_.most_ask_every);
+    next_query_at_ = elapsed_ + with_jitter(settings_.max_recovery_query_interval);
   }
 }
 
-void Agreement::votes_again() {
-  question_.reset();
-  before_.clear();
-  silent_.clear();
-  lost_.reset();
-  renew_from_ = now_;
+void Consensus::on_voting_resumed() {
+  pending_query_.reset();
+  previous_non_voting_.clear();
+  current_non_voting_.clear();
+  quorum_lost_at_.reset();
+  renewal_base_ = elapsed_;
 }
 
 // ---- the lease --------------------------------------------------------------------------------------------
 
-void Agreement::renewed(Since until) {
-  lease_ = std::max(lease_, until);
-  majority_ = std::max(majority_, until);
-  lease_counted_ = false;
-  ++figures_.leases_renewed;
-  renew_from_ = now_ + settings_.renew_every;
+void Consensus::extend_lease(Elapsed until) {
+  lease_expires_at_ = std::max(lease_expires_at_, until);
+  quorum_expires_at_ = std::max(quorum_expires_at_, until);
+  lease_expiry_counted_ = false;
+  ++metrics_.leases_renewed;
+  renewal_base_ = elapsed_ + settings_.lease_renewal_interval;
 }
 
-void Agreement::end_question() {
-  const Question question = *question_;
-  question_.reset();
-  if (!question.won) {
+void Consensus::finish_query() {
+  const PendingQuery question = *pending_query_;
+  pending_query_.reset();
+  if (!question.quorum_reached) {
     // Turns go round: in a minority too, one member asks a pause, whatever its size.
-    const auto round = static_cast<int>(alive_) * settings_.takeover_pause;
-    renew_from_ = question.at + std::max(settings_.renew_every, round) -
-                  static_cast<int>(rank_) * settings_.takeover_pause;
+    const auto round = static_cast<int>(alive_count_) * settings_.takeover_delay;
+    renewal_base_ = question.sent_at + std::max(settings_.lease_renewal_interval, round) -
+                    static_cast<int>(renewal_rank_) * settings_.takeover_delay;
     return;
   }
-  if (!question.open && voted_ <= plan_.epoch) {
-    open_since_.reset();
-  } else if (!open_since_) {
-    open_since_ = question.at;
-  } else if (now_ - *open_since_ >= settings_.close_after && !wanted_ && !closing_) {
+  if (!question.instance_open && highest_voted_epoch_ <= plan_.epoch) {
+    instance_open_since_.reset();
+  } else if (!instance_open_since_) {
+    instance_open_since_ = question.sent_at;
+  } else if (elapsed_ - *instance_open_since_ >= settings_.instance_close_delay && !requested_plan_ &&
+             !closing_) {
     closing_ = true;
-    ++figures_.closed;
-    wanted_until_ = now_ + settings_.propose_span;
-    retry_ = std::max(retry_, learned_ + settings_.epoch_span);
+    ++metrics_.instances_closed;
+    request_deadline_ = elapsed_ + settings_.request_timeout;
+    retry_at_ = std::max(retry_at_, learned_at_ + settings_.min_epoch_interval);
   }
 }
 
-void Agreement::on(MemberId from, const Lease& message, std::vector<Outgoing>& out) {
-  const auto& asked = asked_[from];
+void Consensus::on(MemberId from, const Lease& message, std::vector<OutgoingMessage>& out) {
+  const auto& asked = received_queries_[from];
   if (message.number == 0 || asked.number != message.number) return;
   // Bounded by the question too, so that a lease that comes late is no longer than one that did not.
-  const auto until = std::min(now_ + message.left, asked.at + settings_.lease_span);
-  if (until <= now_) return;
+  const auto until = std::min(elapsed_ + message.left, asked.received_at + settings_.lease_duration);
+  if (until <= elapsed_) return;
   if (message.epoch > plan_.epoch) {
-    majority_ = std::max(majority_, until);
-    renew_from_ = now_ + settings_.renew_every;
-    return catch_up(from, out);
+    quorum_expires_at_ = std::max(quorum_expires_at_, until);
+    renewal_base_ = elapsed_ + settings_.lease_renewal_interval;
+    return request_newer_plan(from, out);
   }
-  renewed(until);
+  extend_lease(until);
 }
 
 // ---- for the search of all states -------------------------------------------------------------------------
 
-std::string Agreement::encode(Duration far) const {
+std::string Consensus::encode(Duration far) const {
   std::string out;
   const auto span = [&](Duration it) {
     put(out, static_cast<std::uint64_t>(std::clamp(it, Duration(0), far).count()));
   };
-  const auto left = [&](Since then) { span(then - now_); };
-  const auto gone = [&](Since then, Duration most) { span(std::min(most, now_ - then)); };
+  const auto left = [&](Elapsed then) { span(then - elapsed_); };
+  const auto gone = [&](Elapsed then, Duration most) { span(std::min(most, elapsed_ - then)); };
   put(out, settings_.self);
-  put(out, settings_.life);
-  put(out, draws_);
+  put(out, settings_.process_incarnation);
+  put(out, random_draws_);
   put(out, std::uint64_t{retired_});
   put(out, plan_);
-  put(out, std::uint64_t{knows_});
-  put(out, floor_);
-  put(out, voted_);
-  put(out, promised_);
-  put(out, accepted_);
+  put(out, std::uint64_t{recovered_});
+  put(out, vote_floor_);
+  put(out, highest_voted_epoch_);
+  put(out, promised_ballot_);
+  put(out, accepted_ballot_);
   put(out, accepted_plan_);
-  put(out, wanted_);
+  put(out, requested_plan_);
   put(out, std::uint64_t{closing_});
-  if (wanted_ || closing_) left(wanted_until_);
-  put(out, static_cast<std::uint64_t>(proposal_));
+  if (requested_plan_ || closing_) left(request_deadline_);
+  put(out, static_cast<std::uint64_t>(proposal_state_));
   put(out, std::uint64_t{round_.has_value()});
   if (round_) {
     put(out, round_->ballot);
@@ -559,55 +582,56 @@
     if (round_->accepting) {
       put(out, round_->value);
     } else {
-      put(out, round_->best);
-      put(out, round_->best_plan);
+      put(out, round_->highest_accepted_ballot);
+      put(out, round_->highest_accepted_plan);
     }
-    put(out, round_->yes);
-    put(out, round_->no);
-    left(round_->until);
+    put(out, round_->granted);
+    put(out, round_->rejected);
+    left(round_->deadline);
   }
   put(out, highest_round_);
-  put(out, static_cast<std::uint64_t>(failures_));
-  left(retry_);
-  left(learned_ + settings_.epoch_span);
-  put(out, number_);
-  put(out, std::uint64_t{question_.has_value()});
-  if (question_) {
-    put(out, question_->number);
-    gone(question_->at, settings_.ask_span);
-    put(out, question_->renews * 4U + question_->won * 2U + question_->open);
-    put(out, question_->agree);
-    put(out, question_->told);
-  }
-  if (!votes()) {
-    left(ask_at_);
-    put(out, static_cast<std::uint64_t>(asked_times_));
-    put(out, told_voted_);
-    put(out, told_highest_);
-    for (const auto* answers : {&before_, &silent_}) {
+  put(out, static_cast<std::uint64_t>(failed_rounds_));
+  left(retry_at_);
+  left(learned_at_ + settings_.min_epoch_interval);
+  put(out, query_number_);
+  put(out, std::uint64_t{pending_query_.has_value()});
+  if (pending_query_) {
+    put(out, pending_query_->number);
+    gone(pending_query_->sent_at, settings_.query_timeout);
+    put(out, pending_query_->renews_lease * 4U + pending_query_->quorum_reached * 2U +
+                 pending_query_->instance_open);
+    put(out, pending_query_->agreeing);
+    put(out, pending_query_->replied);
+  }
+  if (!is_voting()) {
+    left(next_query_at_);
+    put(out, static_cast<std::uint64_t>(queries_sent_));
+    put(out, voting_repliers_);
+    put(out, highest_reported_epoch_);
+    for (const auto* answers : {&previous_non_voting_, &current_non_voting_}) {
       put(out, answers->size());
       for (const auto& one : *answers) {
-        put(out, std::uint64_t{one.is});
+        put(out, std::uint64_t{one.received});
         put(out, one.incarnation);
       }
     }
-    put(out, std::uint64_t{lost_.has_value()});
-    if (lost_) left(*lost_ + settings_.cold_wait);
+    put(out, std::uint64_t{quorum_lost_at_.has_value()});
+    if (quorum_lost_at_) left(*quorum_lost_at_ + settings_.bootstrap_delay);
   }
-  for (const auto& asked : asked_) {
-    const bool counts = asked.number != 0 && now_ - asked.at < settings_.lease_span;
+  for (const auto& asked : received_queries_) {
+    const bool counts = asked.number != 0 && elapsed_ - asked.received_at < settings_.lease_duration;
     put(out, counts ? asked.number : 0);
-    if (counts) gone(asked.at, settings_.lease_span);
-  }
-  left(catch_up_);
-  put(out, rank_);
-  put(out, alive_);
-  left(renew_at());
-  left(lease_);
-  left(majority_);
-  put(out, std::uint64_t{lease_counted_});
-  put(out, std::uint64_t{open_since_.has_value()});
-  if (open_since_) gone(*open_since_, settings_.close_after);
+    if (counts) gone(asked.received_at, settings_.lease_duration);
+  }
+  left(next_catch_up_at_);
+  put(out, renewal_rank_);
+  put(out, alive_count_);
+  left(next_renewal_at());
+  left(lease_expires_at_);
+  left(quorum_expires_at_);
+  put(out, std::uint64_t{lease_expiry_counted_});
+  put(out, std::uint64_t{instance_open_since_.has_value()});
+  if (instance_open_since_) gone(*instance_open_since_, settings_.instance_close_delay);
   return out;
 }
 
--- a/src/decide/fleet/agreement.h
+++ b/src/decide/fleet/agreement.h
@@ -52,210 +52,214 @@
 
 namespace rookproxy::decide::fleet {
 
-enum class Proposal : std::uint8_t {
+enum class ProposalState : std::uint8_t {
   kNone = 0,        // nothing was proposed yet
-  kOpen = 1,        // being tried
+  kInProgress = 1,  // being tried
   kChosen = 2,      // the plan of its epoch, for good
   kSuperseded = 3,  // another plan is known now, of its epoch or a later one
   kNoMajority = 4   // given up; it may yet turn out to be chosen
 };
 
-enum class ProposeAnswer : std::uint8_t {
-  kTaken = 0,
+enum class ProposeResult : std::uint8_t {
+  kStarted = 0,
   kBusy = 1,        // an own proposal is open: wait for its end
   kWrongEpoch = 2,  // not the one after the plan known here
   kNotVoting = 3,   // started lately: let another propose
   kTooLarge = 4     // more entries than a plan holds
 };
 
-struct AgreementFigures {
-  std::uint64_t rounds_begun = 0, rounds_won = 0, rounds_lost = 0;
-  std::uint64_t refusals = 0;        // heard by own rounds
+struct ConsensusMetrics {
+  std::uint64_t proposals_started = 0, proposals_succeeded = 0, proposals_failed = 0;
+  std::uint64_t nacks_received = 0;  // heard by own rounds
   std::uint64_t chosen = 0;          // own rounds whose plan was decided, also where it was another's
-  std::uint64_t epochs = 0;          // times that the plan known here was replaced
+  std::uint64_t plans_learned = 0;   // times that the plan known here was replaced
   std::uint64_t leases_renewed = 0;  // here, by whomever
-  std::uint64_t leases_run_out = 0;
-  std::uint64_t votes_withheld = 0;  // asked for one and gave none, having started lately
-  std::uint64_t closed = 0;          // instances that it set out to close, since they stayed open
-  std::uint64_t founded = 0;         // times that it began to vote because too many others didn't
-  std::uint64_t contradictions = 0;  // another plan of the epoch known here: a majority had restarted
+  std::uint64_t leases_expired = 0;
+  std::uint64_t votes_withheld = 0;     // asked for one and gave none, having started lately
+  std::uint64_t instances_closed = 0;   // instances that it set out to close, since they stayed open
+  std::uint64_t bootstraps = 0;         // times that it began to vote because too many others didn't
+  std::uint64_t conflicting_plans = 0;  // another plan of the epoch known here: a majority had restarted
 };
 
-class Agreement {
+class Consensus {
  public:
   struct Settings {
     MemberId self = 0;
-    std::size_t members = 1;            // configured, 1 to kMostMembers, this one too
-    Incarnation life = 0;               // of this process: no other of this member has the same
-    std::uint64_t seed = 0;             // of pauses
-    Duration round_span{500'000};       // a round without a majority by then is given up
-    Duration backoff{50'000};           // mean pause before the next round about; doubled each time, up to
-    Duration most_backoff{800'000};     //   this; drawn from half to the whole
-    Duration propose_span{10'000'000};  // a proposal without an end by then is given up
-    Duration epoch_span{500'000};       // least time from learning a plan to a round for the next
-    Duration ask_every{500'000};        // while it does not vote; doubled each time, up to
-    Duration most_ask_every{4'000'000};
-    Duration ask_span{500'000};     // answers that come later renew no lease
-    Duration cold_wait{2'000'000};  // before it votes again though too many others don't
-    Duration renew_every{1'000'000};
-    Duration takeover_pause{200'000};  // for each member alive before it that fails to renew
-    Duration lease_span{4'000'000};    // over renew_every and ask_span, best several times
-    Duration close_after{1'000'000};   // an instance open this long is closed
-    bool wait_after_restart = true;    // false: for tests alone, a member that forgets and votes on
+    std::size_t member_count = 1;          // configured, 1 to kMostMembers, this one too
+    Incarnation process_incarnation = 0;   // of this process: no other of this member has the same
+    std::uint64_t seed = 0;                // of pauses
+    Duration proposal_timeout{500'000};    // a round without a majority by then is given up
+    Duration initial_backoff{50'000};      // mean pause before the next round about; doubled each time, up to
+    Duration max_backoff{800'000};         //   this; drawn from half to the whole
+    Duration request_timeout{10'000'000};  // a proposal without an end by then is given up
+    Duration min_epoch_interval{500'000};  // least time from learning a plan to a round for the next
+    Duration recovery_query_interval{500'000};  // while it does not vote; doubled each time, up to
+    Duration max_recovery_query_interval{4'000'000};
+    Duration query_timeout{500'000};      // answers that come later renew no lease
+    Duration bootstrap_delay{2'000'000};  // before it votes again though too many others don't
+    Duration lease_renewal_interval{1'000'000};
+    Duration takeover_delay{200'000};          // for each member alive before it that fails to renew
+    Duration lease_duration{4'000'000};        // over renew_every and ask_span, best several times
+    Duration instance_close_delay{1'000'000};  // an instance open this long is closed
+    bool recover_after_restart = true;         // false: for tests alone, a member that forgets and votes on
   };
 
   // Knows `settings_plan` as epoch 0. Nothing is sent before the first on_time.
-  Agreement(const Settings& settings, FleetPlan settings_plan, Time now);
+  Consensus(const Settings& settings, ClusterConfig settings_plan, Time now);
 
   // `incarnation`: of the sender, as the carrier knows it. Messages that are none of agreement's change
   // nothing.
-  std::vector<Outgoing> receive(Time now, MemberId from, Incarnation incarnation, const Body& body);
-  std::vector<Outgoing> on_time(Time now);
+  std::vector<OutgoingMessage> receive(Time now, MemberId from, Incarnation incarnation,
+                                       const MessageBody& body);
+  std::vector<OutgoingMessage> on_timer(Time now);
   // Call on_time then, or before.
-  Time due() const;
+  Time next_due() const;
   // `next.epoch` is the known one's plus 1. What comes of it is told by `proposal`.
-  ProposeAnswer propose(Time now, const FleetPlan& next, std::vector<Outgoing>& out);
-  Proposal proposal() const { return proposal_; }
+  ProposeResult propose(Time now, const ClusterConfig& next, std::vector<OutgoingMessage>& out);
+  ProposalState proposal_state() const { return proposal_state_; }
   // Members that seem to be alive, by membership, this one among them or not: who of them renews.
-  void set_hint(const std::vector<MemberId>& alive);
+  void set_alive_members(const std::vector<MemberId>& alive);
   // Votes and proposes no more, for good: a successor of this process takes its place.
   void retire() { retired_ = true; }
 
   // The last plan known; stays, whatever happens. In a minority it may be an old one.
-  const FleetPlan& plan() const { return plan_; }
+  const ClusterConfig& plan() const { return plan_; }
   std::uint32_t epoch() const { return plan_.epoch; }
   // May bold parts (spill, shifted affinity) be acted on? False: fall back to the settings for these; careful
   // parts (zones that return, retirements) stay. Times that go back end the lease, at the next event for
   // good.
   bool lease_holds(Time now) const;
   // Has a majority been heard of within a lease's span, though it may hold another epoch?
-  bool in_majority(Time now) const;
+  bool has_quorum(Time now) const;
   // Would it vote in the epoch after the known one?
-  bool votes() const { return knows_ && floor_ <= plan_.epoch && !retired_; }
+  bool is_voting() const { return recovered_ && vote_floor_ <= plan_.epoch && !retired_; }
   // The last epoch in which it may have voted, before its start too; for sure only where it knows.
-  std::uint32_t voted() const { return std::max(voted_, floor_); }
+  std::uint32_t highest_voted_epoch() const { return std::max(highest_voted_epoch_, vote_floor_); }
   // In this life, that is.
-  std::uint32_t voted_in_life() const { return voted_; }
+  std::uint32_t highest_voted_epoch_of_process() const { return highest_voted_epoch_; }
   // In the epoch after the known one.
-  const std::optional<Ballot>& accepted() const { return accepted_; }
-  const std::optional<FleetPlan>& accepted_plan() const { return accepted_plan_; }
-  const AgreementFigures& figures() const { return figures_; }
-  Time last_time() const { return seen_; }
+  const std::optional<Ballot>& accepted_ballot() const { return accepted_ballot_; }
+  const std::optional<ClusterConfig>& accepted_plan() const { return accepted_plan_; }
+  const ConsensusMetrics& metrics() const { return metrics_; }
+  Time last_event_time() const { return last_event_time_; }
   // All that decides what it does from here on; times as spans from now, those of `far` or more alike. For
   // the search of all states.
   std::string encode(Duration far = Duration::max()) const;
 
  private:
-  using Members = std::bitset<kMostMembers>;
+  using MemberSet = std::bitset<kMaxMembers>;
   // Time since the start, which never goes back.
-  using Since = Duration;
-  struct Round {
+  using Elapsed = Duration;
+  struct ProposalRound {
     Ballot ballot;
     bool accepting = false;
-    FleetPlan value;  // of the accepting
-    std::optional<Ballot> best;
-    std::optional<FleetPlan> best_plan;  // accepted under `best`
-    Members yes, no;
-    Since until{};
+    ClusterConfig value;  // of the accepting
+    std::optional<Ballot> highest_accepted_ballot;
+    std::optional<ClusterConfig> highest_accepted_plan;  // accepted under `best`
+    MemberSet granted, rejected;
+    Elapsed deadline{};
   };
-  struct Question {
+  struct PendingQuery {
     std::uint32_t number = 0;
-    Since at{};
-    bool renews = false, won = false, open = false;  // open: somebody's next instance is
-    Members agree, told;
+    Elapsed sent_at{};
+    bool renews_lease = false, quorum_reached = false,
+         instance_open = false;  // open: somebody's next instance is
+    MemberSet agreeing, replied;
   };
-  struct Silent {  // an answer `votes = false`
-    bool is = false;
+  struct NonVotingReply {  // an answer `votes = false`
+    bool received = false;
     Incarnation incarnation = 0;
   };
-  struct Asked {
+  struct ReceivedQuery {
     std::uint32_t number = 0;
-    Since at{};
+    Elapsed received_at{};
   };
 
-  std::size_t majority() const { return settings_.members / 2 + 1; }
-  std::size_t meets_any_majority() const { return settings_.members - majority() + 1; }
-  std::uint32_t next() const { return plan_.epoch + 1; }
-  bool may_vote(std::uint32_t epoch) const { return votes() && epoch == next(); }
-  std::uint64_t draw(std::uint64_t below);
-  Duration half_to_whole(Duration span);
-  Since since(Time now) const;
-  void move_clock(Time now);
-  void advance(std::vector<Outgoing>& out);
-  void to_all(const Body& body, std::vector<Outgoing>& out) const;
-  void learn(const FleetPlan& plan);
-  void begin_round(std::vector<Outgoing>& out);
-  void end_round(bool won);
-  void give_way();
-  void promised_to_us(MemberId from, const std::optional<Ballot>& best, const std::optional<FleetPlan>& plan,
-                      std::vector<Outgoing>& out);
-  void accepted_of_us(MemberId from, std::vector<Outgoing>& out);
-  void ask(bool renews, std::vector<Outgoing>& out);
-  void catch_up(MemberId from, std::vector<Outgoing>& out);
-  void look_for_loss();
-  void begin_to_vote(std::uint32_t floor);
-  void look_at_answers(std::vector<Outgoing>& out);
-  void end_question();
-  void renewed(Since until);
-  void votes_again();
-  Since renew_at() const { return renew_from_ + static_cast<int>(rank_) * settings_.takeover_pause; }
+  std::size_t majority() const { return settings_.member_count / 2 + 1; }
+  std::size_t recovery_quorum() const { return settings_.member_count - majority() + 1; }
+  std::uint32_t next_epoch() const { return plan_.epoch + 1; }
+  bool may_vote(std::uint32_t epoch) const { return is_voting() && epoch == next_epoch(); }
+  std::uint64_t random_below(std::uint64_t below);
+  Duration with_jitter(Duration span);
+  Elapsed elapsed_at(Time now) const;
+  void advance_clock(Time now);
+  void run_timers(std::vector<OutgoingMessage>& out);
+  void broadcast(const MessageBody& body, std::vector<OutgoingMessage>& out) const;
+  void learn_plan(const ClusterConfig& plan);
+  void start_proposal(std::vector<OutgoingMessage>& out);
+  void finish_proposal(bool won);
+  void yield_to_higher_ballot();
+  void record_promise(MemberId from, const std::optional<Ballot>& best,
+                      const std::optional<ClusterConfig>& plan, std::vector<OutgoingMessage>& out);
+  void record_acceptance(MemberId from, std::vector<OutgoingMessage>& out);
+  void send_query(bool renews, std::vector<OutgoingMessage>& out);
+  void request_newer_plan(MemberId from, std::vector<OutgoingMessage>& out);
+  void detect_quorum_loss();
+  void start_voting(std::uint32_t floor);
+  void evaluate_replies(std::vector<OutgoingMessage>& out);
+  void finish_query();
+  void extend_lease(Elapsed until);
+  void on_voting_resumed();
+  Elapsed next_renewal_at() const {
+    return renewal_base_ + static_cast<int>(renewal_rank_) * settings_.takeover_delay;
+  }
 
-  void on(MemberId from, const Prepare& message, std::vector<Outgoing>& out);
-  void on(MemberId from, const Promise& message, std::vector<Outgoing>& out);
-  void on(MemberId from, const Refusal& message, std::vector<Outgoing>& out);
-  void on(MemberId from, const Accept& message, std::vector<Outgoing>& out);
-  void on(MemberId from, const Accepted& message, std::vector<Outgoing>& out);
-  void on(MemberId from, const Chosen& message, std::vector<Outgoing>& out);
-  void on(MemberId from, const Ask& message, std::vector<Outgoing>& out);
-  void on(MemberId from, const Tell& message, std::vector<Outgoing>& out);
-  void on(MemberId from, const Lease& message, std::vector<Outgoing>& out);
+  void on(MemberId from, const Prepare& message, std::vector<OutgoingMessage>& out);
+  void on(MemberId from, const Promise& message, std::vector<OutgoingMessage>& out);
+  void on(MemberId from, const Nack& message, std::vector<OutgoingMessage>& out);
+  void on(MemberId from, const Accept& message, std::vector<OutgoingMessage>& out);
+  void on(MemberId from, const Accepted& message, std::vector<OutgoingMessage>& out);
+  void on(MemberId from, const Chosen& message, std::vector<OutgoingMessage>& out);
+  void on(MemberId from, const RecoveryQuery& message, std::vector<OutgoingMessage>& out);
+  void on(MemberId from, const RecoveryReply& message, std::vector<OutgoingMessage>& out);
+  void on(MemberId from, const Lease& message, std::vector<OutgoingMessage>& out);
 
   Settings settings_;
-  Time seen_;
-  Since now_{};
-  Incarnation sender_ = 0;  // of the message in hand
-  std::uint64_t draws_ = 0;
-  AgreementFigures figures_;
+  Time last_event_time_;
+  Elapsed elapsed_{};
+  Incarnation sender_incarnation_ = 0;  // of the message in hand
+  std::uint64_t random_draws_ = 0;
+  ConsensusMetrics metrics_;
   bool retired_ = false;
 
-  FleetPlan plan_;
-  Since learned_{};
+  ClusterConfig plan_;
+  Elapsed learned_at_{};
 
   // As a voter. `promised_` to `accepted_plan_` are of the next epoch.
-  bool knows_ = false;
-  std::uint32_t floor_ = 0;  // votes in no epoch up to this
-  std::uint32_t voted_ = 0;
-  std::optional<Ballot> promised_, accepted_;
-  std::optional<FleetPlan> accepted_plan_;
+  bool recovered_ = false;
+  std::uint32_t vote_floor_ = 0;  // votes in no epoch up to this
+  std::uint32_t highest_voted_epoch_ = 0;
+  std::optional<Ballot> promised_ballot_, accepted_ballot_;
+  std::optional<ClusterConfig> accepted_plan_;
 
   // As a proposer.
-  std::optional<FleetPlan> wanted_;
-  Since wanted_until_{};
+  std::optional<ClusterConfig> requested_plan_;
+  Elapsed request_deadline_{};
   bool closing_ = false;
-  Proposal proposal_ = Proposal::kNone;
-  std::optional<Round> round_;
+  ProposalState proposal_state_ = ProposalState::kNone;
+  std::optional<ProposalRound> round_;
   std::uint32_t highest_round_ = 0;  // heard of in the next epoch
-  int failures_ = 0;
-  Since retry_{};
+  int failed_rounds_ = 0;
+  Elapsed retry_at_{};
 
   // Asking. `before_` and `silent_`: who didn't vote, by the last question and by this one.
-  std::uint32_t number_;
-  std::optional<Question> question_;
-  Since ask_at_{};
-  int asked_times_ = 0;
-  Members told_voted_;
-  std::uint32_t told_highest_ = 0;
-  std::vector<Silent> before_, silent_;
-  std::optional<Since> lost_;
-  std::vector<Asked> asked_;  // of each member, its last question: a lease must answer one
-  Since catch_up_{};
+  std::uint32_t query_number_;
+  std::optional<PendingQuery> pending_query_;
+  Elapsed next_query_at_{};
+  int queries_sent_ = 0;
+  MemberSet voting_repliers_;
+  std::uint32_t highest_reported_epoch_ = 0;
+  std::vector<NonVotingReply> previous_non_voting_, current_non_voting_;
+  std::optional<Elapsed> quorum_lost_at_;
+  std::vector<ReceivedQuery> received_queries_;  // of each member, its last question: a lease must answer one
+  Elapsed next_catch_up_at_{};
 
   // The lease.
-  std::size_t rank_, alive_;
-  Since renew_from_{};  // its turn comes a pause later for each one before it
-  std::optional<Since> open_since_;
-  Since lease_{}, majority_{};  // their ends; zero or past: none
-  bool lease_counted_ = true;   // its running out is in the figures
+  std::size_t renewal_rank_, alive_count_;
+  Elapsed renewal_base_{};  // its turn comes a pause later for each one before it
+  std::optional<Elapsed> instance_open_since_;
+  Elapsed lease_expires_at_{}, quorum_expires_at_{};  // their ends; zero or past: none
+  bool lease_expiry_counted_ = true;                  // its running out is in the figures
 };
 
 }  // namespace rookproxy::decide::fleet
--- a/src/decide/fleet/membership.cpp
+++ b/src/decide/fleet/membership.cpp
@@ -7,75 +7,84 @@
 namespace rookproxy::decide::fleet {
 
 namespace {
-constexpr std::size_t kMostProbes = 16;  // under way; more only if ticks come far too late
-constexpr std::size_t kMostRelays = 64;  // pings for others under way
-constexpr std::size_t kEnough = 15;      // answers after which the table is as new as the fleet's
+constexpr std::size_t kMaxProbes = 16;        // under way; more only if ticks come far too late
+constexpr std::size_t kMaxRelays = 64;        // pings for others under way
+constexpr std::size_t kAcksToBeCurrent = 15;  // answers after which the table is as new as the fleet's
 // A process's start in microseconds lies far below. From here on there is no room left to refute.
-constexpr Incarnation kNoIncarnation = Incarnation(1) << 62;
+constexpr Incarnation kIncarnationLimit = Incarnation(1) << 62;
 
-bool possible(Incarnation incarnation) { return incarnation > 0 && incarnation < kNoIncarnation; }
+bool is_valid_incarnation(Incarnation incarnation) {
+  return incarnation > 0 && incarnation < kIncarnationLimit;
+}
 }  // namespace
 
-Duration MembershipSettings::span() const {
-  return Duration(static_cast<Duration::rep>(static_cast<double>(period.count()) * suspicion *
-                                             std::log2(static_cast<double>(members) + 1)));
+Duration MembershipSettings::suspicion_timeout() const {
+  return Duration(
+      static_cast<Duration::rep>(static_cast<double>(probe_interval.count()) * suspicion_multiplier *
+                                 std::log2(static_cast<double>(member_count) + 1)));
 }
 
-Duration MembershipSettings::wake_bound() const { return std::min(span() / 2, wake_after); }
+Duration MembershipSettings::effective_stall_threshold() const {
+  return std::min(suspicion_timeout() / 2, stall_threshold);
+}
 
 std::string MembershipSettings::fault() const {
-  if (members < 1 || members > kMostMembers) return "members: set 1 to " + std::to_string(kMostMembers);
-  if (self >= members) return "self: set the own place in the list of members, from 0";
-  if (period < Duration(1000)) return "period: set 1 ms or more";
-  if (direct <= Duration(0) || direct > period / 2)
+  if (member_count < 1 || member_count > kMaxMembers)
+    return "members: set 1 to " + std::to_string(kMaxMembers);
+  if (self >= member_count) return "self: set the own place in the list of members, from 0";
+  if (probe_interval < Duration(1000)) return "period: set 1 ms or more";
+  if (ping_timeout <= Duration(0) || ping_timeout > probe_interval / 2)
     return "direct: set over 0 and at most half of the period";
-  if (proxies < 0 || proxies > 16) return "proxies: set 0 to 16";
-  if (!(suspicion >= 1 && suspicion <= 100)) return "suspicion: set 1 to 100";
-  if (forget < span()) return "forget: set at least the suspicion span";
-  if (wake_after < period) return "wake_after: set at least the period";
-  if (alone_after < period) return "alone_after: set at least the period";
-  if (rumours < 1 || rumours > 100) return "rumours: set 1 to 100";
-  if (messages < 2 * (proxies + 4)) return "messages: set at least twice the proxies and 8";
-  if (hurry < 0 || hurry > 16) return "hurry: set 0 to 16";
+  if (indirect_ping_count < 0 || indirect_ping_count > 16) return "proxies: set 0 to 16";
+  if (!(suspicion_multiplier >= 1 && suspicion_multiplier <= 100)) return "suspicion: set 1 to 100";
+  if (failed_member_retention < suspicion_timeout()) return "forget: set at least the suspicion span";
+  if (stall_threshold < probe_interval) return "wake_after: set at least the period";
+  if (isolation_timeout < probe_interval) return "alone_after: set at least the period";
+  if (gossip_updates_per_message < 1 || gossip_updates_per_message > 100) return "rumours: set 1 to 100";
+  if (max_messages_per_second < 2 * (indirect_ping_count + 4))
+    return "messages: set at least twice the proxies and 8";
+  if (fast_probe_count < 0 || fast_probe_count > 16) return "hurry: set 0 to 16";
   return "";
 }
 
 Membership::Membership(const MembershipSettings& settings, Incarnation start, std::uint64_t seed, Time now)
     : settings_(settings),
-      span_(settings.span()),
-      wake_bound_(settings.wake_bound()),
-      tellings_(static_cast<unsigned>(std::ceil(3 * std::log2(static_cast<double>(settings.members) + 1)))),
-      own_(start),
+      suspicion_timeout_(settings.suspicion_timeout()),
+      stall_threshold_(settings.effective_stall_threshold()),
+      max_transmissions_(
+          static_cast<unsigned>(std::ceil(3 * std::log2(static_cast<double>(settings.member_count) + 1)))),
+      own_incarnation_(start),
       random_(static_cast<std::mt19937::result_type>(seed ^ (seed >> 32))),
-      credit_(settings.messages),
-      credit_at_(now),
-      began_(now),
-      last_(now) {
+      message_tokens_(settings.max_messages_per_second),
+      tokens_updated_at_(now),
+      started_at_(now),
+      last_event_at_(now) {
   if (auto fault = settings.fault(); !fault.empty()) throw std::invalid_argument("membership: " + fault);
-  if (!possible(start)) throw std::invalid_argument("membership: the start's time is no incarnation");
-  entries_.resize(settings.members);
-  for (std::size_t i = 0; i < settings.members; ++i) {
-    if (i != settings.self) order_.push_back(static_cast<MemberId>(i));
-  }
-  std::shuffle(order_.begin(), order_.end(), random_);
-  tour_at_ = random_() % settings.members;
+  if (!is_valid_incarnation(start))
+    throw std::invalid_argument("membership: the start's time is no incarnation");
+  records_.resize(settings.member_count);
+  for (std::size_t i = 0; i < settings.member_count; ++i) {
+    if (i != settings.self) probe_order_.push_back(static_cast<MemberId>(i));
+  }
+  std::shuffle(probe_order_.begin(), probe_order_.end(), random_);
+  table_cursor_ = random_() % settings.member_count;
   // Answers to a predecessor's pings do not look like answers to ours.
-  next_number_ = since_ = static_cast<std::uint32_t>(random_());
+  next_number_ = first_valid_number_ = static_cast<std::uint32_t>(random_());
   // Not in step with others that start now.
-  due_ = next_round_ =
-      now +
-      Duration(static_cast<Duration::rep>(random_() % static_cast<std::uint64_t>(settings.period.count())));
+  next_due_ = next_period_at_ =
+      now + Duration(static_cast<Duration::rep>(random_() %
+                                                static_cast<std::uint64_t>(settings.probe_interval.count())));
 }
 
-std::optional<MemberState> Membership::shown(State state) {
+std::optional<MemberState> Membership::to_member_state(RecordState state) {
   switch (state) {
-    case State::kAlive:
+    case RecordState::kAlive:
       return MemberState::kAlive;
-    case State::kSuspect:
+    case RecordState::kSuspect:
       return MemberState::kSuspect;
-    case State::kGone:
-      return MemberState::kGone;
-    case State::kUnknown:
+    case RecordState::kFailed:
+      return MemberState::kFailed;
+    case RecordState::kUnknown:
       break;
   }
   return std::nullopt;
@@ -83,337 +92,352 @@
 
 std::optional<MemberState> Membership::state_of(MemberId member) const {
   if (member == settings_.self) return MemberState::kAlive;
-  return member < entries_.size() ? shown(entries_[member].state) : std::nullopt;
+  return member < records_.size() ? to_member_state(records_[member].state) : std::nullopt;
 }
 
-std::vector<MemberId> Membership::alive() const {
+std::vector<MemberId> Membership::alive_members() const {
   std::vector<MemberId> all;
-  for (std::size_t i = 0; i < entries_.size(); ++i) {
-    if (i == settings_.self || is_held(entries_[i].state)) all.push_back(static_cast<MemberId>(i));
+  for (std::size_t i = 0; i < records_.size(); ++i) {
+    if (i == settings_.self || counts_as_alive(records_[i].state)) all.push_back(static_cast<MemberId>(i));
   }
   return all;
 }
 
 bool Membership::is_current(Time now) const {
-  return current_ && now <= due_ + wake_bound_ && now + wake_bound_ >= last_;
+  return current_ && now <= next_due_ + stall_threshold_ && now + stall_threshold_ >= last_event_at_;
 }
 
-void Membership::look_at_clock(Time now) {
-  if (now > due_ + wake_bound_ || now + wake_bound_ < last_) wake(now);
-  last_ = now;
-  const std::chrono::duration<double> passed = std::max(Duration(0), now - credit_at_);
-  credit_ = std::min<double>(settings_.messages, credit_ + passed.count() * settings_.messages);
-  credit_at_ = now;
+void Membership::update_clock(Time now) {
+  if (now > next_due_ + stall_threshold_ || now + stall_threshold_ < last_event_at_) recover_from_stall(now);
+  last_event_at_ = now;
+  const std::chrono::duration<double> passed = std::max(Duration(0), now - tokens_updated_at_);
+  message_tokens_ = std::min<double>(settings_.max_messages_per_second,
+                                     message_tokens_ + passed.count() * settings_.max_messages_per_second);
+  tokens_updated_at_ = now;
 }
 
-void Membership::wake(Time now) {
-  ++figures_.wakes;
-  ++own_;  // whatever is said of us meanwhile is of the former one
+void Membership::recover_from_stall(Time now) {
+  ++metrics_.stalls;
+  ++own_incarnation_;  // whatever is said of us meanwhile is of the former one
   probes_.clear();
   relays_.clear();
-  since_ = next_number_;
-  heard_ = 0;
+  first_valid_number_ = next_number_;
+  acked_count_ = 0;
   current_ = false;
-  began_ = next_round_ = due_ = now;
-  for (std::size_t i = 0; i < entries_.size(); ++i) {
-    Entry& entry = entries_[i];
-    if (entry.state == State::kSuspect) move(static_cast<MemberId>(i), State::kAlive, entry.incarnation, now);
-    entry.heard = false;
-    entry.sent = static_cast<std::uint16_t>(tellings_);  // old news
+  started_at_ = next_period_at_ = next_due_ = now;
+  for (std::size_t i = 0; i < records_.size(); ++i) {
+    MemberRecord& entry = records_[i];
+    if (entry.state == RecordState::kSuspect)
+      set_state(static_cast<MemberId>(i), RecordState::kAlive, entry.incarnation, now);
+    entry.has_acked = false;
+    entry.transmissions = static_cast<std::uint16_t>(max_transmissions_);  // old news
   }
 }
 
 // The answers may lie unread in the socket: they get a direct timeout more, from now on.
-void Membership::forgive_lateness(Time now) {
-  const Duration late = now - due_;
-  if (late <= settings_.direct) return;
+void Membership::extend_deadlines_after_delay(Time now) {
+  const Duration late = now - next_due_;
+  if (late <= settings_.ping_timeout) return;
   for (Probe& probe : probes_) {
-    probe.direct += late + settings_.direct;
-    probe.until += late + settings_.direct;
+    probe.ping_deadline += late + settings_.ping_timeout;
+    probe.deadline += late + settings_.ping_timeout;
   }
-  for (Entry& entry : entries_) {
-    if (entry.state == State::kSuspect) entry.until += late;
+  for (MemberRecord& entry : records_) {
+    if (entry.state == RecordState::kSuspect) entry.state_deadline += late;
   }
 }
 
-Membership::Step Membership::tick(Time now) {
-  look_at_clock(now);
-  forgive_lateness(now);
-  end_probes(now);
-  end_suspicions(now);
-  if (now >= next_round_) round(now);
-  return finish(now);
+Membership::Result Membership::tick(Time now) {
+  update_clock(now);
+  extend_deadlines_after_delay(now);
+  expire_probes(now);
+  expire_suspicions(now);
+  if (now >= next_period_at_) run_protocol_period(now);
+  return take_result(now);
 }
 
-Membership::Step Membership::on(Time now, MemberId from, Incarnation incarnation, const Body& body,
-                                const std::vector<Rumour>& rumours) {
-  if (from >= entries_.size() || from == settings_.self) {
-    ++figures_.strangers;
+Membership::Result Membership::receive(Time now, MemberId from, Incarnation incarnation,
+                                       const MessageBody& body, const std::vector<GossipUpdate>& rumours) {
+  if (from >= records_.size() || from == settings_.self) {
+    ++metrics_.unknown_members;
     return {};
   }
-  look_at_clock(now);
-  if (!possible(incarnation)) {
-    ++figures_.ignored;
-    return finish(now);
+  update_clock(now);
+  if (!is_valid_incarnation(incarnation)) {
+    ++metrics_.ignored_updates;
+    return take_result(now);
   }
-  hear(from, incarnation, now);
-  for (const Rumour& rumour : rumours) learn(rumour, now);
+  record_sender(from, incarnation, now);
+  for (const GossipUpdate& rumour : rumours) apply_update(rumour, now);
   if (const auto* ping = std::get_if<Ping>(&body)) {
-    say(from, Ack{ping->number, settings_.self});
-  } else if (const auto* ask = std::get_if<PingFor>(&body)) {
-    relay(from, *ask, now);
+    enqueue(from, Ack{ping->number, settings_.self});
+  } else if (const auto* ask = std::get_if<PingRequest>(&body)) {
+    relay_ping(from, *ask, now);
   } else if (const auto* ack = std::get_if<Ack>(&body)) {
-    answered(from, *ack);
+    handle_ack(from, *ack);
   }
-  return finish(now);
+  return take_result(now);
 }
 
-Membership::Step Membership::finish(Time now) {
+Membership::Result Membership::take_result(Time now) {
   if (!current_) {
-    const std::size_t majority = (held_ + 1) / 2;  // with ourselves, of those held and ourselves
-    current_ = held_ > 0 ? heard_ >= std::min(kEnough, majority) && now >= began_ + 2 * settings_.period
-                         : now >= began_ + settings_.alone_after;
-  }
-  due_ = next_round_;
-  for (const Probe& probe : probes_) due_ = std::min(due_, probe.asked ? probe.until : probe.direct);
-  for (const Entry& entry : entries_) {
-    if (entry.state == State::kSuspect) due_ = std::min(due_, entry.until);
-  }
-  Step done = std::move(step_);
-  step_ = {};
+    const std::size_t majority = (alive_others_ + 1) / 2;  // with ourselves, of those held and ourselves
+    current_ = alive_others_ > 0 ? acked_count_ >= std::min(kAcksToBeCurrent, majority) &&
+                                       now >= started_at_ + 2 * settings_.probe_interval
+                                 : now >= started_at_ + settings_.isolation_timeout;
+  }
+  next_due_ = next_period_at_;
+  for (const Probe& probe : probes_)
+    next_due_ = std::min(next_due_, probe.indirect_sent ? probe.deadline : probe.ping_deadline);
+  for (const MemberRecord& entry : records_) {
+    if (entry.state == RecordState::kSuspect) next_due_ = std::min(next_due_, entry.state_deadline);
+  }
+  Result done = std::move(pending_result_);
+  pending_result_ = {};
   return done;
 }
 
-void Membership::say(MemberId to, Body body) {
-  if (credit_ < 1) {
-    ++figures_.held_back;
+void Membership::enqueue(MemberId to, MessageBody body) {
+  if (message_tokens_ < 1) {
+    ++metrics_.rate_limited;
     return;
   }
-  credit_ -= 1;
-  step_.send.push_back({to, std::move(body)});
+  message_tokens_ -= 1;
+  pending_result_.messages.push_back({to, std::move(body)});
 }
 
 // The next in order from `place` on, once round at the most.
 template <class Which>
-std::optional<MemberId> Membership::following(std::size_t& place, Which which) const {
-  for (std::size_t i = 0; i < order_.size(); ++i) {
-    place = (place + 1) % order_.size();
-    if (which(entries_[order_[place]])) return order_[place];
+std::optional<MemberId> Membership::next_matching(std::size_t& place, Which which) const {
+  for (std::size_t i = 0; i < probe_order_.size(); ++i) {
+    place = (place + 1) % probe_order_.size();
+    if (which(records_[probe_order_[place]])) return probe_order_[place];
   }
   return std::nullopt;
 }
 
-void Membership::round(Time now) {
-  next_round_ += settings_.period;
-  if (next_round_ <= now) next_round_ = now + settings_.period;
-  for (std::size_t i = 0; i < entries_.size(); ++i) {
-    if (entries_[i].state == State::kGone && entries_[i].until <= now) {
-      move(static_cast<MemberId>(i), State::kUnknown, entries_[i].incarnation, now);
+void Membership::run_protocol_period(Time now) {
+  next_period_at_ += settings_.probe_interval;
+  if (next_period_at_ <= now) next_period_at_ = now + settings_.probe_interval;
+  for (std::size_t i = 0; i < records_.size(); ++i) {
+    if (records_[i].state == RecordState::kFailed && records_[i].state_deadline <= now) {
+      set_state(static_cast<MemberId>(i), RecordState::kUnknown, records_[i].incarnation, now);
     }
   }
   // A place is left behind only by a probe, so each of those held has one in each pass.
-  for (std::size_t looked = 0; looked < 2 * order_.size() && probes_.size() < kMostProbes; ++looked) {
-    if (probe_at_ >= order_.size()) {
-      probe_at_ = 0;
-      std::shuffle(order_.begin(), order_.end(), random_);
+  for (std::size_t looked = 0; looked < 2 * probe_order_.size() && probes_.size() < kMaxProbes; ++looked) {
+    if (probe_index_ >= probe_order_.size()) {
+      probe_index_ = 0;
+      std::shuffle(probe_order_.begin(), probe_order_.end(), random_);
     }
-    const MemberId member = order_[probe_at_++];
-    if (!is_held(entries_[member].state)) continue;
-    ++figures_.probes;
-    probes_.push_back(
-        {member, next_number_, entries_[member].incarnation, now + settings_.direct, now + settings_.period});
-    say(member, Ping{next_number_++});
+    const MemberId member = probe_order_[probe_index_++];
+    if (!counts_as_alive(records_[member].state)) continue;
+    ++metrics_.probes;
+    probes_.push_back({member, next_number_, records_[member].incarnation, now + settings_.ping_timeout,
+                       now + settings_.probe_interval});
+    enqueue(member, Ping{next_number_++});
     break;
   }
   // One whom we accuse hears of it at once, and its answer clears it with us, who spread the word.
-  const auto accused = following(
-      accuse_at_, [](const Entry& entry) { return entry.state == State::kSuspect && entry.accused; });
-  if (accused) say(*accused, Ping{next_number_++});
-  knock();
+  const auto accused = next_matching(suspect_index_, [](const MemberRecord& entry) {
+    return entry.state == RecordState::kSuspect && entry.suspected_locally;
+  });
+  if (accused) enqueue(*accused, Ping{next_number_++});
+  send_join_pings();
 }
 
 // Pings that prove nothing if they are not answered: they find who came back, where no probe goes.
-void Membership::knock() {
-  odd_round_ = !odd_round_;
-  if (odd_round_) {
-    const auto absent = following(knock_at_, [](const Entry& entry) { return !is_held(entry.state); });
-    if (absent) say(*absent, Ping{next_number_++});
+void Membership::send_join_pings() {
+  odd_period_ = !odd_period_;
+  if (odd_period_) {
+    const auto absent =
+        next_matching(join_index_, [](const MemberRecord& entry) { return !counts_as_alive(entry.state); });
+    if (absent) enqueue(*absent, Ping{next_number_++});
   }
   if (current_) return;
   std::optional<MemberId> first;
-  for (int i = 0; i < settings_.hurry; ++i) {
-    const auto unheard =
-        following(hurry_at_, [](const Entry& entry) { return !entry.heard && entry.state != State::kGone; });
+  for (int i = 0; i < settings_.fast_probe_count; ++i) {
+    const auto unheard = next_matching(fast_probe_index_, [](const MemberRecord& entry) {
+      return !entry.has_acked && entry.state != RecordState::kFailed;
+    });
     if (!unheard || unheard == first) break;
     if (!first) first = unheard;
-    say(*unheard, Ping{next_number_++});
+    enqueue(*unheard, Ping{next_number_++});
   }
 }
 
-void Membership::end_probes(Time now) {
+void Membership::expire_probes(Time now) {
   for (Probe& probe : probes_) {
-    if (probe.asked || probe.direct > now) continue;
-    probe.asked = true;
-    ++figures_.indirect;
-    say(probe.member, Ping{probe.number});
+    if (probe.indirect_sent || probe.ping_deadline > now) continue;
+    probe.indirect_sent = true;
+    ++metrics_.indirect_probes;
+    enqueue(probe.member, Ping{probe.number});
     std::vector<MemberId> able;
-    for (const MemberId member : order_) {
-      if (member != probe.member && entries_[member].state == State::kAlive) able.push_back(member);
+    for (const MemberId member : probe_order_) {
+      if (member != probe.member && records_[member].state == RecordState::kAlive) able.push_back(member);
     }
     for (std::size_t i = 0;
-         i < std::min<std::size_t>(able.size(), static_cast<std::size_t>(settings_.proxies)); ++i) {
+         i < std::min<std::size_t>(able.size(), static_cast<std::size_t>(settings_.indirect_ping_count));
+         ++i) {
       std::swap(able[i], able[i + random_() % (able.size() - i)]);
-      say(able[i], PingFor{probe.number, probe.member});
+      enqueue(able[i], PingRequest{probe.number, probe.member});
     }
   }
   const auto over = std::stable_partition(probes_.begin(), probes_.end(),
-                                          [&](const Probe& probe) { return probe.until > now; });
+                                          [&](const Probe& probe) { return probe.deadline > now; });
   for (auto probe = over; probe != probes_.end(); ++probe) {
-    Entry& entry = entries_[probe->member];
+    MemberRecord& entry = records_[probe->member];
     // Heard of anew meanwhile: the silence was another's.
-    if (entry.state != State::kAlive || entry.incarnation != probe->incarnation) continue;
-    ++figures_.suspicions;
-    move(probe->member, State::kSuspect, entry.incarnation, now);
-    entry.accused = true;
+    if (entry.state != RecordState::kAlive || entry.incarnation != probe->incarnation) continue;
+    ++metrics_.suspicions;
+    set_state(probe->member, RecordState::kSuspect, entry.incarnation, now);
+    entry.suspected_locally = true;
   }
   probes_.erase(over, probes_.end());
 }
 
-void Membership::end_suspicions(Time now) {
-  for (std::size_t i = 0; i < entries_.size(); ++i) {
-    const Entry& entry = entries_[i];
-    if (entry.state == State::kSuspect && entry.until <= now) {
-      move(static_cast<MemberId>(i), State::kGone, entry.incarnation, now);
+void Membership::expire_suspicions(Time now) {
+  for (std::size_t i = 0; i < records_.size(); ++i) {
+    const MemberRecord& entry = records_[i];
+    if (entry.state == RecordState::kSuspect && entry.state_deadline <= now) {
+      set_state(static_cast<MemberId>(i), RecordState::kFailed, entry.incarnation, now);
     }
   }
 }
 
-void Membership::move(MemberId member, State state, Incarnation incarnation, Time now) {
-  Entry& entry = entries_[member];
-  if (state != entry.state) step_.changes.push_back({member, shown(entry.state), shown(state)});
-  if (is_held(state) != is_held(entry.state)) is_held(state) ? ++held_ : --held_;
+void Membership::set_state(MemberId member, RecordState state, Incarnation incarnation, Time now) {
+  MemberRecord& entry = records_[member];
+  if (state != entry.state)
+    pending_result_.changes.push_back({member, to_member_state(entry.state), to_member_state(state)});
+  if (counts_as_alive(state) != counts_as_alive(entry.state))
+    counts_as_alive(state) ? ++alive_others_ : --alive_others_;
   entry.state = state;
   entry.incarnation = incarnation;
-  entry.sent = 0;
-  entry.accused = false;
-  if (state == State::kSuspect) entry.until = now + span_;
-  if (state == State::kGone) entry.until = now + settings_.forget;
+  entry.transmissions = 0;
+  entry.suspected_locally = false;
+  if (state == RecordState::kSuspect) entry.state_deadline = now + suspicion_timeout_;
+  if (state == RecordState::kFailed) entry.state_deadline = now + settings_.failed_member_retention;
 }
 
-void Membership::hear(MemberId from, Incarnation incarnation, Time now) {
-  Entry& entry = entries_[from];
+void Membership::record_sender(MemberId from, Incarnation incarnation, Time now) {
+  MemberRecord& entry = records_[from];
   if (incarnation > entry.incarnation) {
     // One that only refutes has a table.
-    if (entry.state != State::kSuspect) entry.greet = true;
-    move(from, State::kAlive, incarnation, now);
+    if (entry.state != RecordState::kSuspect) entry.needs_full_table = true;
+    set_state(from, RecordState::kAlive, incarnation, now);
   }
   // It started with a clock behind its predecessor's; told so, it takes a higher one.
-  entry.behind = incarnation < entry.incarnation;
+  entry.has_stale_incarnation = incarnation < entry.incarnation;
 }
 
-void Membership::learn(const Rumour& rumour, Time now) {
-  if (rumour.member >= entries_.size()) {
-    ++figures_.strangers;
+void Membership::apply_update(const GossipUpdate& rumour, Time now) {
+  if (rumour.member >= records_.size()) {
+    ++metrics_.unknown_members;
     return;
   }
-  if (!possible(rumour.incarnation)) {
-    ++figures_.ignored;
+  if (!is_valid_incarnation(rumour.incarnation)) {
+    ++metrics_.ignored_updates;
     return;
   }
   if (rumour.member == settings_.self) {
-    if (rumour.incarnation < own_) {
-      ++figures_.ignored;
-    } else if (rumour.incarnation > own_ || rumour.state != MemberState::kAlive) {
-      own_ = rumour.incarnation + 1;
-      ++figures_.refutations;
+    if (rumour.incarnation < own_incarnation_) {
+      ++metrics_.ignored_updates;
+    } else if (rumour.incarnation > own_incarnation_ || rumour.state != MemberState::kAlive) {
+      own_incarnation_ = rumour.incarnation + 1;
+      ++metrics_.refutations;
     }
     return;
   }
-  const Entry& entry = entries_[rumour.member];
+  const MemberRecord& entry = records_[rumour.member];
   if (rumour.incarnation < entry.incarnation) {
-    ++figures_.ignored;
+    ++metrics_.ignored_updates;
     return;
   }
-  const State said = rumour.state == MemberState::kAlive     ? State::kAlive
-                     : rumour.state == MemberState::kSuspect ? State::kSuspect
-                                                             : State::kGone;
+  const RecordState said = rumour.state == MemberState::kAlive     ? RecordState::kAlive
+                           : rumour.state == MemberState::kSuspect ? RecordState::kSuspect
+                                                                   : RecordState::kFailed;
   // Of one incarnation the worse word stands; the unknown that has one was gone.
-  const State held = entry.state == State::kUnknown ? State::kGone : entry.state;
+  const RecordState held = entry.state == RecordState::kUnknown ? RecordState::kFailed : entry.state;
   if (rumour.incarnation > entry.incarnation || said > held)
-    move(rumour.member, said, rumour.incarnation, now);
+    set_state(rumour.member, said, rumour.incarnation, now);
 }
 
-void Membership::relay(MemberId from, const PingFor& ask, Time now) {
+void Membership::relay_ping(MemberId from, const PingRequest& ask, Time now) {
   if (ask.about == settings_.self) {
-    say(from, Ack{ask.number, settings_.self});
+    enqueue(from, Ack{ask.number, settings_.self});
     return;
   }
-  if (ask.about >= entries_.size() || ask.about == from) {
-    ++figures_.strangers;
+  if (ask.about >= records_.size() || ask.about == from) {
+    ++metrics_.unknown_members;
     return;
   }
-  std::erase_if(relays_, [&](const Relay& relay) { return relay.until <= now; });
-  if (relays_.size() >= kMostRelays) {
-    ++figures_.held_back;
+  std::erase_if(relays_, [&](const Relay& relay) { return relay.deadline <= now; });
+  if (relays_.size() >= kMaxRelays) {
+    ++metrics_.rate_limited;
     return;
   }
-  relays_.push_back({from, ask.about, next_number_, ask.number, now + settings_.period});
-  say(ask.about, Ping{next_number_++});
+  relays_.push_back({from, ask.about, next_number_, ask.number, now + settings_.probe_interval});
+  enqueue(ask.about, Ping{next_number_++});
 }
 
-void Membership::answered(MemberId from, const Ack& ack) {
+void Membership::handle_ack(MemberId from, const Ack& ack) {
   std::erase_if(probes_,
                 [&](const Probe& probe) { return probe.number == ack.number && probe.member == ack.about; });
   if (ack.about != from) return;
   const auto relay = std::find_if(relays_.begin(), relays_.end(), [&](const Relay& each) {
-    return each.number == ack.number && each.about == from;
+    return each.number == ack.number && each.target == from;
   });
   if (relay != relays_.end()) {
-    say(relay->asker, Ack{relay->askers, from});
+    enqueue(relay->requester, Ack{relay->requester_number, from});
     relays_.erase(relay);
   }
-  Entry& entry = entries_[from];
-  const bool ours = ack.number - since_ < next_number_ - since_;  // numbers may run over
-  if (ours && !entry.heard) {
-    entry.heard = true;
-    ++heard_;
+  MemberRecord& entry = records_[from];
+  const bool ours =
+      ack.number - first_valid_number_ < next_number_ - first_valid_number_;  // numbers may run over
+  if (ours && !entry.has_acked) {
+    entry.has_acked = true;
+    ++acked_count_;
   }
 }
 
-std::vector<Rumour> Membership::rumours(MemberId to, std::size_t most) {
-  std::vector<Rumour> out;
-  if (to >= entries_.size() || to == settings_.self || most == 0) return out;
+std::vector<GossipUpdate> Membership::gossip_for(MemberId to, std::size_t most) {
+  std::vector<GossipUpdate> out;
+  if (to >= records_.size() || to == settings_.self || most == 0) return out;
   const auto tell = [&](MemberId member) {
-    const Entry& entry = entries_[member];
-    out.push_back({member, entry.incarnation, shown(entry.state).value_or(MemberState::kGone)});
+    const MemberRecord& entry = records_[member];
+    out.push_back({member, entry.incarnation, to_member_state(entry.state).value_or(MemberState::kFailed)});
   };
-  Entry& receiver = entries_[to];
+  MemberRecord& receiver = records_[to];
   // What is held against it, so that it may refute: unknown with an incarnation was gone.
-  if (receiver.incarnation > 0 && (receiver.state != State::kAlive || receiver.behind)) tell(to);
+  if (receiver.incarnation > 0 && (receiver.state != RecordState::kAlive || receiver.has_stale_incarnation))
+    tell(to);
   const std::size_t room =
-      receiver.greet ? most : std::min(most, static_cast<std::size_t>(settings_.rumours));
-  receiver.greet = false;
+      receiver.needs_full_table
+          ? most
+          : std::min(most, static_cast<std::size_t>(settings_.gossip_updates_per_message));
+  receiver.needs_full_table = false;
 
-  const std::size_t members = entries_.size();
+  const std::size_t members = records_.size();
   std::vector<MemberId> news;
   for (std::size_t i = 0; i < members; ++i) {
-    const auto member = static_cast<MemberId>((tour_at_ + i) % members);
-    const Entry& entry = entries_[member];
-    if (member == to || member == settings_.self || entry.state == State::kUnknown) continue;
-    if (entry.sent < tellings_) news.push_back(member);
+    const auto member = static_cast<MemberId>((table_cursor_ + i) % members);
+    const MemberRecord& entry = records_[member];
+    if (member == to || member == settings_.self || entry.state == RecordState::kUnknown) continue;
+    if (entry.transmissions < max_transmissions_) news.push_back(member);
   }
-  std::stable_sort(news.begin(), news.end(),
-                   [&](MemberId a, MemberId b) { return entries_[a].sent < entries_[b].sent; });
+  std::stable_sort(news.begin(), news.end(), [&](MemberId a, MemberId b) {
+    return records_[a].transmissions < records_[b].transmissions;
+  });
   if (news.size() > room - std::min(room, out.size())) news.resize(room - std::min(room, out.size()));
   for (const MemberId member : news) {
     tell(member);
-    ++entries_[member].sent;
+    ++records_[member].transmissions;
   }
   // The room that is left repairs what others missed. Who has just woken has nothing to repair with.
   for (std::size_t i = 0; current_ && i < members && out.size() < room; ++i) {
-    const auto member = static_cast<MemberId>(tour_at_);
-    tour_at_ = (tour_at_ + 1) % members;
-    if (member == to || member == settings_.self || entries_[member].state == State::kUnknown) continue;
+    const auto member = static_cast<MemberId>(table_cursor_);
+    table_cursor_ = (table_cursor_ + 1) % members;
+    if (member == to || member == settings_.self || records_[member].state == RecordState::kUnknown) continue;
     if (std::find(news.begin(), news.end(), member) == news.end()) tell(member);
   }
   return out;
--- a/src/decide/fleet/membership.h
+++ b/src/decide/fleet/membership.h
@@ -29,21 +29,21 @@
 
 struct MembershipSettings {
   MemberId self = 0;
-  std::size_t members = 1;                           // configured, itself included
-  Duration period = std::chrono::milliseconds(500);  // between two probes
-  Duration direct = std::chrono::milliseconds(150);  // for a ping's answer, until others are asked
-  int proxies = 3;                                   // asked to ping for us; 0 to 16
-  double suspicion = 3;                              // times log2(members + 1) periods: the suspicion span
-  Duration forget = std::chrono::minutes(10);        // a gone member is unknown after this
-  Duration wake_after = std::chrono::milliseconds(2000);    // a tick this late: the process was stopped
-  Duration alone_after = std::chrono::milliseconds(10000);  // nobody heard for this: alone, and current
-  int rumours = 8;                                          // of each message; a greeting takes all the room
-  int messages = 64;  // a second that are sent at the most, answers included
-  int hurry = 5;      // pings more a period until current
+  std::size_t member_count = 1;                              // configured, itself included
+  Duration probe_interval = std::chrono::milliseconds(500);  // between two probes
+  Duration ping_timeout = std::chrono::milliseconds(150);    // for a ping's answer, until others are asked
+  int indirect_ping_count = 3;                               // asked to ping for us; 0 to 16
+  double suspicion_multiplier = 3;  // times log2(members + 1) periods: the suspicion span
+  Duration failed_member_retention = std::chrono::minutes(10);    // a gone member is unknown after this
+  Duration stall_threshold = std::chrono::milliseconds(2000);     // a tick this late: the process was stopped
+  Duration isolation_timeout = std::chrono::milliseconds(10000);  // nobody heard for this: alone, and current
+  int gossip_updates_per_message = 8;  // of each message; a greeting takes all the room
+  int max_messages_per_second = 64;    // a second that are sent at the most, answers included
+  int fast_probe_count = 5;            // pings more a period until current
 
-  Duration span() const;        // from suspect to gone: the fleet's size tells how long words travel
-  Duration wake_bound() const;  // so late is a stall
-  std::string fault() const;    // what is wrong and what to set instead; empty: nothing
+  Duration suspicion_timeout() const;  // from suspect to gone: the fleet's size tells how long words travel
+  Duration effective_stall_threshold() const;  // so late is a stall
+  std::string fault() const;                   // what is wrong and what to set instead; empty: nothing
 };
 
 class Membership {
@@ -52,109 +52,112 @@
   // Throws std::invalid_argument with settings().fault().
   Membership(const MembershipSettings& settings, Incarnation start, std::uint64_t seed, Time now);
 
-  struct Change {
+  struct MemberChange {
     MemberId member = 0;
     std::optional<MemberState> before, after;  // nothing: unknown
-    bool operator==(const Change&) const = default;
+    bool operator==(const MemberChange&) const = default;
   };
-  struct Step {
-    std::vector<Outgoing> send;
-    std::vector<Change> changes;
+  struct Result {
+    std::vector<OutgoingMessage> messages;
+    std::vector<MemberChange> changes;
   };
   // At next_due() or a little after.
-  Step tick(Time now);
+  Result tick(Time now);
   // A message whose proof is good. Bodies other than Ping, PingFor and Ack count as words of their sender
   // alone.
-  Step on(Time now, MemberId from, Incarnation incarnation, const Body& body,
-          const std::vector<Rumour>& rumours);
+  Result receive(Time now, MemberId from, Incarnation incarnation, const MessageBody& body,
+                 const std::vector<GossipUpdate>& rumours);
   // What rides on the message that goes to `to` now, at most `most`: what is held against it, news (each told
   // about 3 log2 n times, the least told first), then the table in turn.
-  std::vector<Rumour> rumours(MemberId to, std::size_t most);
+  std::vector<GossipUpdate> gossip_for(MemberId to, std::size_t most);
 
-  Time next_due() const { return due_; }
+  Time next_due() const { return next_due_; }
   // Goes with every message.
-  Incarnation incarnation() const { return own_; }
+  Incarnation incarnation() const { return own_incarnation_; }
   // Nothing: not heard of since the start, or gone for long. Of itself: alive.
   std::optional<MemberState> state_of(MemberId member) const;
   // Itself, and those alive or suspect: one lost datagram must not move anybody's share.
-  std::vector<MemberId> alive() const;
-  std::size_t alive_count() const { return held_ + 1; }
+  std::vector<MemberId> alive_members() const;
+  std::size_t alive_count() const { return alive_others_ + 1; }
   // False: it has started or woken, or should have ticked long ago, and what it holds may be old.
   bool is_current(Time now) const;
 
-  struct Figures {
-    std::uint64_t probes = 0, indirect = 0;  // probes begun, and those that asked others
-    std::uint64_t suspicions = 0;            // own, by a probe that nobody answered
-    std::uint64_t refutations = 0;           // of suspicions of itself
-    std::uint64_t wakes = 0;
-    std::uint64_t ignored = 0;    // rumours older than what is held, or with an incarnation that can't be
-    std::uint64_t strangers = 0;  // messages of and rumours about members that are not configured
-    std::uint64_t held_back = 0;  // messages above `messages` a second
+  struct Metrics {
+    std::uint64_t probes = 0, indirect_probes = 0;  // probes begun, and those that asked others
+    std::uint64_t suspicions = 0;                   // own, by a probe that nobody answered
+    std::uint64_t refutations = 0;                  // of suspicions of itself
+    std::uint64_t stalls = 0;
+    std::uint64_t ignored_updates =
+        0;  // rumours older than what is held, or with an incarnation that can't be
+    std::uint64_t unknown_members = 0;  // messages of and rumours about members that are not configured
+    std::uint64_t rate_limited = 0;     // messages above `messages` a second
   };
-  const Figures& figures() const { return figures_; }
+  const Metrics& metrics() const { return metrics_; }
 
  private:
-  enum class State : std::uint8_t { kUnknown, kAlive, kSuspect, kGone };
-  struct Entry {
+  enum class RecordState : std::uint8_t { kUnknown, kAlive, kSuspect, kFailed };
+  struct MemberRecord {
     Incarnation incarnation = 0;
-    Time until{};            // suspect: gone then; gone: forgotten then
-    std::uint16_t sent = 0;  // times that its last change was told
-    State state = State::kUnknown;
-    bool accused : 1 = false;  // the suspicion is our own
-    bool greet : 1 = false;    // new to us: gets the table
-    bool behind : 1 = false;   // its last message had an older incarnation than is known of it
-    bool heard : 1 = false;    // has answered since the start or waking
+    Time state_deadline{};            // suspect: gone then; gone: forgotten then
+    std::uint16_t transmissions = 0;  // times that its last change was told
+    RecordState state = RecordState::kUnknown;
+    bool suspected_locally : 1 = false;      // the suspicion is our own
+    bool needs_full_table : 1 = false;       // new to us: gets the table
+    bool has_stale_incarnation : 1 = false;  // its last message had an older incarnation than is known of it
+    bool has_acked : 1 = false;              // has answered since the start or waking
   };
   struct Probe {
     MemberId member;
     std::uint32_t number;
     Incarnation incarnation;
-    Time direct, until;
-    bool asked = false;
+    Time ping_deadline, deadline;
+    bool indirect_sent = false;
   };
   struct Relay {
-    MemberId asker, about;
-    std::uint32_t number, askers;  // the ping's, and the one the asker knows
-    Time until;
+    MemberId requester, target;
+    std::uint32_t number, requester_number;  // the ping's, and the one the asker knows
+    Time deadline;
   };
 
-  static bool is_held(State state) { return state == State::kAlive || state == State::kSuspect; }
-  static std::optional<MemberState> shown(State state);
-  void look_at_clock(Time now);
-  void wake(Time now);
-  void forgive_lateness(Time now);
-  void round(Time now);
-  void knock();
-  void end_probes(Time now);
-  void end_suspicions(Time now);
-  void hear(MemberId from, Incarnation incarnation, Time now);
-  void learn(const Rumour& rumour, Time now);
-  void answered(MemberId from, const Ack& ack);
-  void relay(MemberId from, const PingFor& ask, Time now);
-  void move(MemberId member, State state, Incarnation incarnation, Time now);
-  void say(MemberId to, Body body);
+  static bool counts_as_alive(RecordState state) {
+    return state == RecordState::kAlive || state == RecordState::kSuspect;
+  }
+  static std::optional<MemberState> to_member_state(RecordState state);
+  void update_clock(Time now);
+  void recover_from_stall(Time now);
+  void extend_deadlines_after_delay(Time now);
+  void run_protocol_period(Time now);
+  void send_join_pings();
+  void expire_probes(Time now);
+  void expire_suspicions(Time now);
+  void record_sender(MemberId from, Incarnation incarnation, Time now);
+  void apply_update(const GossipUpdate& rumour, Time now);
+  void handle_ack(MemberId from, const Ack& ack);
+  void relay_ping(MemberId from, const PingRequest& ask, Time now);
+  void set_state(MemberId member, RecordState state, Incarnation incarnation, Time now);
+  void enqueue(MemberId to, MessageBody body);
   template <class Which>
-  std::optional<MemberId> following(std::size_t& place, Which which) const;
-  Step finish(Time now);
+  std::optional<MemberId> next_matching(std::size_t& place, Which which) const;
+  Result take_result(Time now);
 
   MembershipSettings settings_;
-  Duration span_, wake_bound_;
-  unsigned tellings_;  // of each change
-  std::vector<Entry> entries_;
-  Incarnation own_;
+  Duration suspicion_timeout_, stall_threshold_;
+  unsigned max_transmissions_;  // of each change
+  std::vector<MemberRecord> records_;
+  Incarnation own_incarnation_;
   std::mt19937 random_;
-  std::vector<MemberId> order_;                                             // of probes, all others
-  std::size_t probe_at_ = 0, knock_at_ = 0, hurry_at_ = 0, accuse_at_ = 0;  // places in it
-  std::size_t tour_at_ = 0;  // the next member that the table's tour tells of
+  std::vector<MemberId> probe_order_;  // of probes, all others
+  std::size_t probe_index_ = 0, join_index_ = 0, fast_probe_index_ = 0, suspect_index_ = 0;  // places in it
+  std::size_t table_cursor_ = 0;  // the next member that the table's tour tells of
   std::vector<Probe> probes_;
   std::vector<Relay> relays_;
-  std::uint32_t next_number_ = 0, since_ = 0;  // the first number used since the start or waking
-  std::size_t held_ = 0, heard_ = 0;
-  bool current_ = false, odd_round_ = false;
-  double credit_ = 0;  // messages
-  Time credit_at_, began_, next_round_, due_, last_;
-  Step step_;
-  Figures figures_;
+  std::uint32_t next_number_ = 0, first_valid_number_ = 0;  // the first number used since the start or waking
+  std::size_t alive_others_ = 0, acked_count_ = 0;
+  bool current_ = false, odd_period_ = false;
+  double message_tokens_ = 0;  // messages
+  Time tokens_updated_at_, started_at_, next_period_at_, next_due_, last_event_at_;
+  Result pending_result_;
+  Metrics metrics_;
 };
 
 }  // namespace rookproxy::decide::fleet
--- a/src/decide/fleet/replay.h
+++ b/src/decide/fleet/replay.h
@@ -14,39 +14,39 @@
 
 // A window of 64 sequences below the highest that was taken, as in RFC 4303, section 3.4.3: what is older
 // than the window can't be told from a repeat and is none the better for being late.
-class Replay {
+class ReplayWindow {
  public:
-  enum class Verdict : std::uint8_t {
+  enum class Result : std::uint8_t {
     kNew = 0,
-    kSeen = 1,      // that very sequence was taken before
-    kTooOld = 2,    // below the window
-    kFormer = 3,    // of an incarnation before the one that was heard
-    kAhead = 4,     // of an incarnation that begins after now
-    kStranger = 5,  // no member
+    kDuplicate = 1,          // that very sequence was taken before
+    kTooOld = 2,             // below the window
+    kOldIncarnation = 3,     // of an incarnation before the one that was heard
+    kFutureIncarnation = 4,  // of an incarnation that begins after now
+    kUnknownMember = 5,      // no member
   };
-  static constexpr std::size_t kVerdicts = 6;
+  static constexpr std::size_t kResultCount = 6;
 
   // `members`: how many are configured, which bounds the table. `ahead`: how far a member's clock may be
   // before ours. An incarnation is the time of a start; one in the far future, believed once, would make
   // every real one of that member a former one for good.
-  Replay(std::size_t members, Duration ahead);
+  ReplayWindow(std::size_t members, Duration ahead);
 
   // Of a datagram whose proof and shape were found good: only kNew is to be handed on, and only it moves
   // anything here.
-  Verdict take(MemberId sender, Incarnation incarnation, std::uint64_t sequence, Time now);
-  std::uint64_t count(Verdict verdict) const { return counts_[static_cast<std::size_t>(verdict)]; }
+  Result check(MemberId sender, Incarnation incarnation, std::uint64_t sequence, Time now);
+  std::uint64_t count(Result verdict) const { return counts_[static_cast<std::size_t>(verdict)]; }
 
  private:
-  struct Heard {
+  struct SenderState {
     Incarnation incarnation = 0;
     std::uint64_t highest = 0;
     std::uint64_t window = 0;  // bit n: `highest` less n was taken. 0: nothing was heard yet
   };
-  Verdict judge(MemberId sender, Incarnation incarnation, std::uint64_t sequence, Time now);
+  Result classify(MemberId sender, Incarnation incarnation, std::uint64_t sequence, Time now);
 
-  Duration ahead_;
-  std::vector<Heard> heard_;
-  std::array<std::uint64_t, kVerdicts> counts_{};
+  Duration max_clock_skew_;
+  std::vector<SenderState> senders_;
+  std::array<std::uint64_t, kResultCount> counts_{};
 };
 
 }  // namespace rookproxy::decide::fleet
--- a/src/decide/fleet/types.h
+++ b/src/decide/fleet/types.h
@@ -13,20 +13,20 @@
 
 // A dispatcher's place in the configured list of all of them, which is the same list at each. From 0 up.
 using MemberId = std::uint16_t;
-constexpr std::size_t kMostMembers = 1024;  // configured; more is a settings error
+constexpr std::size_t kMaxMembers = 1024;  // configured; more is a settings error
 
 // Of one process: the microseconds of its start, then one more each time it refutes a suspicion. So a process
 // that was started anew stands above its predecessor though no disk tells it of that one. SWIM (Das, Gupta,
 // Motivala: "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership Protocol", 2002).
 using Incarnation = std::uint64_t;
 
-enum class MemberState : std::uint8_t { kAlive = 0, kSuspect = 1, kGone = 2 };
+enum class MemberState : std::uint8_t { kAlive = 0, kSuspect = 1, kFailed = 2 };
 
-struct Rumour {
+struct GossipUpdate {
   MemberId member = 0;
   Incarnation incarnation = 0;
   MemberState state = MemberState::kAlive;
-  bool operator==(const Rumour&) const = default;
+  bool operator==(const GossipUpdate&) const = default;
 };
 
 // ---- the fleet plan: the one register that a majority changes --------------------------------------------
@@ -62,14 +62,14 @@
 };
 
 // At most this many entries of each kind, so that a plan fits one datagram beside its ballot and its proof.
-constexpr std::size_t kMostZones = 8, kMostRetirements = 4;
+constexpr std::size_t kMaxZones = 8, kMaxRetirements = 4;
 
-struct FleetPlan {
+struct ClusterConfig {
   std::uint32_t epoch = 0;        // 0: the settings, as every dispatcher has them at its start
   std::uint32_t fingerprint = 0;  // of the operator's list of zones and sites
   std::vector<ZonePlan> zones;
   std::vector<RetirementPlan> retirements;
-  bool operator==(const FleetPlan&) const = default;
+  bool operator==(const ClusterConfig&) const = default;
 };
 
 // ---- messages ---------------------------------------------------------------------------------------------
@@ -86,10 +86,10 @@
   std::uint32_t number = 0;
   bool operator==(const Ping&) const = default;
 };
-struct PingFor {  // probe `about` for me
+struct PingRequest {  // probe `about` for me
   std::uint32_t number = 0;
   MemberId about = 0;
-  bool operator==(const PingFor&) const = default;
+  bool operator==(const PingRequest&) const = default;
 };
 struct Ack {
   std::uint32_t number = 0;
@@ -107,17 +107,17 @@
   std::uint32_t epoch = 0;
   Ballot ballot;                   // promised
   std::optional<Ballot> accepted;  // with `plan`: what it has accepted in this epoch, if anything
-  std::optional<FleetPlan> plan;
+  std::optional<ClusterConfig> plan;
   bool operator==(const Promise&) const = default;
 };
-struct Refusal {  // a higher ballot was promised, or the epoch is decided: then the plan follows as `Chosen`
+struct Nack {  // a higher ballot was promised, or the epoch is decided: then the plan follows as `Chosen`
   std::uint32_t epoch = 0;
   Ballot promised;
-  bool operator==(const Refusal&) const = default;
+  bool operator==(const Nack&) const = default;
 };
 struct Accept {
   Ballot ballot;
-  FleetPlan plan;
+  ClusterConfig plan;
   bool operator==(const Accept&) const = default;
 };
 struct Accepted {
@@ -126,21 +126,23 @@
   bool operator==(const Accepted&) const = default;
 };
 struct Chosen {  // the plan of its epoch: decided, for good
-  FleetPlan plan;
+  ClusterConfig plan;
   bool operator==(const Chosen&) const = default;
 };
-struct Ask {  // what is decided? `number` comes back with the answer; also who renews a lease asks this
+struct RecoveryQuery {  // what is decided? `number` comes back with the answer; also who renews a lease asks
+                        // this
   std::uint32_t number = 0;
   std::uint32_t epoch = 0;  // the asker's
-  bool operator==(const Ask&) const = default;
+  bool operator==(const RecoveryQuery&) const = default;
 };
-struct Tell {  // the answer, where the epoch is the asker's or less; a newer plan comes as `Chosen` beside it
+struct RecoveryReply {  // the answer, where the epoch is the asker's or less; a newer plan comes as `Chosen`
+                        // beside it
   std::uint32_t number = 0;
   std::uint32_t epoch = 0;
   bool votes = false;  // in the epoch after this one; false: it has started lately
   // With `votes`: the last epoch in which it may have voted, before a restart of its own too.
   std::uint32_t voted = 0;
-  bool operator==(const Tell&) const = default;
+  bool operator==(const RecoveryReply&) const = default;
 };
 struct Lease {  // a majority has told the sender that it holds this epoch
   std::uint32_t epoch = 0;
@@ -150,15 +152,15 @@
 };
 
 // Evidence on zones is B's; its message joins here with it.
-using Body =
-    std::variant<Ping, PingFor, Ack, Prepare, Promise, Refusal, Accept, Accepted, Chosen, Ask, Tell, Lease>;
+using MessageBody = std::variant<Ping, PingRequest, Ack, Prepare, Promise, Nack, Accept, Accepted, Chosen,
+                                 RecoveryQuery, RecoveryReply, Lease>;
 
 // What a decider wants sent. The one who carries it adds sender, incarnation, sequence and proof, and fills
 // the room that is left with rumours.
-struct Outgoing {
+struct OutgoingMessage {
   MemberId to = 0;
-  Body body;
-  bool operator==(const Outgoing&) const = default;
+  MessageBody body;
+  bool operator==(const OutgoingMessage&) const = default;
 };
 
 }  // namespace rookproxy::decide::fleet
--- a/src/decide/poll_schedule.cpp
+++ b/src/decide/poll_schedule.cpp
@@ -5,19 +5,19 @@
 namespace rookproxy::decide {
 
 namespace {
-constexpr double kVaries = 0.1;
+constexpr double kJitter = 0.1;
 }  // namespace
 
-Duration PollSchedule::next(double draw) {
+Duration PollSchedule::next_pause(double draw) {
   draw = std::clamp(draw, 0.0, 1.0);
-  const double share = first_ ? draw : 1 - kVaries + 2 * kVaries * draw;
-  first_ = false;
+  const double share = is_first_ ? draw : 1 - kJitter + 2 * kJitter * draw;
+  is_first_ = false;
   return std::max(Duration(1),
                   Duration(static_cast<Duration::rep>(static_cast<double>(interval_.count()) * share)));
 }
 
-Duration PollSchedule::longest_pause() const {
-  return std::chrono::duration_cast<Duration>(interval_ * (1 + kVaries));
+Duration PollSchedule::max_pause() const {
+  return std::chrono::duration_cast<Duration>(interval_ * (1 + kJitter));
 }
 
 }  // namespace rookproxy::decide
--- a/src/decide/poll_schedule.h
+++ b/src/decide/poll_schedule.h
@@ -14,12 +14,12 @@
   // The pause after a question, `draw` being random from 0 to below 1. The first puts the dispatcher anywhere
   // in the interval; later ones vary by a tenth, so that whoever falls into step falls out of it again. At
   // most 1.1 intervals: an engine's drain is heard no later for it than that.
-  Duration next(double draw);
-  Duration longest_pause() const;
+  Duration next_pause(double draw);
+  Duration max_pause() const;
 
  private:
   Duration interval_;
-  bool first_ = true;
+  bool is_first_ = true;
 };
 
 }  // namespace rookproxy::decide
--- a/src/decide/revocation.cpp
+++ b/src/decide/revocation.cpp
@@ -2,11 +2,12 @@
 
 namespace rookproxy::decide {
 
-CrlStanding judge_crl(const std::optional<CrlTimes>& crl, Time now, Duration grace, Duration leeway) {
-  if (!crl) return CrlStanding::kMissing;
-  if (now + leeway < crl->this_update) return CrlStanding::kFromFuture;
-  if (!crl->next_update || now < *crl->next_update) return CrlStanding::kFresh;
-  return now < *crl->next_update + grace ? CrlStanding::kInGrace : CrlStanding::kTooOld;
+RevocationStatus revocation_status(const std::optional<CrlTimes>& crl, Time now, Duration grace,
+                                   Duration leeway) {
+  if (!crl) return RevocationStatus::kMissing;
+  if (now + leeway < crl->this_update) return RevocationStatus::kNotYetValid;
+  if (!crl->next_update || now < *crl->next_update) return RevocationStatus::kFresh;
+  return now < *crl->next_update + grace ? RevocationStatus::kInGracePeriod : RevocationStatus::kExpired;
 }
 
 bool may_replace(const std::optional<CrlTimes>& former, const CrlTimes& fresh) {
--- a/src/decide/revocation.h
+++ b/src/decide/revocation.h
@@ -13,17 +13,18 @@
   std::optional<Time> next_update;  // none: the issuer promises no successor, so it never goes stale
 };
 
-enum class CrlStanding {
+enum class RevocationStatus {
   kFresh,
-  kInGrace,  // a successor is overdue: still believed, with a warning
-  kTooOld,   // believed no more: nobody is let in by a certificate
+  kInGracePeriod,  // a successor is overdue: still believed, with a warning
+  kExpired,        // believed no more: nobody is let in by a certificate
   kMissing,
-  kFromFuture  // its time has not come: some clock is wrong
+  kNotYetValid  // its time has not come: some clock is wrong
 };
 
-CrlStanding judge_crl(const std::optional<CrlTimes>& crl, Time now, Duration grace, Duration leeway);
-inline bool fails_closed(CrlStanding standing) {
-  return standing != CrlStanding::kFresh && standing != CrlStanding::kInGrace;
+RevocationStatus revocation_status(const std::optional<CrlTimes>& crl, Time now, Duration grace,
+                                   Duration leeway);
+inline bool fails_closed(RevocationStatus standing) {
+  return standing != RevocationStatus::kFresh && standing != RevocationStatus::kInGracePeriod;
 }
 // May a list take a former one's place? Not one that was made before it: it could leave out who was revoked
 // since.
--- a/src/decide/sending.cpp
+++ b/src/decide/sending.cpp
@@ -2,31 +2,33 @@
 
 namespace rookproxy::decide {
 
-Sending::Sending(const RepeatRule& rule, Place to, Time deadline, Time engine_until) : rule_(rule), to_(to) {
-  until(deadline, "out of time");
-  until(engine_until, engine_until == Time::min() ? "engine is gone" : "engine drains");
+AttemptGuard::AttemptGuard(const RetryRule& rule, EngineLocation to, Time deadline, Time engine_until)
+    : retry_rule_(rule), location_(to) {
+  limit_start(deadline, "out of time");
+  limit_start(engine_until, engine_until == Time::min() ? "engine is gone" : "engine drains");
 }
 
-void Sending::until(Time end, std::string_view why) {
-  if (end >= begin_by_) return;
-  begin_by_ = end;
-  why_ = why;
+void AttemptGuard::limit_start(Time end, std::string_view why) {
+  if (end >= latest_start_) return;
+  latest_start_ = end;
+  limit_reason_ = why;
 }
 
-void Sending::beside(const SentAttempt& other) {
-  if (other.is_out && !rule_.second_copies) forbidden_ = "an attempt is out";
+void AttemptGuard::add_other_attempt(const SentAttempt& other) {
+  if (other.in_flight && !retry_rule_.hedging_allowed) conflict_reason_ = "an attempt is out";
   if (!other.may_have_run) return;
-  if (rule_.place == RepeatPlace::kNowhere) forbidden_ = "it may have run";
-  if (rule_.place == RepeatPlace::kZone && other.to.zone != to_.zone)
-    forbidden_ = "it may have run elsewhere";
-  if (rule_.place == RepeatPlace::kCell && other.to.cell != to_.cell)
-    forbidden_ = "it may have run elsewhere";
-  if (rule_.window) until(other.sent + *rule_.window, "the window for repeats is over");
+  if (retry_rule_.scope == RetryScope::kNowhere) conflict_reason_ = "it may have run";
+  if (retry_rule_.scope == RetryScope::kZone && other.location.zone != location_.zone)
+    conflict_reason_ = "it may have run elsewhere";
+  if (retry_rule_.scope == RetryScope::kCell && other.location.cell != location_.cell)
+    conflict_reason_ = "it may have run elsewhere";
+  if (retry_rule_.idempotency_window)
+    limit_start(other.sent_at + *retry_rule_.idempotency_window, "the window for repeats is over");
 }
 
-std::string_view Sending::held_back(Time now) const {
-  if (!forbidden_.empty()) return forbidden_;
-  return now < begin_by_ ? std::string_view() : why_;
+std::string_view AttemptGuard::blocked_reason(Time now) const {
+  if (!conflict_reason_.empty()) return conflict_reason_;
+  return now < latest_start_ ? std::string_view() : limit_reason_;
 }
 
 }  // namespace rookproxy::decide
--- a/src/decide/sending.h
+++ b/src/decide/sending.h
@@ -13,48 +13,48 @@
 namespace rookproxy::decide {
 
 // Where a request that may have run may go once more, from wide to narrow.
-enum class RepeatPlace { kAnywhere, kZone, kCell, kNowhere };
+enum class RetryScope { kAnywhere, kZone, kCell, kNowhere };
 
-struct RepeatRule {
-  RepeatPlace place = RepeatPlace::kNowhere;
-  std::optional<Duration> window;  // from the send of what may have run; absent: at any time
-  bool second_copies = false;      // may two attempts be out at once?
+struct RetryRule {
+  RetryScope scope = RetryScope::kNowhere;
+  std::optional<Duration> idempotency_window;  // from the send of what may have run; absent: at any time
+  bool hedging_allowed = false;                // may two attempts be out at once?
 };
 
-struct Place {
+struct EngineLocation {
   std::string_view zone;
   std::uint32_t cell = 0;
-  bool operator==(const Place&) const = default;
+  bool operator==(const EngineLocation&) const = default;
 };
 
 struct SentAttempt {
-  Time sent;  // ordered: no later than its first byte, so a window that counts from it ends no later
-  Place to;
-  bool is_out = false, may_have_run = false;
+  Time sent_at;  // ordered: no later than its first byte, so a window that counts from it ends no later
+  EngineLocation location;
+  bool in_flight = false, may_have_run = false;
 };
 
-class Sending {
+class AttemptGuard {
  public:
   // `engine_until`: when the engine's grace ends; Time::max() while it serves, Time::min() once it is gone.
-  Sending(const RepeatRule& rule, Place to, Time deadline, Time engine_until);
+  AttemptGuard(const RetryRule& rule, EngineLocation to, Time deadline, Time engine_until);
   // Another attempt of the same request, sent before or after.
-  void beside(const SentAttempt& other);
+  void add_other_attempt(const SentAttempt& other);
   // Why no byte may leave at `now`; empty: it may.
-  std::string_view held_back(Time now) const;
+  std::string_view blocked_reason(Time now) const;
   // From then on it may never begin.
-  Time begin_by() const { return begin_by_; }
+  Time latest_start() const { return latest_start_; }
 
  private:
-  void until(Time end, std::string_view why);
-  RepeatRule rule_;
-  Place to_;
-  Time begin_by_ = Time::max();
-  std::string_view why_, forbidden_;
+  void limit_start(Time end, std::string_view why);
+  RetryRule retry_rule_;
+  EngineLocation location_;
+  Time latest_start_ = Time::max();
+  std::string_view limit_reason_, conflict_reason_;
 };
 
 // What may have run is refused only where a repeat does no harm on any engine, whatever the time.
-inline bool may_refuse(const RepeatRule& rule, bool may_have_run) {
-  return !may_have_run || rule.place == RepeatPlace::kAnywhere;
+inline bool may_reject(const RetryRule& rule, bool may_have_run) {
+  return !may_have_run || rule.scope == RetryScope::kAnywhere;
 }
 
 }  // namespace rookproxy::decide
--- a/src/decide/shutdown.cpp
+++ b/src/decide/shutdown.cpp
@@ -8,51 +8,50 @@
 using std::chrono::milliseconds;
 
 // The protocol's: new connections come for 0.4 s after SIGTERM, and requests on open ones for 0.2 s more.
-constexpr Duration kNewcomers = milliseconds(400), kStragglers = milliseconds(600);
-constexpr Duration kLongestCounted = milliseconds(3000), kKillAfter = milliseconds(700);
+constexpr Duration kConnectionPeriod = milliseconds(400), kRequestPeriod = milliseconds(600);
+constexpr Duration kMaxCountedDeadline = milliseconds(3000), kKillGracePeriod = milliseconds(700);
 // A request is written in 2 s at most: no longer is one waited for that is on its way in.
-constexpr Duration kPieces = milliseconds(2000);
+constexpr Duration kMaxReceiveTime = milliseconds(2000);
 // With room to spare, where the deadlines leave it.
-constexpr Duration kNewcomersLate = milliseconds(100), kStragglersLate = milliseconds(400);
+constexpr Duration kConnectionSlack = milliseconds(100), kRequestSlack = milliseconds(400);
 // We exit so long before SIGKILL may come; ends need so long to reach the clients and to come back.
-constexpr Duration kBeforeKill = milliseconds(150), kEndsTake = milliseconds(250);
+constexpr Duration kExitMargin = milliseconds(150), kCloseTime = milliseconds(250);
 // Where events never cease, looking for what waits ends all the same.
-constexpr Duration kLooks = milliseconds(50);
+constexpr Duration kMaxInputDrainTime = milliseconds(50);
 
 }  // namespace
 
 ShutdownTimes shutdown_times(Duration longest_deadline) {
   ShutdownTimes times;
-  times.end_by = std::min(longest_deadline, kLongestCounted) + kKillAfter - kBeforeKill;
-  const Duration last_start = std::max(kStragglers, times.end_by - kEndsTake);
-  times.newcomers_until = kNewcomers + kNewcomersLate;
-  times.serve_until = std::min(kStragglers + kStragglersLate, last_start);
-  times.take_in_until = std::min(kStragglers + kPieces, last_start);
-  times.end_by = std::max(times.end_by, last_start);
+  times.exit_by = std::min(longest_deadline, kMaxCountedDeadline) + kKillGracePeriod - kExitMargin;
+  const Duration last_start = std::max(kRequestPeriod, times.exit_by - kCloseTime);
+  times.accept_until = kConnectionPeriod + kConnectionSlack;
+  times.serve_until = std::min(kRequestPeriod + kRequestSlack, last_start);
+  times.receive_until = std::min(kRequestPeriod + kMaxReceiveTime, last_start);
+  times.exit_by = std::max(times.exit_by, last_start);
   return times;
 }
 
-Duration end_bound(const ShutdownTimes& times, Duration since) {
-  return std::max(kEndsTake, times.end_by - since);
+Duration client_close_timeout(const ShutdownTimes& times, Duration since) {
+  return std::max(kCloseTime, times.exit_by - since);
 }
 
-ShutdownOrder next_shutdown_step(const ShutdownTimes& times, const ShutdownState& state) {
+ShutdownAction next_shutdown_step(const ShutdownTimes& times, const ShutdownState& state) {
   using Step = ShutdownStep;
-  if (state.ending) {
+  if (state.closing_clients) {
     const bool asks = state.open_requests > 0;
-    const bool ends =
-        state.has_connections && (state.since < times.end_by || state.none_open_for < kEndsTake);
-    return {asks || ends ? Step::kGoOn : Step::kExit, asks && !state.door_is_shared};
+    const bool ends = state.has_connections && (state.elapsed < times.exit_by || state.idle_for < kCloseTime);
+    return {asks || ends ? Step::kContinue : Step::kExit, asks && !state.listener_is_shared};
   }
-  if (!state.opened && state.door_is_shared) return {Step::kExit, false};
+  if (!state.was_ready && state.listener_is_shared) return {Step::kExit, false};
   const bool let_in = !state.successor_ready;
-  const Duration from = state.opened ? times.serve_until : times.newcomers_until;
-  const Duration until = state.opened ? times.take_in_until : times.newcomers_until;
-  if (state.since < from || (state.taking_in && state.since < until)) {
-    return {Step::kGoOn, state.opened && let_in};
+  const Duration from = state.was_ready ? times.serve_until : times.accept_until;
+  const Duration until = state.was_ready ? times.receive_until : times.accept_until;
+  if (state.elapsed < from || (state.is_receiving && state.elapsed < until)) {
+    return {Step::kContinue, state.was_ready && let_in};
   }
-  const bool looks = !state.seen_all && state.since < until + kLooks;
-  return {looks ? Step::kLook : Step::kEndClients, let_in};
+  const bool looks = !state.input_drained && state.elapsed < until + kMaxInputDrainTime;
+  return {looks ? Step::kDrainInput : Step::kCloseClients, let_in};
 }
 
 }  // namespace rookproxy::decide
--- a/src/decide/shutdown.h
+++ b/src/decide/shutdown.h
@@ -34,35 +34,35 @@
 
 // Since SIGTERM.
 struct ShutdownTimes {
-  Duration newcomers_until{}, serve_until{}, take_in_until{}, end_by{};
+  Duration accept_until{}, serve_until{}, receive_until{}, exit_by{};
 };
 // `longest_deadline`: of all classes. SIGKILL comes no earlier than that (3 s at most) and 0.7 s after
 // SIGTERM.
 ShutdownTimes shutdown_times(Duration longest_deadline);
 
 struct ShutdownState {
-  Duration since{};
-  bool opened = true;             // it was ready to serve before it was told to end
-  bool door_is_shared = false;    // the clients' socket was passed: it outlives this process
-  bool successor_ready = false;   // another process accepts there
-  bool ending = false;            // clients are being ended
-  bool taking_in = false;         // a request is on its way in, or answers are not taken yet
-  bool seen_all = false;          // a turn of the loop that waited for nothing found nothing
-  bool has_connections = false;   // of clients
-  std::size_t open_requests = 0;  // also those whose clients have gone
-  Duration none_open_for{};       // so long there has been none
+  Duration elapsed{};
+  bool was_ready = true;            // it was ready to serve before it was told to end
+  bool listener_is_shared = false;  // the clients' socket was passed: it outlives this process
+  bool successor_ready = false;     // another process accepts there
+  bool closing_clients = false;     // clients are being ended
+  bool is_receiving = false;        // a request is on its way in, or answers are not taken yet
+  bool input_drained = false;       // a turn of the loop that waited for nothing found nothing
+  bool has_connections = false;     // of clients
+  std::size_t open_requests = 0;    // also those whose clients have gone
+  Duration idle_for{};              // so long there has been none
 };
 
-enum class ShutdownStep { kGoOn, kLook, kEndClients, kExit };
-struct ShutdownOrder {
-  ShutdownStep step = ShutdownStep::kGoOn;
-  bool let_in = false;  // who waits at the door
-  auto operator<=>(const ShutdownOrder&) const = default;
+enum class ShutdownStep { kContinue, kDrainInput, kCloseClients, kExit };
+struct ShutdownAction {
+  ShutdownStep step = ShutdownStep::kContinue;
+  bool accept_clients = false;  // who waits at the door
+  auto operator<=>(const ShutdownAction&) const = default;
 };
 
 // How long a client has, whose end we tell it now, to end its side.
-Duration end_bound(const ShutdownTimes& times, Duration since);
+Duration client_close_timeout(const ShutdownTimes& times, Duration since);
 // Once kEndClients was carried out, `ending` holds.
-ShutdownOrder next_shutdown_step(const ShutdownTimes& times, const ShutdownState& state);
+ShutdownAction next_shutdown_step(const ShutdownTimes& times, const ShutdownState& state);
 
 }  // namespace rookproxy::decide
--- a/src/decide/token.h
+++ b/src/decide/token.h
@@ -14,23 +14,23 @@
 
 // The algorithms that are taken. Each key is for one of them, whatever a token says (RFC 8725, 3.1).
 enum class Algorithm { kEs256, kRs256, kEdDsa };
-std::optional<Algorithm> algorithm_named(std::string_view name);
+std::optional<Algorithm> parse_algorithm(std::string_view name);
 std::string_view algorithm_name(Algorithm algorithm);
 
 // A verification key as its set tells of it; the key itself is elsewhere.
-struct KeyFacts {
+struct KeyMetadata {
   std::string id;
   Algorithm algorithm = Algorithm::kEs256;
   // In force from the first to before the second ("nbf" and "exp" beside the JWK's own members). They let the
   // old and the new key overlap; none: no bound.
   std::optional<Time> not_before, not_after;
-  std::string print;  // of its public part: a key that comes back changed under its id is another one
+  std::string fingerprint;  // of its public part: a key that comes back changed under its id is another one
 };
 
 struct TokenHeader {
   std::string algorithm, key_id, type;
-  bool has_critical = false;      // "crit", whatever is in it: no extension is understood here
-  bool has_embedded_key = false;  // "jwk", "jku", "x5u", "x5c": keys come from the set alone
+  bool has_critical_extension = false;  // "crit", whatever is in it: no extension is understood here
+  bool has_embedded_key = false;        // "jwk", "jku", "x5u", "x5c": keys come from the set alone
 };
 
 struct TokenClaims {
@@ -43,37 +43,40 @@
   std::vector<std::string> issuers;
   std::string audience;
   Duration leeway{};        // for clocks that differ, at either end
-  Duration longest_life{};  // from "iat" to "exp" at most; 0: no bound
+  Duration max_lifetime{};  // from "iat" to "exp" at most; 0: no bound
 };
 
 // Tokens and subjects that were taken back before their time.
-struct Revoked {
-  std::vector<std::string> tokens;    // by "jti", sorted
-  std::vector<std::string> subjects;  // sorted
-  bool holds(const TokenClaims& claims) const;
+struct RevocationList {
+  std::vector<std::string> token_ids;  // by "jti", sorted
+  std::vector<std::string> subjects;   // sorted
+  bool contains(const TokenClaims& claims) const;
 };
 
 // Which key the token's signature is to be checked with: its place in `keys`, or why there is none.
-struct KeyChoice {
+struct KeySelection {
   Denial denial = Denial::kNone;
-  std::size_t key = 0;
+  std::size_t key_index = 0;
 };
-KeyChoice choose_key(const TokenHeader& header, const std::vector<KeyFacts>& keys, Time now, Duration leeway);
+KeySelection select_key(const TokenHeader& header, const std::vector<KeyMetadata>& keys, Time now,
+                        Duration leeway);
 
 // Everything but the signature. It is cheap, so it comes first: what fails here costs no check.
-Denial judge_claims(const TokenClaims& claims, const TokenRules& rules, const Revoked& revoked, Time now);
+Denial validate_claims(const TokenClaims& claims, const TokenRules& rules, const RevocationList& revoked,
+                       Time now);
 // A credential that was found good, and by what: enough to judge it anew when keys, rules or revocations
 // change, with no signature to check again.
-struct Proven {
+struct VerifiedCredential {
   Identity identity;
-  TokenClaims claims;             // of a token
-  std::string key_id, key_print;  // likewise
+  TokenClaims claims;                   // of a token
+  std::string key_id, key_fingerprint;  // likewise
 };
 // A token's that was proven before: its key must be in the set, unchanged, and what it says must still do.
 // `key` gets the key's place.
-Denial judge_again(const Proven& proven, const std::vector<KeyFacts>& keys, const TokenRules& rules,
-                   const Revoked& revoked, Time now, std::size_t* key);
+Denial revalidate_credential(const VerifiedCredential& proven, const std::vector<KeyMetadata>& keys,
+                             const TokenRules& rules, const RevocationList& revoked, Time now,
+                             std::size_t* key);
 // What a token whose signature verified has proven.
-Identity identity_of(const TokenClaims& claims, const TokenRules& rules, const KeyFacts& key);
+Identity identity_from_claims(const TokenClaims& claims, const TokenRules& rules, const KeyMetadata& key);
 
 }  // namespace rookproxy::decide
--- a/src/demo/main.cpp
+++ b/src/demo/main.cpp
@@ -16,12 +16,12 @@
 namespace {
 
 using namespace rookproxy;
-using test::MysqlStandIn;
-using test::Peer;
+using test::FakeMysqlEngine;
+using test::TestConnection;
 using namespace std::chrono_literals;
 
 // The stand-ins take this account (src/standins).
-constexpr const char* kDefault = R"(name = "demo"
+constexpr const char* kDemoConfigTemplate = R"(name = "demo"
 seed = "1"
 link = "mysql"
 [mysql]
@@ -79,23 +79,23 @@
 drain_grace = 2000000
 )";
 
-std::string filled(std::string text, const std::string& mark, std::uint16_t port) {
+std::string replace_port_placeholder(std::string text, const std::string& mark, std::uint16_t port) {
   return text.replace(text.find(mark), mark.size(), std::to_string(port));
 }
 
-class Child {
+class ChildProcess {
  public:
-  Child(const std::string& program, const std::string& file) : pid_(::fork()) {
+  ChildProcess(const std::string& program, const std::string& file) : pid_(::fork()) {
     if (pid_ != 0) return;
     ::execl(program.c_str(), program.c_str(), "--file", file.c_str(), nullptr);
     ::_exit(127);
   }
-  ~Child() {
+  ~ChildProcess() {
     if (pid_ <= 0) return;
     ::kill(pid_, SIGTERM);
     ::waitpid(pid_, nullptr, 0);
   }
-  bool runs() const { return ::waitpid(pid_, nullptr, WNOHANG) == 0; }
+  bool is_running() const { return ::waitpid(pid_, nullptr, WNOHANG) == 0; }
   int wait() {
     int status = 0;
     ::waitpid(std::exchange(pid_, 0), &status, 0);
@@ -107,41 +107,41 @@
   pid_t pid_;
 };
 
-mysql::Message next(Peer& peer) {
-  auto message = test::take_mysql(peer);
+mysql::Message read_message_or_throw(TestConnection& peer) {
+  auto message = test::read_mysql_message(peer);
   if (!message) throw std::runtime_error("the dispatcher closed the connection");
   if (message->payload.starts_with('\xff')) {
-    throw std::runtime_error("the dispatcher answered: " + mysql::read_error(message->payload).text);
+    throw std::runtime_error("the dispatcher answered: " + mysql::parse_error(message->payload).text);
   }
   return *message;
 }
 
 // Logs in and runs the statement; the rows as text.
-std::string ask(Peer& peer, const std::string& statement) {
-  const auto greeting = mysql::read_greeting(next(peer).payload);
+std::string run_query(TestConnection& peer, const std::string& statement) {
+  const auto greeting = mysql::parse_greeting(read_message_or_throw(peer).payload);
   mysql::Login login;
   login.user = "demo";
   login.capabilities = mysql::kCapabilities;
   login.plugin = greeting.plugin;
-  login.proof = *mysql::proof_for(greeting.plugin, "demo", greeting.nonce);
+  login.auth_response = *mysql::make_auth_response(greeting.plugin, "demo", greeting.nonce);
   std::uint8_t sequence = 1;
-  peer.send(mysql::packets(mysql::login_payload(login), sequence));
-  while (next(peer).payload[0] != '\0') continue;
+  peer.send(mysql::split_into_packets(mysql::login_payload(login), sequence));
+  while (read_message_or_throw(peer).payload[0] != '\0') continue;
   sequence = 0;
-  peer.send(mysql::packets(static_cast<char>(mysql::kQuery) + statement, sequence));
+  peer.send(mysql::split_into_packets(static_cast<char>(mysql::kQuery) + statement, sequence));
   mysql::ResponseTracker tracker;
   std::string response;
   for (std::uint8_t number = 1;;) {
-    const auto message = next(peer);
-    response += mysql::packets(message.payload, number);
-    if (tracker.take(message.payload)) return mysql::rows_as_text(response);
+    const auto message = read_message_or_throw(peer);
+    response += mysql::split_into_packets(message.payload, number);
+    if (tracker.on_packet(message.payload)) return mysql::format_rows(response);
   }
 }
 
-std::uint16_t free_port() { return local_port(test::listen_anywhere()); }
+std::uint16_t free_port() { return local_port(test::listen_on_free_port()); }
 
 volatile sig_atomic_t child_pid = 0;
-void pass_on(int) {
+void forward_termination_signal(int) {
   if (child_pid > 0) ::kill(static_cast<pid_t>(child_pid), SIGTERM);
 }
 
@@ -154,26 +154,29 @@
   app.add_flag("--once", once, "ends after the answer, and does not serve on");
   app.add_option("--query", statement, "what it asks; the stand-ins answer N rows to rows_N");
   CLI11_PARSE(app, argc, argv);
-  const std::string folder = test::new_folder();
+  const std::string folder = test::make_temporary_directory();
   try {
     if (folder.empty()) throw std::runtime_error("no folder for its file");
-    MysqlStandIn one, two;
+    FakeMysqlEngine one, two;
     const std::uint16_t front = free_port();
     const std::string file = folder + "/demo.toml";
-    std::ofstream(file) << filled(filled(filled(kDefault, "%FRONT%", front), "%ONE%", one.port()), "%TWO%",
-                                  two.port());
+    std::ofstream(file) << replace_port_placeholder(
+        replace_port_placeholder(replace_port_placeholder(kDemoConfigTemplate, "%FRONT%", front), "%ONE%",
+                                 one.port()),
+        "%TWO%", two.port());
     const auto program = std::filesystem::read_symlink("/proc/self/exe").parent_path() / "rookproxy";
-    Child dispatcher(program.string(), file);
+    ChildProcess dispatcher(program.string(), file);
     child_pid = dispatcher.pid();
-    ::signal(SIGINT, pass_on);
-    ::signal(SIGTERM, pass_on);
-    Peer peer = Peer::connect(front);
-    for (int tries = 0; !peer.has(4, 200ms); ++tries) {  // a refused connection ends at once
-      if (tries == 50 || !dispatcher.runs()) throw std::runtime_error("the dispatcher does not come up");
+    ::signal(SIGINT, forward_termination_signal);
+    ::signal(SIGTERM, forward_termination_signal);
+    TestConnection peer = TestConnection::connect(front);
+    for (int tries = 0; !peer.wait_for_bytes(4, 200ms); ++tries) {  // a refused connection ends at once
+      if (tries == 50 || !dispatcher.is_running())
+        throw std::runtime_error("the dispatcher does not come up");
       std::this_thread::sleep_for(100ms);
-      peer = Peer::connect(front);
+      peer = TestConnection::connect(front);
     }
-    std::cout << statement << "\n" << ask(peer, statement) << std::flush;
+    std::cout << statement << "\n" << run_query(peer, statement) << std::flush;
     if (!once) {
       std::cout << "serving on 127.0.0.1:" << front << ", user demo, password demo; Ctrl-C ends it"
                 << std::endl;
--- a/src/directory/directory.h
+++ b/src/directory/directory.h
@@ -19,67 +19,67 @@
 
 namespace rookproxy {
 
-class DnsDirectory final {
+class DnsDiscoveryClient final {
  public:
-  using Told = std::function<void(const std::vector<Member>&)>;
+  using UpdateHandler = std::function<void(const std::vector<EngineEndpoint>&)>;
   // `serial` is that of the list known at the start; only later ones are told.
-  DnsDirectory(Loop& loop, Log& log, const Endpoint& server, std::string service, Duration poll,
-               std::uint64_t serial, std::uint64_t seed, Told told);
-  ~DnsDirectory();
-  DnsDirectory(const DnsDirectory&) = delete;
-  DnsDirectory& operator=(const DnsDirectory&) = delete;
-  bool has_answered() const { return answered_; }
+  DnsDiscoveryClient(EventLoop& loop, Logger& log, const SocketAddress& server, std::string service,
+                     Duration poll, std::uint64_t serial, std::uint64_t seed, UpdateHandler told);
+  ~DnsDiscoveryClient();
+  DnsDiscoveryClient(const DnsDiscoveryClient&) = delete;
+  DnsDiscoveryClient& operator=(const DnsDiscoveryClient&) = delete;
+  bool has_endpoint_list() const { return has_endpoint_list_; }
   // While a list is told: since when its news may count as told to us. Before now, if questions had gone
   // unanswered: a grace that counts from an answer that was lost has begun by then.
-  Time told_since() const { return told_since_; }
+  Time list_effective_since() const { return list_effective_since_; }
   // Asks there from now on, and at once. The list and its serial go on: it is the same directory elsewhere.
-  void move_to(const Endpoint& server, std::string service, Duration poll);
+  void change_server(const SocketAddress& server, std::string service, Duration poll);
 
  private:
-  struct Socket final : Watcher {
-    explicit Socket(DnsDirectory& its) : directory(its) {}
-    void on_ready(std::uint32_t) override { directory.read(*this); }
-    DnsDirectory& directory;
-    Fd fd;
+  struct Socket final : EventHandler {
+    explicit Socket(DnsDiscoveryClient& its) : client(its) {}
+    void on_ready(std::uint32_t) override { client.read_responses(*this); }
+    DnsDiscoveryClient& client;
+    FileDescriptor fd;
     SlotKey key = 0;
-    bool asked = false;
+    bool used = false;
   };
-  struct Question {
+  struct PendingQuery {
     std::uint16_t id;
-    Time at;
-    bool first;  // on its socket
+    Time sent_at;
+    bool first_on_socket;  // on its socket
   };
-  bool open(Socket& socket);
-  void close(Socket& socket);
-  Socket& present() { return sockets_[present_]; }
-  Socket& former() { return sockets_[1 - present_]; }
-  void ask();
-  void send(const std::string& query);
-  void read(Socket& socket);
-  void take(std::string_view message);
-  void tell(decide::DirectoryPath::News news, std::string_view why);
+  bool open_socket(Socket& socket);
+  void close_socket(Socket& socket);
+  Socket& current_socket() { return sockets_[current_index_]; }
+  Socket& spare_socket() { return sockets_[1 - current_index_]; }
+  void poll_server();
+  void send_query(const std::string& query);
+  void read_responses(Socket& socket);
+  void handle_response(std::string_view message);
+  void report_path_state(decide::DiscoveryPath::Event news, std::string_view why);
 
-  Loop& loop_;
-  Log& log_;
-  Endpoint server_;
+  EventLoop& loop_;
+  Logger& log_;
+  SocketAddress server_;
   std::string service_;
   decide::PollSchedule schedule_;
-  decide::DirectoryPath path_;
-  decide::ListOrder order_;
+  decide::DiscoveryPath path_;
+  decide::EndpointListVersion order_;
   std::mt19937_64 random_;
-  Told told_;
+  UpdateHandler update_handler_;
   // Both are held from the start on, so that a fresh one takes the place of one of ours: clients and engines
   // can't have its descriptor.
   std::array<Socket, 2> sockets_{Socket(*this), Socket(*this)};
-  std::size_t present_ = 0;
-  bool no_socket_ = false;  // an operator knows that none was had
+  std::size_t current_index_ = 0;
+  bool socket_unavailable_ = false;  // an operator knows that none was had
   // Questions lately asked: a late answer to one of them still tells something, unless a newer one was there
   // first.
-  std::vector<Question> asked_;
-  std::optional<Time> first_unheard_;
-  Time told_since_;
-  bool answered_ = false;
-  TimerKey timer_{};
+  std::vector<PendingQuery> pending_queries_;
+  std::optional<Time> first_unanswered_at_;
+  Time list_effective_since_;
+  bool has_endpoint_list_ = false;
+  TimerId poll_timer_{};
 };
 
 }  // namespace rookproxy
--- a/src/directory/dns.h
+++ b/src/directory/dns.h
@@ -11,18 +11,18 @@
 
 namespace rookproxy {
 
-std::string dns_query(std::uint16_t id, std::string_view name);
+std::string encode_dns_query(std::uint16_t id, std::string_view name);
 
-enum class DnsFault { kNone, kForged, kTruncated, kRefused, kMalformed, kIncomplete };
-std::string_view dns_fault_text(DnsFault fault);
+enum class DnsError { kNone, kMismatched, kTruncated, kServerError, kMalformed, kIncomplete };
+std::string_view dns_error_text(DnsError fault);
 
-struct DnsList {
-  DnsFault fault = DnsFault::kNone;
-  std::uint32_t serial = 0;
-  std::vector<Member> members;
+struct DnsResponse {
+  DnsError error = DnsError::kNone;
+  std::uint32_t version = 0;
+  std::vector<EngineEndpoint> endpoints;
 };
 
 // Reads the answer to the query for `name` with that id. Only a list without a fault may be believed.
-DnsList parse_dns(std::string_view message, std::uint16_t id, std::string_view name);
+DnsResponse parse_dns_response(std::string_view message, std::uint16_t id, std::string_view name);
 
 }  // namespace rookproxy
--- a/src/link/pool.h
+++ b/src/link/pool.h
@@ -17,144 +17,147 @@
 namespace rookproxy {
 
 struct PoolLimits {
-  std::size_t most_connections = 256;  // to all engines together
-  std::size_t per_connection = 1;      // attempts that one carries at a time ...
-  std::size_t spread = 1;              // ... and while there is room for more connections
-  Duration dial_timeout = std::chrono::milliseconds(250);
-  Duration idle = std::chrono::seconds(10);            // closed after this, well before the engine would
-  Duration silence = std::chrono::milliseconds(1500);  // with attempts out: it takes no more. 0: never
+  std::size_t max_connections = 256;                 // to all engines together
+  std::size_t max_streams_per_connection = 1;        // attempts that one carries at a time ...
+  std::size_t preferred_streams_per_connection = 1;  // ... and while there is room for more connections
+  Duration connect_timeout = std::chrono::milliseconds(250);
+  Duration idle_timeout = std::chrono::seconds(10);  // closed after this, well before the engine would
+  Duration unresponsive_timeout =
+      std::chrono::milliseconds(1500);  // with attempts out: it takes no more. 0: never
   Duration probe_timeout = std::chrono::milliseconds(250);
   // An answer that has begun is whole after this, or its connection is spoilt. Of pages, the next that its
   // attempt still lacks is there after this.
-  Duration answer_time = std::chrono::milliseconds(250), page_time = std::chrono::milliseconds(750);
+  Duration response_timeout = std::chrono::milliseconds(250), page_timeout = std::chrono::milliseconds(750);
   // Called off after this without a word on its connection: nobody can tell if that still works.
-  Duration doubt = std::chrono::milliseconds(250);
-  Duration ids_kept = std::chrono::seconds(30);  // the longest that a request may be sent again
+  Duration cancel_unresponsive_timeout = std::chrono::milliseconds(250);
+  Duration request_id_retention = std::chrono::seconds(30);  // the longest that a request may be sent again
 };
 
-class Pool;
+class ConnectionPool;
 
 // One connection. What it speaks is the subclass's matter; what it carries is known here.
-class LinkConnection : public StreamUser {
+class EngineConnection : public StreamHandler {
  public:
-  LinkConnection(Pool& pool, SlotKey key, EngineId engine) : pool_(pool), key_(key), engine_(engine) {}
-  virtual ~LinkConnection() = default;
-  void open(Fd fd, std::size_t input_limit);
-
-  virtual void start(const Order& order) = 0;
-  virtual bool withdraw(AttemptKey attempt) = 0;  // true: no byte of it had left
-  virtual bool has_begun(AttemptKey attempt) const = 0;
-  virtual void set_rank(AttemptKey, int) {}
+  EngineConnection(ConnectionPool& pool, SlotKey key, EngineId engine)
+      : pool_(pool), key_(key), engine_(engine) {}
+  virtual ~EngineConnection() = default;
+  void open(FileDescriptor fd, std::size_t input_limit);
+
+  virtual void start_attempt(const AttemptRequest& order) = 0;
+  virtual bool cancel_attempt(AttemptKey attempt) = 0;  // true: no byte of it had left
+  virtual bool has_attempt_started(AttemptKey attempt) const = 0;
+  virtual void set_priority(AttemptKey, int) {}
   virtual void probe() = 0;
   // Ends, as never run, what has not begun to leave.
-  virtual void drop_unsent() = 0;
+  virtual void end_never_sent() = 0;
   // The stream is gone: whatever is out ends.
-  virtual void lost(std::string_view why) = 0;
-  virtual bool takes(const Query*) const { return true; }  // none: a probe
+  virtual void on_connection_lost(std::string_view why) = 0;
+  virtual bool can_accept(const Query*) const { return true; }  // none: a probe
 
   void on_connected() override;
   void on_closed(std::string_view why) final;
 
  protected:
-  friend class Pool;
-  void carry(const Order& order);
-  void note(AttemptKey attempt, lemonshift::NoteKind kind, double amount);
-  void probe_answered(Outcome outcome, std::optional<LoadReport> report);
-  void break_off(std::string_view why);
+  friend class ConnectionPool;
+  void remember_request_id(const AttemptRequest& order);
+  void report_progress(AttemptKey attempt, lemonshift::AttemptUpdateKind kind, double amount);
+  void complete_probe(Outcome outcome, std::optional<LoadReport> report);
+  void fail_connection(std::string_view why);
   // No byte of it has left: it goes over another connection, or provably never ran.
-  void unsent(const Order& order, std::string_view why);
+  void on_never_sent(const AttemptRequest& order, std::string_view why);
   // Asked right before its first byte is handed to the kernel. If not, it is over here, and told after this
   // call.
-  bool may_begin(const Order& order);
+  bool may_start(const AttemptRequest& order);
   // What has come of an answer must be whole by then, or the connection is given up. Time::max(): nothing is
   // due.
-  void due_at(Time at);
-  void attempt_over();  // one less open
-  void report(AttemptKey attempt, AttemptEnd end);
-  void heard();
+  void set_response_deadline(Time at);
+  void release_attempt();  // one less open
+  void report_attempt_end(AttemptKey attempt, AttemptResult end);
+  void record_activity();
   // How much of its room is taken: a load keeps others off while there are other connections.
-  std::size_t load() const;
+  std::size_t occupancy() const;
   const PoolLimits& limits() const;
-  Time pool_now() const;
+  Time current_time() const;
   // Counts up when an attempt has been written to its last byte.
-  std::uint64_t* attempts_written() const;
+  std::uint64_t* attempts_written_counter() const;
 
-  Pool& pool_;
+  ConnectionPool& pool_;
   SlotKey key_;
   EngineId engine_;
   std::unique_ptr<Stream> stream_;
-  std::size_t open_ = 0;
-  bool writes_ = false;   // something that can't be sent again is open
-  bool retired_ = false;  // takes nothing new; closed once nothing is open
+  std::size_t open_attempts_ = 0;
+  bool carries_write_ = false;  // something that can't be sent again is open
+  bool draining_ = false;       // takes nothing new; closed once nothing is open
   bool probing_ = false;
 
  private:
-  std::unordered_set<std::string> used_ids_;
-  std::deque<std::pair<Time, std::string>> ids_by_age_;
-  Time heard_at_{};
-  Time due_at_ = Time::max();
-  TimerKey dial_timer_{}, idle_timer_{}, silence_timer_{}, due_timer_{};
+  std::unordered_set<std::string> used_request_ids_;
+  std::deque<std::pair<Time, std::string>> request_ids_by_age_;
+  Time last_activity_{};
+  Time response_deadline_ = Time::max();
+  TimerId connect_timer_{}, idle_timer_{}, unresponsive_timer_{}, response_timer_{};
 };
 
-class Pool : public EngineLinks {
+class ConnectionPool : public EngineTransport {
  public:
-  Pool(Loop& loop, Log& log, LinkEvents& events, Figures& figures, PoolLimits limits);
-  virtual ~Pool();
-
-  void send(const Order& order) override;
-  bool withdraw(AttemptKey key) override;
-  bool take_back(AttemptKey key) override;
-  void set_rank(AttemptKey key, int rank) override;
+  ConnectionPool(EventLoop& loop, Logger& log, EngineTransportCallbacks& events, Metrics& figures,
+                 PoolLimits limits);
+  virtual ~ConnectionPool();
+
+  void send(const AttemptRequest& order) override;
+  bool cancel(AttemptKey key) override;
+  bool cancel_if_unsent(AttemptKey key) override;
+  void set_priority(AttemptKey key, int rank) override;
   void probe(EngineId engine) override;
-  void engine_at(EngineId engine, const Endpoint& address) override;
-  void engine_closed(EngineId engine) override;
+  void set_engine_address(EngineId engine, const SocketAddress& address) override;
+  void stop_new_attempts(EngineId engine) override;
   // Other limits from now on; what is open beyond them is left to end.
-  void change(const PoolLimits& limits) { limits_ = limits; }
+  void update_limits(const PoolLimits& limits) { limits_ = limits; }
   // What was handed over and has neither ended nor been taken back.
-  std::size_t attempts_carried() const { return carried_by_.size(); }
+  std::size_t attempts_in_flight() const { return assignments_.size(); }
 
  protected:
-  friend class LinkConnection;
-  virtual std::unique_ptr<LinkConnection> make(SlotKey key, EngineId engine) = 0;
+  friend class EngineConnection;
+  virtual std::unique_ptr<EngineConnection> create_connection(SlotKey key, EngineId engine) = 0;
   virtual std::size_t input_limit() const = 0;
   // None: refused at once, or there is no room for it, which is told in `no_room`.
-  LinkConnection* dial(EngineId engine, bool* no_room = nullptr);
+  EngineConnection* open_connection(EngineId engine, bool* no_room = nullptr);
 
-  Loop& loop_;
-  Log& log_;
-  LinkEvents& events_;
-  Figures& figures_;
+  EventLoop& loop_;
+  Logger& log_;
+  EngineTransportCallbacks& events_;
+  Metrics& metrics_;
   PoolLimits limits_;
 
  private:
-  struct Carried {
+  struct Assignment {
     SlotKey connection = 0;
-    Time since;     // handed over by the core
-    int tries = 0;  // connections that ended before a byte of it had left
+    Time submitted_at;           // handed over by the core
+    int failed_connections = 0;  // connections that ended before a byte of it had left
   };
   struct Engine {
-    Endpoint address;
+    SocketAddress address;
     std::vector<SlotKey> connections;
-    TimerKey probe_timer{};
+    TimerId probe_timer{};
   };
-  LinkConnection* find(SlotKey key);
-  LinkConnection* choose(EngineId engine, const Query* query);
-  void place(const Order& order, Carried carried);
-  void unsent(LinkConnection& from, const Order& order, std::string_view why);
-  void not_sent_later(AttemptKey key, Outcome outcome);
-  void place_held();
-  bool drop_idle();
-  void drop(SlotKey key, std::string_view why);
-  void watch_silence(SlotKey key);
-  void rest(LinkConnection& connection);
-  void probe_over(EngineId engine);
+  EngineConnection* find_connection(SlotKey key);
+  EngineConnection* select_connection(EngineId engine, const Query* query);
+  void assign(const AttemptRequest& order, Assignment carried);
+  void retry_never_sent(EngineConnection& from, const AttemptRequest& order, std::string_view why);
+  void report_outcome_later(AttemptKey key, Outcome outcome);
+  void assign_waiting();
+  bool close_idle_connection();
+  void close_connection(SlotKey key, std::string_view why);
+  void watch_responsiveness(SlotKey key);
+  void schedule_idle_close(EngineConnection& connection);
+  void end_probe(EngineId engine);
 
   std::vector<Engine> engines_;
-  SlotTable<std::unique_ptr<LinkConnection>> connections_;
-  std::map<AttemptKey, Carried> carried_by_;
+  SlotMap<std::unique_ptr<EngineConnection>> connections_;
+  std::map<AttemptKey, Assignment> assignments_;
   // Wait for room for a connection, each for a dial's time; bounded by the requests that the core has open.
-  std::deque<Order> held_;
-  TimerKey held_timer_{};
+  std::deque<AttemptRequest> waiting_;
+  TimerId waiting_timer_{};
 };
 
 }  // namespace rookproxy
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -12,14 +12,14 @@
 namespace rookproxy {
 namespace {
 
-constexpr std::array<std::pair<std::string_view, Level>, 5> kLevels{{{"error", Level::kError},
-                                                                     {"warning", Level::kWarning},
-                                                                     {"notice", Level::kNotice},
-                                                                     {"info", Level::kInfo},
-                                                                     {"debug", Level::kDebug}}};
+constexpr std::array<std::pair<std::string_view, LogLevel>, 5> kLevels{{{"error", LogLevel::kError},
+                                                                        {"warning", LogLevel::kWarning},
+                                                                        {"notice", LogLevel::kNotice},
+                                                                        {"info", LogLevel::kInfo},
+                                                                        {"debug", LogLevel::kDebug}}};
 
 // Header fields and names are printable ASCII without spaces, of bounded length; empty ones are '-'.
-std::string header_word(std::string_view text, std::size_t most, std::string_view barred = "") {
+std::string header_field(std::string_view text, std::size_t most, std::string_view barred = "") {
   std::string word;
   for (const char c : text.substr(0, most)) {
     const bool fits = c > 32 && c < 127 && barred.find(c) == barred.npos;
@@ -53,26 +53,26 @@
 
 }  // namespace
 
-std::optional<Level> level_named(std::string_view name) {
+std::optional<LogLevel> parse_log_level(std::string_view name) {
   for (const auto& [word, level] : kLevels) {
     if (word == name) return level;
   }
   return std::nullopt;
 }
 
-std::string format_rfc5424(Level level, int facility, Time at, std::string_view host, std::string_view app,
+std::string format_rfc5424(LogLevel level, int facility, Time at, std::string_view host, std::string_view app,
                            std::string_view process, std::string_view message_id,
                            std::initializer_list<LogField> fields, std::string_view text) {
   std::string line = "<" + std::to_string(facility * 8 + static_cast<int>(level)) + ">1 " + timestamp(at) +
-                     " " + header_word(host, 255) + " " + header_word(app, 48) + " " +
-                     header_word(process, 128) + " " + header_word(message_id, 32) + " ";
+                     " " + header_field(host, 255) + " " + header_field(app, 48) + " " +
+                     header_field(process, 128) + " " + header_field(message_id, 32) + " ";
   if (fields.size() == 0) {
     line += "-";
   } else {
     // 32473 is the enterprise number that RFC 5612 sets aside for documentation and private use like this.
     line += "[rookproxy@32473";
     for (const auto& field : fields) {
-      line += " " + header_word(field.name, 32, "=]\"") + "=\"" + param_value(field.value) + "\"";
+      line += " " + header_field(field.name, 32, "=]\"") + "=\"" + param_value(field.value) + "\"";
     }
     line += "]";
   }
@@ -81,30 +81,31 @@
   return line;
 }
 
-Log::Log(std::ostream& out, Level least, std::string host, std::string app)
+Logger::Logger(std::ostream& out, LogLevel least, std::string host, std::string app)
     : out_(out),
-      least_(least),
+      min_level_(least),
       host_(std::move(host)),
       app_(std::move(app)),
       process_(std::to_string(::getpid())) {}
 
-void Log::to_syslog(const std::optional<Endpoint>& address, int facility) {
-  syslog_ = address ? connect_udp(*address) : Fd();
+void Logger::set_syslog_target(const std::optional<SocketAddress>& address, int facility) {
+  syslog_ = address ? connect_udp(*address) : FileDescriptor();
   facility_ = facility;
 }
 
-void Log::line(Level level, std::string_view message_id, std::string_view text,
-               std::initializer_list<LogField> fields) {
-  if (!takes(level)) return;
-  const Time now = wall_now();
-  if (now - second_ >= std::chrono::seconds(1)) {
-    const int left_out = std::exchange(left_out_, 0);
-    second_ = now;
-    in_second_ = 0;
-    if (left_out > 0) line(Level::kWarning, "log", "lines left out", {{"count", std::to_string(left_out)}});
+void Logger::write(LogLevel level, std::string_view message_id, std::string_view text,
+                   std::initializer_list<LogField> fields) {
+  if (!is_enabled(level)) return;
+  const Time now = monotonic_now();
+  if (now - window_start_ >= std::chrono::seconds(1)) {
+    const int left_out = std::exchange(suppressed_lines_, 0);
+    window_start_ = now;
+    lines_in_window_ = 0;
+    if (left_out > 0)
+      write(LogLevel::kWarning, "log", "lines left out", {{"count", std::to_string(left_out)}});
   }
-  if (++in_second_ > kMostPerSecond) {
-    ++left_out_;
+  if (++lines_in_window_ > kMaxLinesPerSecond) {
+    ++suppressed_lines_;
     return;
   }
   const std::string made =
--- a/src/logic.cpp
+++ b/src/logic.cpp
@@ -98,7 +98,7 @@
 
 class Router::Impl {
  public:
-  explicit Impl(Settings settings) : s_(checked(std::move(settings))) {
+  explicit Impl(Settings settings) : s_(validated(std::move(settings))) {
     for (const auto& c : s_.classes) classes_.push_back(untried(c));
     mean_run_ = classes_.front().mean_work / s_.classes.front().threads;
     share_out();
@@ -107,7 +107,7 @@
   // What is open goes on under its class's entry, which stays; what is known of a class goes on under its
   // name.
   void change(Settings settings) {
-    const auto old = std::exchange(s_, checked(std::move(settings)));
+    const auto old = std::exchange(s_, validated(std::move(settings)));
     const auto known = std::exchange(classes_, {});
     for (std::size_t i = 0; i < s_.classes.size(); ++i) {
       const auto& c = s_.classes[i];
@@ -126,13 +126,13 @@
   }
 
   static ClassState untried(const ClassSettings& c) {
-    return {.mean_work = std::max(1000.0, static_cast<double>(c.aim)) / kAimOverRun * c.threads,
+    return {.mean_work = std::max(1000.0, static_cast<double>(c.latency_objective)) / kAimOverRun * c.threads,
             .grant = kGrantStart,
-            .took = static_cast<double>(c.aim) * c.threads};
+            .took = static_cast<double>(c.latency_objective) * c.threads};
   }
   void share_out() {
-    gateways_ = s_.routers, tenant_share_ = 1 / gateways_;
-    own_part_ = std::pow(s_.routers, -kOwnPart);
+    gateways_ = s_.instance_count, tenant_share_ = 1 / gateways_;
+    own_part_ = std::pow(s_.instance_count, -kOwnPart);
   }
 
   void handle(Time now, const std::vector<Event>& events, std::vector<Action>& actions) {
@@ -140,7 +140,7 @@
     actions_ = &actions;
     if (begun_at_ == kNever) {
       begun_at_ = now;
-      if (s_.list_mode == ListMode::kAsked) actions.push_back(FollowList{});
+      if (s_.engine_list_mode == EngineListMode::kSubscribed) actions.push_back(SubscribeEngineList{});
     }
     // After a gap of our own nothing is learnt from what came meanwhile: its delay is ours.
     stalled_ = ticking_ && now - tick_due_ > kStalled;
@@ -156,14 +156,14 @@
     if (!ticking_ && !requests_.empty()) {
       ticking_ = true;
       tick_due_ = now + kTick;
-      actions.push_back(Wake{tick_due_, kTickToken});
+      actions.push_back(SetTimer{tick_due_, kTickToken});
     }
   }
 
   std::size_t avoided(Time now) const {
     return static_cast<std::size_t>(std::count_if(engines_.begin(), engines_.end(), [&](const auto& one) {
       const Engine& e = one.second;
-      return e.told.state != EngineState::kGone && (!serves(e) || down(e) || now < e.shut_until);
+      return e.told.state != EngineState::kRemoved && (!serves(e) || down(e) || now < e.shut_until);
     }));
   }
 
@@ -185,7 +185,7 @@
   // have one home each. A load keeps off its readers' homes, and draws an engine by itself, or all gateways'
   // loads of a group would meet where the hash has it last.
   double distance(const Engine& e, const Request& r, double own_mean) const {
-    const double agreed = e.told.id == r.home ? 1 : placement_.part(e.told.id, r.group) / 2;
+    const double agreed = e.told.id == r.home ? 1 : placement_.planned_share(e.told.id, r.group) / 2;
     const double mean = own_part_ * own_mean + (1 - own_part_) * agreed;
     const double norm2 = own_part_ * e.norm2 + (1 - own_part_) * kAgreedNorm;
     return std::sqrt(std::max(0.0, norm2 - 2 * mean + 1));
@@ -238,19 +238,21 @@
   }
 
   void take_report(Engine& e, const std::optional<LoadReport>& report) {
-    if (!report || s_.routers == 1) return;
-    double held = report->held.value_or(-1);
+    if (!report || s_.instance_count == 1) return;
+    double held = report->active_queries.value_or(-1);
     if (held < 0) {
       double share = -1;  // says little of a queue until it nears 1: the threads that would keep it so busy
-      for (const auto& one : {report->cpu_busy, report->memory_granted, report->disks_busy})
+      for (const auto& one : {report->cpu_utilization, report->memory_utilization, report->disk_utilization})
         share = std::max(share, one.value_or(-1));
       if (share < 0) return;
       const double most = std::min(1.0, share);  // beyond 1: so many times the memory there is
       held = e.cores * std::max(most + 0.1 * most / (1.05 - most), 3 * share * (share > 1)) / mean_threads_;
     }
-    e.over = s_.short_memory == ShortMemory::kPage ? std::max(1.0, report->memory_granted.value_or(1)) : 1;
+    e.over = s_.memory_pressure == MemoryPressure::kPage
+                 ? std::max(1.0, report->memory_utilization.value_or(1))
+                 : 1;
     if (e.over > 1 && !stalled_) move_sum(open_ * kSumLine);
-    e.reported = held + std::max(0.0, report->waiting.value_or(0));
+    e.reported = held + std::max(0.0, report->queries_waiting_for_memory.value_or(0));
     e.reported_at = now_;
     e.sent_since = 0;
   }
@@ -265,10 +267,11 @@
     const double agreed = unit(mix(e.hash ^ mix(r.group + 1)));
     double sum = load(e) / kLoadFactor + kTilt * own_part_ * agreed * (c.is_load ? -1 : 1);
     sum += c.is_load ? (1 - own_part_) * drawn - near : near;
-    if (e.told.zone != s_.zone) sum += kPrice * s_.crossing_price;
+    if (e.told.zone != s_.zone) sum += kPrice * s_.cross_zone_cost;
     if (down(e)) {
       // Shut engines are tried with one safe query at a time, or they would never be known to be well again.
-      sum += has_room(e, 0) && e.queue.empty() && c.effect == Effect::kSafe ? -kDownScore : kDownScore;
+      sum += has_room(e, 0) && e.queue.empty() && c.idempotency == Idempotency::kIdempotent ? -kDownScore
+                                                                                            : kDownScore;
     }
     const double slow = slowness(e);
     if (slow > kSlowFrom) sum += kSlowScore * (slow - 1);
@@ -288,7 +291,7 @@
       const double sum = score(e, r) + (cold_allows(e, r) ? 0 : kColdScore);
       best.emplace_back(sum, &e);
     }
-    const auto most = s_.short_memory == ShortMemory::kPage ? kLookPaging : kLookAt;
+    const auto most = s_.memory_pressure == MemoryPressure::kPage ? kLookPaging : kLookAt;
     const auto middle = best.begin() + static_cast<std::ptrdiff_t>(std::min(most, best.size()));
     std::partial_sort(best.begin(), middle, best.end(), [](auto& a, auto& b) { return a.first < b.first; });
     best.erase(middle, best.end());
@@ -304,8 +307,8 @@
   // Where our own sends say little, the best few engines are asked before the query goes out.
   bool look_first(Request& r, const std::vector<std::pair<double, Engine*>>& best) {
     if (!s_.may_probe || faith() < kFaithAsk || r.look_until > 0 || mean_own_ > kLookBelow ||
-        s_.probe_price > kLookPrice || !s_.reports_load ||
-        (open_ >= kSumMost && (answers_report_ || s_.short_memory != ShortMemory::kPage)))
+        s_.probe_cost > kLookPrice || !s_.reports_load ||
+        (open_ >= kSumMost && (answers_report_ || s_.memory_pressure != MemoryPressure::kPage)))
       return false;
     for (const auto& [value, e] : best) {
       if (down(*e) || now_ - e->asked_at < kReportFresh) continue;
@@ -325,31 +328,34 @@
     const auto among = [](const auto& list, std::uint32_t item) {
       return !list || std::find(list->begin(), list->end(), item) != list->end();
     };
-    if (!among(c.zones_allowed, e.told.zone) || !among(c.kinds_allowed, e.told.kind)) return false;
-    if (c.effect == Effect::kSafe) return true;
-    const auto scope = c.repeat_scope.value_or(RepeatScope::kCell);
+    if (!among(c.allowed_zones, e.told.zone) || !among(c.allowed_machine_types, e.told.machine_type))
+      return false;
+    if (c.idempotency == Idempotency::kIdempotent) return true;
+    const auto scope = c.idempotency_scope.value_or(IdempotencyScope::kCell);
     return std::none_of(r.attempts.begin(), r.attempts.end(), [&](const Attempt& a) {
       if (!a.may_have_run) return false;
-      if (c.effect == Effect::kUnsafe || !c.repeat_window || now_ - a.sent >= *c.repeat_window) return true;
-      return (scope == RepeatScope::kZone && a.zone != e.told.zone) ||
-             (scope == RepeatScope::kCell && a.cell != e.told.cell);
+      if (c.idempotency == Idempotency::kNonIdempotent || !c.idempotency_window ||
+          now_ - a.sent >= *c.idempotency_window)
+        return true;
+      return (scope == IdempotencyScope::kZone && a.zone != e.told.zone) ||
+             (scope == IdempotencyScope::kCell && a.cell != e.told.cell);
     });
   }
 
   bool attempt_allowed(const Request& r, int out) const {  // attempts, copies, budget
     if (r.over || now_ >= r.give_up_at || r.attempts.size() >= most_attempts(r)) return false;
-    if (out > 0 && (!s_.second_copies || out > 1)) return false;
+    if (out > 0 && (!s_.hedging || out > 1)) return false;
     return r.attempts.empty() || budget_left();
   }
 
   bool budget_left() const {
-    if (!s_.attempt_budget) return true;
-    const auto& b = *s_.attempt_budget;
+    if (!s_.retry_budget) return true;
+    const auto& b = *s_.retry_budget;
     const auto recent = [&](const std::deque<Time>& times, Time from) {
       return static_cast<double>(times.end() - std::lower_bound(times.begin(), times.end(), from));
     };
     return recent(extra_sent_, now_ - b.window) + 1 <=
-           std::floor(b.free + b.share * recent(taken_, now_ - b.window + 1));
+           std::floor(b.min_retries + b.retry_ratio * recent(taken_, now_ - b.window + 1));
   }
 
   bool key_free(const Request& r) const {
@@ -362,9 +368,9 @@
   void send(Request& r, Engine& e) {
     const auto& c = cls(r);
     const int priority = level(r);
-    SetTerms terms{r.id, std::nullopt, s_.priorities_heeded ? priority : 1};
-    if (s_.grants_heeded && r.memory_mb) terms.memory_mb = grant(r);
-    if (s_.priorities_heeded || s_.grants_heeded) actions_->push_back(terms);
+    SetExecutionOptions terms{r.id, std::nullopt, s_.priorities_supported ? priority : 1};
+    if (s_.memory_grants_supported && r.memory_mb) terms.memory_mb = grant(r);
+    if (s_.priorities_supported || s_.memory_grants_supported) actions_->push_back(terms);
     actions_->push_back(Send{r.id, e.told.id, std::nullopt});
     if (!r.attempts.empty()) extra_sent_.push_back(now_);
     r.attempts.push_back({&e, e.told.id, e.told.zone, e.told.cell, now_, now_, priority, grant(r)});
@@ -393,7 +399,7 @@
   // took every engine from all reports, the small ones too. Should also guard where a class turns heavy or
   // worthless. Could harm where estimates say nothing of the work.
   int level(const Request& r) const {
-    if (!s_.priorities_heeded) return 0;
+    if (!s_.priorities_supported) return 0;
     if (open_ >= 1) return cls(r).is_load ? 2 : cls(r).threads == 1 ? 3 : 1;
     return r.earns > earns_ + earns_spread_ ? 3 : r.earns > earns_ ? 2 : 1;
   }
@@ -406,9 +412,10 @@
   void finish(Request& r, bool refused) {
     if (r.over) return;
     const auto& c = cls(r);
-    const bool harmless = c.effect == Effect::kSafe || !has_run(r) ||
-                          (c.effect == Effect::kKeyed && c.repeat_scope == RepeatScope::kAll);
-    actions_->push_back(refused && harmless ? Action(Refuse{r.id, s_.max_retry_after}) : Action(Fail{r.id}));
+    const bool harmless =
+        c.idempotency == Idempotency::kIdempotent || !has_run(r) ||
+        (c.idempotency == Idempotency::kKeyed && c.idempotency_scope == IdempotencyScope::kAll);
+    actions_->push_back(refused && harmless ? Action(Reject{r.id, s_.max_retry_after}) : Action(Fail{r.id}));
     close(r);
   }
 
@@ -418,7 +425,8 @@
     // Nobody waits for what is still out, also when the client left by itself: it only slows others. An
     // unsafe one is let run to its end, since half an effect may be worse than a whole one.
     for (std::size_t i = 0; i < r.attempts.size(); ++i) {
-      if (r.attempts[i].out && cls(r).effect != Effect::kUnsafe) cancel(r, static_cast<std::uint32_t>(i));
+      if (r.attempts[i].out && cls(r).idempotency != Idempotency::kNonIdempotent)
+        cancel(r, static_cast<std::uint32_t>(i));
     }
     unqueue(r);
     settle_key(r);
@@ -440,17 +448,17 @@
   // ---- cold engines: what the fleet may push at one that has just started ---------------------------------
 
   bool is_cold(const Engine& e) const {
-    return s_.cold && e.cold_since > 0 && now_ - e.cold_since < s_.cold->warm_after;
+    return s_.slow_start && e.cold_since > 0 && now_ - e.cold_since < s_.slow_start->warm_up_period;
   }
   double capacity_share(const Engine& e) const {  // a lower bound: slow at first, then faster
     if (!is_cold(e)) return 1;
     const Time gone = std::max<Time>(0, now_ - e.cold_since);  // their clock may be ahead of ours
-    const double age = static_cast<double>(gone) / static_cast<double>(s_.cold->warm_after);
-    return s_.cold->from + (1 - s_.cold->from) * age * age;
+    const double age = static_cast<double>(gone) / static_cast<double>(s_.slow_start->warm_up_period);
+    return s_.slow_start->initial_share + (1 - s_.slow_start->initial_share) * age * age;
   }
   double cold_budget(const Engine& e) const {  // our part of what it may be sent in a span
-    return kColdMargin * s_.cold->multiple * capacity_share(e) * kCapacityBusy * e.cores *
-           static_cast<double>(s_.cold->span) / s_.routers;
+    return kColdMargin * s_.slow_start->overload_factor * capacity_share(e) * kCapacityBusy * e.cores *
+           static_cast<double>(s_.slow_start->overload_window) / s_.instance_count;
   }
 
   // Few gateways split the allowance. Where a part is too small for a query, they take turns: what may be
@@ -458,21 +466,25 @@
   // query, lasts a span and is lost if not used, so nobody catches up after a stall or a restart.
   bool cold_allows(Engine& e, const Request& r) const {
     if (!is_cold(e)) return true;
-    while (!e.cold_sent.empty() && e.cold_sent.front().first <= now_ - s_.cold->span) e.cold_sent.pop_front();
+    while (!e.cold_sent.empty() && e.cold_sent.front().first <= now_ - s_.slow_start->overload_window)
+      e.cold_sent.pop_front();
     const double mean = classes_[r.cls].at_most(), work = std::max(mean, r.work) * (r.told ? 1 : kColdUntold);
     if (cold_budget(e) >= kColdShares * mean) {
       double sum = work;
       for (const auto& [at, weight] : e.cold_sent) sum += weight;
       return sum <= cold_budget(e);
     }
-    const double span = static_cast<double>(s_.cold->span), capacity = kCapacityBusy * e.cores;
-    const double most = s_.cold->multiple * s_.cold->from * capacity * span;  // may stay as it began
+    const double span = static_cast<double>(s_.slow_start->overload_window),
+                 capacity = kCapacityBusy * e.cores;
+    const double most = s_.slow_start->overload_factor * s_.slow_start->initial_share * capacity *
+                        span;  // may stay as it began
     if (!e.cold_sent.empty() || work > kColdPiece * most) return false;
-    const double use = std::min(kColdTurns * s_.cold->multiple, kColdMost) * capacity / classes_.size();
+    const double use =
+        std::min(kColdTurns * s_.slow_start->overload_factor, kColdMost) * capacity / classes_.size();
     const double age = static_cast<double>(now_ - e.cold_since);  // over it, the mean of the share so far:
-    const double dealt = use * age * (2 * s_.cold->from + capacity_share(e)) / 3;
-    const double all_turns = mean * s_.routers;  // work dealt until each has had one
-    const double ours = (s_.ordinal + 0.5) / s_.routers + unit(mix(e.hash ^ r.cls));
+    const double dealt = use * age * (2 * s_.slow_start->initial_share + capacity_share(e)) / 3;
+    const double all_turns = mean * s_.instance_count;  // work dealt until each has had one
+    const double ours = (s_.instance_index + 0.5) / s_.instance_count + unit(mix(e.hash ^ r.cls));
     const double turn = dealt / all_turns - (ours - std::floor(ours));
     return turn >= 0 && (turn - std::floor(turn)) * all_turns <= use * capacity_share(e) * span;
   }
@@ -525,7 +537,7 @@
   // late: each gateway, told of room, fills its window, and then all wait until the report is old. So each
   // keeps its grants within its own part of an engine's memory.
   bool memory_room(const Engine& e, const Request& r) const {
-    if (s_.short_memory != ShortMemory::kPage || e.memory <= 0 || e.granted <= 0) return true;
+    if (s_.memory_pressure != MemoryPressure::kPage || e.memory <= 0 || e.granted <= 0) return true;
     return e.granted + grant(r) <= kMemoryPart * e.memory / gateways_;
   }
 
@@ -541,7 +553,7 @@
   // What an answer still earns: work past its aim takes no room from work that can meet it, whatever made it
   // late. Could harm where late answers are wanted after all: their late worth says how much.
   double value(const Request& r) const {
-    return r.worth * (now_ <= latest_start(r) ? 1 : cls(r).late_worth) / std::max(1000.0, r.work);
+    return r.worth * (now_ <= latest_start(r) ? 1 : cls(r).late_weight) / std::max(1000.0, r.work);
   }
 
   double rank(const Request& r) const {  // worth per unit of work, aged by the share of the slack gone
@@ -623,7 +635,7 @@
   // A queued request that can no longer make its aim is answered at once: late work only crowds out other.
   void shed(Request& r) {
     if (r.over || r.out > 0) return;
-    if ((now_ > latest_start(r) && cls(r).late_worth < kLateWorth) || !time_left(r)) finish(r, true);
+    if ((now_ > latest_start(r) && cls(r).late_weight < kLateWorth) || !time_left(r)) finish(r, true);
   }
   bool time_left(const Request& r) const {  // for what its class takes of late
     return now_ + static_cast<Time>(std::max(1.0, classes_[r.cls].stretch) * run_time(r)) <= r.give_up_at;
@@ -640,13 +652,14 @@
   // Few gateways each stay with one home, and their own load tells when another is due; of many, nobody's
   // load tells, so their queries are dealt out over all homes.
   double draw(const Request& r) const {
-    const double stays = unit(mix(mix(s_.ordinal) ^ r.group)), dealt = unit(mix(mix(s_.ordinal) ^ mix(r.id)));
+    const double stays = unit(mix(mix(s_.instance_index) ^ r.group)),
+                 dealt = unit(mix(mix(s_.instance_index) ^ mix(r.id)));
     const double sum = stays + (1 - own_part_) * dealt;
     return sum - std::floor(sum);
   }
 
   void plan_placement() {
-    std::vector<Placement::Room> rooms;
+    std::vector<Placement::EngineCapacity> rooms;
     for (const auto& [id, e] : engines_) {
       if (serves(e)) rooms.push_back({id, e.hash, e.cores * capacity_share(e)});
     }
@@ -654,7 +667,7 @@
   }
 
   void look_over_fleet() {
-    if (placement_.stale(now_)) plan_placement();
+    if (placement_.plan_expired(now_)) plan_placement();
     std::vector<double> paces;
     double cores = 0, warm = 0, own = 0;
     std::size_t bad = 0;
@@ -683,9 +696,9 @@
   // ends. Whether the engine is gone shows at the next connection. Taken for 'unreachable', 11 attempts on
   // one connection shut an engine for 3 s and held it for just started for 15 more.
   void failed(Engine& e, Outcome o) {
-    const bool no_answer = o == Outcome::kNoConnection || o == Outcome::kConnectionLost;
+    const bool no_answer = o == Outcome::kConnectFailed || o == Outcome::kConnectionLost;
     if (no_answer && std::exchange(e.lost_at, now_) == now_) return;  // one event, many attempts
-    if (o == Outcome::kNoConnection) {
+    if (o == Outcome::kConnectFailed) {
       ++e.failures;
       e.cold_since = std::max(e.cold_since, now_);  // when it answers again it may have just started
     } else {
@@ -717,26 +730,28 @@
   // ---- events ---------------------------------------------------------------------------------------------
 
   void on(const EngineList& list) {
-    if (list.kind == ListKind::kRefused) return actions_->push_back(Wake{now_ + kAskPause, kAskToken});
+    if (list.kind == EngineListKind::kRejected)
+      return actions_->push_back(SetTimer{now_ + kAskPause, kAskToken});
     ++lists_;
     for (const auto& entry : list.entries) {
       auto& e = engines_[entry.id];
       e.list = lists_;
       if (!e.known) e.hash = hash_text(entry.name);
-      if (entry.kind < s_.kinds.size()) {
-        e.cores = s_.kinds[entry.kind].cores.value_or(1);
-        e.memory = s_.kinds[entry.kind].memory_mb.value_or(0);
+      if (entry.machine_type < s_.machine_types.size()) {
+        e.cores = s_.machine_types[entry.machine_type].cores.value_or(1);
+        e.memory = s_.machine_types[entry.machine_type].memory_mb.value_or(0);
       }
-      if (entry.started > 0 && (!e.known || entry.started != e.told.started)) restarted(e, entry.started);
+      if (entry.started_at > 0 && (!e.known || entry.started_at != e.told.started_at))
+        restarted(e, entry.started_at);
       e.known = true;
       e.told = entry;
     }
     for (auto& [id, e] : engines_) {
-      if (list.kind != ListKind::kChanges && e.list != lists_) e.told.state = EngineState::kGone;
+      if (list.kind != EngineListKind::kDelta && e.list != lists_) e.told.state = EngineState::kRemoved;
       if (!serves(e)) empty_queue(e);
     }
     std::erase_if(engines_, [this](auto& one) {  // a cold one's budget is remembered
-      return one.second.told.state == EngineState::kGone && one.second.out == 0 && !is_cold(one.second);
+      return one.second.told.state == EngineState::kRemoved && one.second.out == 0 && !is_cold(one.second);
     });
     plan_placement();
     look_over_fleet();
@@ -754,32 +769,33 @@
   }
 
   void on(const RequestArrived& a) {
-    if (a.cls >= s_.classes.size() || requests_.count(a.id) != 0) return;
-    const auto& c = s_.classes[a.cls];
-    auto& k = classes_[a.cls];
+    if (a.class_index >= s_.classes.size() || requests_.count(a.id) != 0) return;
+    const auto& c = s_.classes[a.class_index];
+    auto& k = classes_[a.class_index];
     Request& r = requests_[a.id];
-    r.id = a.id, r.cls = a.cls, r.key = a.key, r.group = a.group;
-    r.memory_mb = a.memory_mb, r.give_up_at = a.give_up_at;
+    r.id = a.id, r.cls = a.class_index, r.key = a.key, r.group = a.group;
+    r.memory_mb = a.memory_mb, r.give_up_at = a.deadline;
     // What came while we stood still has waited already: as long as its client's patience tells.
-    if (!stalled_) k.patience = std::max(k.patience, a.give_up_at - now_);
-    r.arrived = stalled_ ? std::min(now_, a.give_up_at - k.patience) : now_;
+    if (!stalled_) k.patience = std::max(k.patience, a.deadline - now_);
+    r.arrived = stalled_ ? std::min(now_, a.deadline - k.patience) : now_;
     r.told = a.work.has_value();
     r.work = a.work ? *a.work * k.bias : k.mean_work;
     if (a.work) k.mean_work += kLearn * (std::min(r.work, 20 * k.mean_work) - k.mean_work), k.took = 0;
-    r.aim_at = std::min(r.give_up_at, r.arrived + c.aim + static_cast<Time>(c.aim_stretch * run_time(r)));
-    r.worth = c.worth * (within_share(a.tenant) ? 1 : s_.over_share_worth);
+    r.aim_at = std::min(r.give_up_at, r.arrived + c.latency_objective +
+                                          static_cast<Time>(c.latency_objective_per_work * run_time(r)));
+    r.worth = c.priority_weight * (within_share(a.tenant) ? 1 : s_.over_quota_weight);
     know_mix(r);
-    if (s_.attempt_budget) {
+    if (s_.retry_budget) {
       taken_.push_back(now_);
       for (auto* times : {&taken_, &extra_sent_}) {
-        while (!times->empty() && times->front() < now_ - s_.attempt_budget->window) times->pop_front();
+        while (!times->empty() && times->front() < now_ - s_.retry_budget->window) times->pop_front();
       }
     }
     if (c.ordered && r.key != 0) keys_[r.key].line.push_back(&r);
-    actions_->push_back(Wake{r.give_up_at, kFirstRequestToken + r.id});
-    placement_.ask(r.group, classes_[r.cls].mean_work, now_);
-    if (placement_.lacks(r.group, now_)) plan_placement();
-    r.home = c.is_load ? kNoHome : placement_.draw(r.group, draw(r));
+    actions_->push_back(SetTimer{r.give_up_at, kFirstRequestToken + r.id});
+    placement_.record_demand(r.group, classes_[r.cls].mean_work, now_);
+    if (placement_.needs_plan(r.group, now_)) plan_placement();
+    r.home = c.is_load ? kNoPreferredEngine : placement_.select_engine(r.group, draw(r));
     shed(r);  // a client's late further try may have no time left
     if (!r.over) place(r);
   }
@@ -808,7 +824,7 @@
   }
 
   Tenant& tenant_state(std::uint32_t tenant) {
-    const double rate = s_.tenants[tenant].quota_per_second / s_.routers;
+    const double rate = s_.tenants[tenant].quota_per_second / s_.instance_count;
     return tenants_
         .try_emplace(tenant, Tenant{kQuotaSpan * std::max(1.0, rate), now_, rate * kShareSpan / 1e6})
         .first->second;
@@ -828,9 +844,9 @@
       rates += rate, quotas += quota;
       least = std::min(least, rate / quota);
     }
-    const double even = 1.0 / s_.routers;
+    const double even = 1.0 / s_.instance_count;
     tenant_share_ = std::max(even, quotas > 0 ? least : 0);
-    gateways_ = rates > kUneven * even * quotas ? std::max(1.0, quotas / rates) : s_.routers;
+    gateways_ = rates > kUneven * even * quotas ? std::max(1.0, quotas / rates) : s_.instance_count;
   }
 
   void on(const AttemptEnded& ended) {
@@ -847,20 +863,21 @@
     auto& g = group(e, r.group);
     if (int& n = c.is_load ? g.loads : g.readers; n > 0) --n;
     const auto o = ended.outcome;
-    a.may_have_run = o != Outcome::kTurnedAway && o != Outcome::kNoConnection && o != Outcome::kNotSent;
-    if (o == Outcome::kNoAnswer || o == Outcome::kConnectionLost || o == Outcome::kCancelled) {
-      if (c.ordered && r.key != 0 && s_.order_rest) keys_[r.key].rest_until = now_ + *s_.order_rest;
+    a.may_have_run = o != Outcome::kRejected && o != Outcome::kConnectFailed && o != Outcome::kNotSent;
+    if (o == Outcome::kNoResponse || o == Outcome::kConnectionLost || o == Outcome::kCancelled) {
+      if (c.ordered && r.key != 0 && s_.ordered_key_cooldown)
+        keys_[r.key].rest_until = now_ + *s_.ordered_key_cooldown;
     }
-    if (o == Outcome::kTurnedAway) doubt_reports(e);
+    if (o == Outcome::kRejected) doubt_reports(e);
     take_report(e, ended.report);
     answers_report_ |= ended.report.has_value();
-    if (o == Outcome::kNoAnswer && a.heard == a.sent) lost_ += kLearn * (1 - lost_);
-    if ((o == Outcome::kNoAnswer || (o == Outcome::kCancelled && (a.silent || a.heard > a.sent))) &&
+    if (o == Outcome::kNoResponse && a.heard == a.sent) lost_ += kLearn * (1 - lost_);
+    if ((o == Outcome::kNoResponse || (o == Outcome::kCancelled && (a.silent || a.heard > a.sent))) &&
         !stalled_)
       learn_pace(r, e, now_ - a.sent);
     // Never answered, or turned away: worse than late. Should catch whatever makes engines give no answers at
     // all; could harm where a few are out of reach, until answers in time open the sum again.
-    if ((o == Outcome::kNoAnswer || o == Outcome::kTurnedAway) && !stalled_) move_sum(open_ * kSumDown);
+    if ((o == Outcome::kNoResponse || o == Outcome::kRejected) && !stalled_) move_sum(open_ * kSumDown);
     if (o == Outcome::kServed) {
       lost_ -= kLearn * lost_;
       e.failures = 0;
@@ -871,10 +888,10 @@
       if (!stalled_) learn(r, e, ended);
     } else if (o == Outcome::kError) {
       erred(a, e);
-    } else if (o != Outcome::kNoAnswer && o != Outcome::kCancelled && o != Outcome::kNotSent) {
+    } else if (o != Outcome::kNoResponse && o != Outcome::kCancelled && o != Outcome::kNotSent) {
       failed(e, o);
     }
-    if (ended.over || o == Outcome::kServed) close(r);
+    if (ended.completed || o == Outcome::kServed) close(r);
     if (r.over) {
       settle_key(r);
       done_.push_back(r.id);
@@ -886,7 +903,7 @@
 
   bool can_go_on(const Request& r) const {  // a spent budget only holds it back for a while
     if (r.attempts.size() >= most_attempts(r) || !time_left(r) || at_fault(r)) return false;
-    return cls(r).effect == Effect::kSafe || !has_run(r) ||
+    return cls(r).idempotency == Idempotency::kIdempotent || !has_run(r) ||
            std::any_of(engines_.begin(), engines_.end(), [&](auto& one) { return allowed(one.second, r); });
   }
 
@@ -934,25 +951,25 @@
     open_ = std::clamp(to, least, std::max(most, least));
   }
 
-  void on(const AttemptNote& note) {
+  void on(const AttemptUpdate& note) {
     Request* const known = request(note.request);
     if (!known || known->over || note.attempt >= known->attempts.size()) return;
     Request& r = *known;
     auto& a = r.attempts[note.attempt];
     a.heard = last_note_ = last_word_ = now_;
-    a.waits = note.kind == NoteKind::kWaitsForMemory;
+    a.waits = note.kind == AttemptUpdateKind::kWaitingForMemory;
     // A line for memory is heard of at once, a late answer seconds later: too much runs. Should also catch a
     // fleet that has lost engines. Could harm where a few engines alone are short. Where grants are ours they
     // are what helps.
-    if (a.waits && !s_.grants_heeded) move_sum(open_ * kSumLine);
+    if (a.waits && !s_.memory_grants_supported) move_sum(open_ * kSumLine);
     if (!a.out || a.cancelled) return;
     auto& k = classes_[r.cls];
-    if (note.kind == NoteKind::kSpills && !a.spilled) {
+    if (note.kind == AttemptUpdateKind::kSpilling && !a.spilled) {
       a.spilled = true;
-      if (s_.short_memory == ShortMemory::kShrink) move_sum(open_ * kSumLine);
+      if (s_.memory_pressure == MemoryPressure::kShrink) move_sum(open_ * kSumLine);
       k.grant = std::min(kGrantMost, k.grant * (1 + kGrantUp));
     }
-    if (note.kind == NoteKind::kWaitsForLoad) {
+    if (note.kind == AttemptUpdateKind::kWaitingForLoad) {
       // It has done nothing yet and keeps memory: better read elsewhere, if an engine is without the load.
       group(*a.at, r.group).held_until = now_ + kHeldFor;
       for (const auto& [id, e] : engines_) {
@@ -962,7 +979,7 @@
       }
     }
     const Time elapsed = now_ - a.sent;
-    if (note.kind != NoteKind::kProgress || elapsed < kBadPlanAfter || stalled_) return;
+    if (note.kind != AttemptUpdateKind::kProgress || elapsed < kBadPlanAfter || stalled_) return;
     const double done = std::clamp(note.amount, 0.001, 1.0);
     const double pace = done * run_time(r) / static_cast<double>(elapsed);
     const double left = static_cast<double>(elapsed) * (1 - done) / done;
@@ -974,20 +991,21 @@
     }
   }
 
-  void on(const AnswerBegun& begun) {
+  void on(const ResponseStarted& begun) {
     Request* const r = request(begun.request);
     if (!r || begun.attempt >= r->attempts.size()) return;
     r->attempts[begun.attempt].cancelled = true;  // a stream is not to be cancelled
     close(*r);
   }
 
-  void on(const RequestDropped& dropped) {
+  void on(const ClientDisconnected& dropped) {
     if (Request* const r = request(dropped.request)) close(*r);
   }
 
   void on(const TimerFired& timer) {
     if (timer.token == kTickToken) return tick();
-    if (timer.token == kAskToken && s_.list_mode == ListMode::kAsked) actions_->push_back(FollowList{});
+    if (timer.token == kAskToken && s_.engine_list_mode == EngineListMode::kSubscribed)
+      actions_->push_back(SubscribeEngineList{});
     if (timer.token < kFirstRequestToken) return;
     Request* const r = request(timer.token - kFirstRequestToken);
     if (r && now_ >= r->give_up_at) finish(*r, false);
@@ -1010,12 +1028,12 @@
   // not given the time for a note. Could harm where notes are late for some engines only: then work is
   // cancelled that still ran.
   void look_for_silence(Request& r) {
-    if (!s_.note_interval || r.over || r.out == 0) return;
+    if (!s_.progress_interval || r.over || r.out == 0) return;
     auto& a = r.attempts.back();
     if (!a.out || a.silent || a.cancelled || a.waits) return;
-    const bool notes_flow = last_note_ > 0 && now_ - last_word_ < 2 * *s_.note_interval;
+    const bool notes_flow = last_note_ > 0 && now_ - last_word_ < 2 * *s_.progress_interval;
     const bool unheard =
-        notes_flow && now_ - std::max(a.heard, stalled_at_) > kSilentNotes * *s_.note_interval;
+        notes_flow && now_ - std::max(a.heard, stalled_at_) > kSilentNotes * *s_.progress_interval;
     const double usual = classes_[r.cls].stretch * run_time(r);
     const bool overdue = a.sent > stalled_at_ && lost_ > kLostFrom && a.heard == a.sent &&
                          static_cast<double>(now_ - a.sent) > kOverdue * usual + kOverdueAdd;
@@ -1028,7 +1046,8 @@
   }
 
   void cancel_for_another(Request& r, std::uint32_t attempt) {
-    if (cls(r).effect == Effect::kSafe && attempt_allowed(r, 0) && time_left(r)) cancel(r, attempt);
+    if (cls(r).idempotency == Idempotency::kIdempotent && attempt_allowed(r, 0) && time_left(r))
+      cancel(r, attempt);
   }
 
   void on(const ProbeEnded& probe) {
@@ -1079,8 +1098,8 @@
   impl_->handle(now, events, actions);
 }
 
-void Router::change(Settings settings) { impl_->change(std::move(settings)); }
+void Router::update_settings(Settings settings) { impl_->change(std::move(settings)); }
 
-std::size_t Router::avoided(Time now) const { return impl_->avoided(now); }
+std::size_t Router::avoided_engines(Time now) const { return impl_->avoided(now); }
 
 }  // namespace lemonshift
--- a/src/logic/placement.cpp
+++ b/src/logic/placement.cpp
@@ -16,19 +16,19 @@
 }
 }  // namespace
 
-void Placement::ask(std::uint64_t group, double work, Time now) {
-  if (asked_.size() >= 2 * kMostGroups && !asked_.contains(group)) return;  // until the next plan
-  auto& asked = asked_[group];
+void Placement::record_demand(std::uint64_t group, double work, Time now) {
+  if (demand_.size() >= 2 * kMostGroups && !demand_.contains(group)) return;  // until the next plan
+  auto& asked = demand_[group];
   asked = {faded(asked, now) + work, now};
 }
 
-void Placement::plan(const std::vector<Room>& rooms, Time now) {
+void Placement::plan(const std::vector<EngineCapacity>& rooms, Time now) {
   planned_at_ = now;
-  parts_.clear();
+  assignments_.clear();
   std::vector<std::pair<double, std::uint64_t>> groups;
-  for (const auto& [group, asked] : asked_) groups.emplace_back(faded(asked, now), group);
+  for (const auto& [group, asked] : demand_) groups.emplace_back(faded(asked, now), group);
   std::sort(groups.rbegin(), groups.rend());
-  for (std::size_t i = kMostGroups; i < groups.size(); ++i) asked_.erase(groups[i].second);
+  for (std::size_t i = kMostGroups; i < groups.size(); ++i) demand_.erase(groups[i].second);
   groups.resize(std::min(groups.size(), kMostGroups));
   double asked = 0, capacity = 0;
   for (const auto& one : groups) asked += one.first;
@@ -47,25 +47,25 @@
     const double taken = std::min(wanted[g], left[e]);
     if (taken <= 0) continue;
     wanted[g] -= taken, left[e] -= taken;
-    parts_[groups[g].second].push_back(
+    assignments_[groups[g].second].push_back(
         {rooms[e].engine, taken * capacity / rooms[e].capacity, taken * asked / groups[g].first});
   }
 }
 
-EngineId Placement::draw(std::uint64_t group, double draw) const {
-  const auto found = parts_.find(group);
-  if (found == parts_.end()) return kNoHome;
+EngineId Placement::select_engine(std::uint64_t group, double draw) const {
+  const auto found = assignments_.find(group);
+  if (found == assignments_.end()) return kNoPreferredEngine;
   for (const auto& part : found->second) {
-    if ((draw -= part.of_group) < 0) return part.engine;
+    if ((draw -= part.share_of_group) < 0) return part.engine;
   }
   return found->second.back().engine;
 }
 
-double Placement::part(EngineId engine, std::uint64_t group) const {
-  const auto found = parts_.find(group);
-  if (found == parts_.end()) return 0;
+double Placement::planned_share(EngineId engine, std::uint64_t group) const {
+  const auto found = assignments_.find(group);
+  if (found == assignments_.end()) return 0;
   for (const auto& part : found->second) {
-    if (part.engine == engine) return part.share;
+    if (part.engine == engine) return part.share_of_engine;
   }
   return 0;
 }
--- a/src/logic/placement.h
+++ b/src/logic/placement.h
@@ -17,39 +17,40 @@
 
 namespace lemonshift {
 
-constexpr EngineId kNoHome = std::numeric_limits<EngineId>::max();
+constexpr EngineId kNoPreferredEngine = std::numeric_limits<EngineId>::max();
 
 class Placement {
  public:
-  struct Room {
+  struct EngineCapacity {
     EngineId engine = 0;
     std::uint64_t hash = 0;  // of the engine's name
     double capacity = 0;     // against the other engines, from 0 up
   };
   // Counts what a group's query asks for; older ones count less and less.
-  void ask(std::uint64_t group, double work, Time now);
-  bool knows(std::uint64_t group) const { return parts_.contains(group); }
-  bool stale(Time now) const { return now - planned_at_ >= kPlanEvery; }
+  void record_demand(std::uint64_t group, double work, Time now);
+  bool is_planned(std::uint64_t group) const { return assignments_.contains(group); }
+  bool plan_expired(Time now) const { return now - planned_at_ >= kPlanInterval; }
   // Not in the plan, and it may be made anew for that: names that clients invent must not cost a plan each.
-  bool lacks(std::uint64_t group, Time now) const {
-    return !knows(group) && (parts_.size() < kFewGroups || now - planned_at_ >= kPlanEvery / 10);
+  bool needs_plan(std::uint64_t group, Time now) const {
+    return !is_planned(group) &&
+           (assignments_.size() < kAlwaysPlannedGroups || now - planned_at_ >= kPlanInterval / 10);
   }
-  void plan(const std::vector<Room>& rooms, Time now);
+  void plan(const std::vector<EngineCapacity>& rooms, Time now);
   // The home of one of the group's queries: engines by their planned parts, `draw` from 0 to 1.
-  EngineId draw(std::uint64_t group, double draw) const;
+  EngineId select_engine(std::uint64_t group, double draw) const;
   // The share of the engine's planned work that is the group's.
-  double part(EngineId engine, std::uint64_t group) const;
+  double planned_share(EngineId engine, std::uint64_t group) const;
 
  private:
-  static constexpr Time kPlanEvery = 1'000'000;
-  static constexpr std::size_t kFewGroups = 16;
-  struct Part {
+  static constexpr Time kPlanInterval = 1'000'000;
+  static constexpr std::size_t kAlwaysPlannedGroups = 16;
+  struct Assignment {
     EngineId engine = 0;
-    double share = 0, of_group = 0;  // of the engine's work; of the group's
+    double share_of_engine = 0, share_of_group = 0;  // of the engine's work; of the group's
   };
-  Time planned_at_ = -kPlanEvery;
-  std::map<std::uint64_t, std::pair<double, Time>> asked_;
-  std::map<std::uint64_t, std::vector<Part>> parts_;
+  Time planned_at_ = -kPlanInterval;
+  std::map<std::uint64_t, std::pair<double, Time>> demand_;
+  std::map<std::uint64_t, std::vector<Assignment>> assignments_;
 };
 
 }  // namespace lemonshift
--- a/src/logic/settings_check.h
+++ b/src/logic/settings_check.h
@@ -5,6 +5,6 @@
 
 namespace lemonshift {
 
-Settings checked(Settings s);  // throws BadSettings, naming the setting
+Settings validated(Settings s);  // throws BadSettings, naming the setting
 
 }  // namespace lemonshift
