--- a/src/main.cpp
+++ b/src/main.cpp
@@ -27,37 +27,39 @@
   using namespace rookproxy;
   block_signals(kSignals);  // before anything else: until the loop runs they wait
   return run_program(
-      argc, argv, "rookproxy", kAbout, kFooter, false, [](const ProgramOptions& options, Log& log) {
-        const Config config = load_config(read_environment(), options.file);
-        if (options.check) {
-          if (!config.peers_fault.empty()) throw SettingsError(config.peers_fault);
-          if (config.access) access::read_files(*config.access);
+      argc, argv, "rookproxy", kAbout, kFooter, false, [](const ProgramOptions& options, Logger& log) {
+        const Config config = load_config(read_environment(), options.config_file);
+        if (options.check_only) {
+          if (!config.peers_error.empty()) throw SettingsError(config.peers_error);
+          if (config.access) access::load_auth_files(*config.access);
           if (config.tls) std::cout << tls::describe(*tls::ServerContext::load(config.tls->server)) << "\n";
-          if (config.fleet) fleet_settings(config);
-          return report_fine();
+          if (config.cluster) cluster_settings(config);
+          return report_valid_configuration();
         }
         log.set_host(config.name);
         configure_log(log, config.log);
-        Loop loop;
+        EventLoop loop;
         App app(loop, log, config);
         const auto reread = [&] {
-          app.reload(
-              [&](const Config& running) { return load_config(read_environment(), options.file, running); });
+          app.reload([&](const Config& running) {
+            return load_config(read_environment(), options.config_file, running);
+          });
         };
-        Signals signals(loop, kSignals, [&](int signal) { signal == SIGHUP ? reread() : app.drain(); });
+        SignalWatcher signals(loop, kSignals, [&](int signal) { signal == SIGHUP ? reread() : app.drain(); });
         // Where callers are identified, rights that were taken back must not wait for a signal.
-        std::unique_ptr<FileWatch> watch;
+        std::unique_ptr<FileWatcher> watch;
         if (config.access) {
           std::vector<std::string> files;
-          for (const auto& file : {options.file, read_environment().config}) {
+          for (const auto& file : {options.config_file, read_environment().config_file}) {
             if (!file.empty()) files.push_back(file);
           }
-          watch = std::make_unique<FileWatch>(loop, std::move(files), config.access_poll, reread);
+          watch =
+              std::make_unique<FileWatcher>(loop, std::move(files), config.credential_poll_interval, reread);
         }
         loop.run();
         // Connections still open are closed by the kernel; taking the tables down one by one would serve
         // nobody.
         std::cerr.flush();
-        ::_exit(kExitDone);
+        ::_exit(kExitSuccess);
       });
 }
--- a/src/mysql/protocol.h
+++ b/src/mysql/protocol.h
@@ -47,7 +47,7 @@
 enum Error : std::uint16_t {
   kTooManyConnections = 1040,
   kOutOfResources = 1041,
-  kBadHandshake = 1043,
+  kHandshakeError = 1043,
   kDatabaseDenied = 1044,
   kAccessDenied = 1045,
   kUnknownCommand = 1047,
@@ -73,11 +73,11 @@
 };
 std::string_view sql_state(std::uint16_t error);
 
-constexpr std::size_t kHeaderSize = 4, kMostPayload = 0xffffff;
-constexpr std::uint16_t kAutocommit = 2, kMoreResults = 8;
+constexpr std::size_t kHeaderSize = 4, kMaxPayloadSize = 0xffffff;
+constexpr std::uint16_t kAutocommit = 2, kMoreResultsExist = 8;
 constexpr std::uint8_t kUtf8mb4 = 45;
 
-struct Malformed : std::runtime_error {
+struct MalformedPacketError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
@@ -85,33 +85,33 @@
 class PayloadReader {
  public:
   explicit PayloadReader(std::string_view bytes) : bytes_(bytes) {}
-  std::uint64_t number(std::size_t size);  // little-endian
-  std::uint64_t lenenc();
-  std::string_view lenenc_text() { return take(lenenc()); }
-  std::string_view nul_text();
+  std::uint64_t integer(std::size_t size);  // little-endian
+  std::uint64_t length_encoded_integer();
+  std::string_view length_encoded_string() { return take(length_encoded_integer()); }
+  std::string_view null_terminated_string();
   std::string_view take(std::uint64_t size);
-  std::string_view rest() { return std::exchange(bytes_, {}); }
-  std::size_t left() const { return bytes_.size(); }
+  std::string_view take_remaining() { return std::exchange(bytes_, {}); }
+  std::size_t remaining() const { return bytes_.size(); }
 
  private:
   std::string_view bytes_;
 };
 
-void put_number(std::string& out, std::uint64_t value, std::size_t size);
-void put_lenenc(std::string& out, std::uint64_t value);
-void put_lenenc_text(std::string& out, std::string_view text);
+void append_integer(std::string& out, std::uint64_t value, std::size_t size);
+void append_length_encoded_integer(std::string& out, std::uint64_t value);
+void append_length_encoded_string(std::string& out, std::string_view text);
 
 // Cuts a payload into packets, the first of which gets `sequence`, which is moved on.
-std::string packets(std::string_view payload, std::uint8_t& sequence);
+std::string split_into_packets(std::string_view payload, std::uint8_t& sequence);
 
 // One message off the front of `bytes`, joined from its packets. `used` is 0 while more bytes are needed.
 struct Message {
   std::string payload;
   std::uint8_t first_sequence = 0, next_sequence = 0;
-  std::size_t used = 0;
+  std::size_t consumed = 0;
   bool too_large = false, out_of_order = false;
 };
-Message take_message(std::string_view bytes, std::size_t most);
+Message parse_message(std::string_view bytes, std::size_t most);
 
 std::string ok_payload(std::uint64_t affected = 0, std::uint64_t insert_id = 0,
                        std::uint16_t status = kAutocommit);
@@ -120,41 +120,41 @@
   std::uint16_t code = 0;
   std::string text;
 };
-ErrorInfo read_error(std::string_view payload);  // of a payload that starts with 0xff
+ErrorInfo parse_error(std::string_view payload);  // of a payload that starts with 0xff
 bool is_eof(std::string_view payload);
 
 struct Greeting {
-  std::uint32_t thread = 0;
+  std::uint32_t connection_id = 0;
   std::uint32_t capabilities = 0;
   std::string nonce;  // 20 bytes
   std::string plugin;
   std::string version;
 };
 std::string greeting_payload(const Greeting& greeting);
-Greeting read_greeting(std::string_view payload);
+Greeting parse_greeting(std::string_view payload);
 
 struct Login {
   std::uint32_t capabilities = 0;
   std::uint8_t charset = kUtf8mb4;
-  std::string user, proof, schema, plugin;
+  std::string user, auth_response, schema, plugin;
 };
 std::string login_payload(const Login& login);
-Login read_login(std::string_view payload);
+Login parse_login(std::string_view payload);
 
 // A client that asks for TLS sends this much of its log-in, and the rest in secret.
 constexpr std::size_t kSslRequestSize = 32;
-bool asks_for_tls(std::string_view payload);
+bool is_ssl_request(std::string_view payload);
 // COM_CHANGE_USER, behind its first byte; capabilities are those of the log-in.
-Login read_change_user(std::string_view payload, std::uint32_t capabilities);
+Login parse_change_user(std::string_view payload, std::uint32_t capabilities);
 constexpr std::string_view kClearPassword = "mysql_clear_password";
 constexpr std::string_view kNativePassword = "mysql_native_password";
 constexpr std::string_view kCachingSha2 = "caching_sha2_password";
 // What proves the password under that plugin; nothing if the plugin is not known here.
-std::optional<std::string> proof_for(std::string_view plugin, std::string_view password,
-                                     std::string_view nonce);
+std::optional<std::string> make_auth_response(std::string_view plugin, std::string_view password,
+                                              std::string_view nonce);
 // Compares without telling by its time where the two differ.
-bool same_secret(std::string_view a, std::string_view b);
-std::string new_nonce();
+bool constant_time_equal(std::string_view a, std::string_view b);
+std::string generate_nonce();
 // The password for a server that asks for all of it over a plain connection: encrypted to its public key
 // (PEM).
 std::optional<std::string> encrypt_password(std::string_view password, std::string_view nonce,
@@ -166,23 +166,23 @@
   enum class Kind { kPlain, kPrepare };
   explicit ResponseTracker(Kind kind = Kind::kPlain) : kind_(kind) {}
   // Takes the payload of one packet (not joined); true when the response is whole.
-  bool take(std::string_view payload);
+  bool on_packet(std::string_view payload);
   bool failed() const { return failed_; }  // it ended with an error packet
-  bool began() const { return state_ != State::kFirst || done_; }
+  bool has_started() const { return state_ != State::kFirst || done_; }
 
  private:
   enum class State { kFirst, kColumns, kColumnsEnd, kRows, kPrepareParams, kPrepareParamsEnd };
-  bool first(std::string_view payload);
+  bool on_first_packet(std::string_view payload);
   Kind kind_;
   State state_ = State::kFirst;
-  std::uint64_t due_ = 0, columns_ = 0;
+  std::uint64_t expected_definitions_ = 0, columns_ = 0;
   bool continued_ = false, failed_ = false, done_ = false;
 };
 
 // Takes the word 'autocommit is on' out of every status in a whole answer to a statement (not to a prepare).
-void clear_autocommit(std::string& packets);
+void clear_autocommit_status(std::string& packets);
 
 // A whole text result as lines of columns parted by tabs; an OK packet is an empty result. NULL reads '\N'.
-std::string rows_as_text(std::string_view response);
+std::string format_rows(std::string_view response);
 
 }  // namespace rookproxy::mysql
--- a/src/net/channel.h
+++ b/src/net/channel.h
@@ -6,9 +6,9 @@
 
 namespace rookproxy {
 
-class Channel {
+class SecureChannel {
  public:
-  virtual ~Channel() = default;
+  virtual ~SecureChannel() = default;
   // Bytes as they came from the socket; none at first, where this side speaks first. What they yield is
   // appended to `plain`, what must be sent for it to `out`. False: it is over, for the reason that why()
   // gives; `out` may still hold a last word.
@@ -17,8 +17,8 @@
   virtual void seal(std::string_view plain, std::string& out) = 0;
   // The end of this side's bytes, told so that the peer can know that nothing was cut off.
   virtual void finish(std::string& out) = 0;
-  virtual bool is_ready() const = 0;
-  virtual std::string why() const = 0;
+  virtual bool is_handshake_complete() const = 0;
+  virtual std::string end_reason() const = 0;
 };
 
 }  // namespace rookproxy
--- a/src/net/fd.cpp
+++ b/src/net/fd.cpp
@@ -17,21 +17,23 @@
 namespace {
 
 // Crowds come faster than a turn takes; what finds no place here comes again a second later.
-constexpr int kBacklog = 4096;
+constexpr int kListenBacklog = 4096;
 
-Fd new_socket(int family, int type) { return Fd(::socket(family, type | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)); }
+FileDescriptor open_socket(int family, int type) {
+  return FileDescriptor(::socket(family, type | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
+}
 
 template <class Address>
-bool try_connect(const Fd& fd, const Address& address) {
+bool try_connect(const FileDescriptor& fd, const Address& address) {
   return ::connect(fd.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0 ||
          errno == EINPROGRESS;
 }
 
 template <class Address>
-Fd bound_listener(Fd fd, const Address& address) {
+FileDescriptor bind_and_listen(FileDescriptor fd, const Address& address) {
   if (!fd || ::bind(fd.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0 ||
-      ::listen(fd.get(), kBacklog) != 0) {
-    return Fd();
+      ::listen(fd.get(), kListenBacklog) != 0) {
+    return FileDescriptor();
   }
   return fd;
 }
@@ -49,19 +51,19 @@
 
 }  // namespace
 
-void Fd::reset() {
+void FileDescriptor::reset() {
   if (fd_ >= 0) ::close(fd_);
   fd_ = -1;
 }
 
-std::string Endpoint::text() const {
+std::string SocketAddress::to_string() const {
   in_addr address{htonl(ip)};
   char out[INET_ADDRSTRLEN] = "";
   ::inet_ntop(AF_INET, &address, out, sizeof out);
   return std::string(out) + ":" + std::to_string(port);
 }
 
-sockaddr_in Endpoint::socket_address() const {
+sockaddr_in SocketAddress::to_sockaddr() const {
   sockaddr_in address{};
   address.sin_family = AF_INET;
   address.sin_addr.s_addr = htonl(ip);
@@ -69,14 +71,14 @@
   return address;
 }
 
-Endpoint Endpoint::of(const sockaddr_in& address) {
+SocketAddress SocketAddress::from_sockaddr(const sockaddr_in& address) {
   return {ntohl(address.sin_addr.s_addr), ntohs(address.sin_port)};
 }
 
-std::optional<Endpoint> parse_endpoint(std::string_view text) {
+std::optional<SocketAddress> parse_socket_address(std::string_view text) {
   const auto colon = text.rfind(':');
   if (colon == text.npos) return std::nullopt;
-  Endpoint endpoint;
+  SocketAddress endpoint;
   in_addr address{};
   if (::inet_pton(AF_INET, std::string(text.substr(0, colon)).c_str(), &address) != 1) return std::nullopt;
   endpoint.ip = ntohl(address.s_addr);
@@ -86,46 +88,47 @@
   return endpoint;
 }
 
-Fd listen_tcp(const Endpoint& at) {
-  Fd fd = new_socket(AF_INET, SOCK_STREAM);
+FileDescriptor listen_tcp(const SocketAddress& at) {
+  FileDescriptor fd = open_socket(AF_INET, SOCK_STREAM);
   const int on = 1;
   if (fd) ::setsockopt(fd.get(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-  return bound_listener(std::move(fd), at.socket_address());
+  return bind_and_listen(std::move(fd), at.to_sockaddr());
 }
 
-Fd connect_tcp(const Endpoint& to) {
-  Fd fd = new_socket(AF_INET, SOCK_STREAM);
+FileDescriptor connect_tcp(const SocketAddress& to) {
+  FileDescriptor fd = open_socket(AF_INET, SOCK_STREAM);
   if (!fd) return fd;
   const int on = 1;
   ::setsockopt(fd.get(), IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
-  return try_connect(fd, to.socket_address()) ? std::move(fd) : Fd();
+  return try_connect(fd, to.to_sockaddr()) ? std::move(fd) : FileDescriptor();
 }
 
-Fd connect_udp(const Endpoint& to) {
-  Fd fd = new_socket(AF_INET, SOCK_DGRAM);
-  return fd && try_connect(fd, to.socket_address()) ? std::move(fd) : Fd();
+FileDescriptor connect_udp(const SocketAddress& to) {
+  FileDescriptor fd = open_socket(AF_INET, SOCK_DGRAM);
+  return fd && try_connect(fd, to.to_sockaddr()) ? std::move(fd) : FileDescriptor();
 }
 
-Fd bind_udp(const Endpoint& at) {
-  Fd fd = new_socket(AF_INET, SOCK_DGRAM);
-  const sockaddr_in address = at.socket_address();
-  if (!fd || ::bind(fd.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0) return Fd();
+FileDescriptor bind_udp(const SocketAddress& at) {
+  FileDescriptor fd = open_socket(AF_INET, SOCK_DGRAM);
+  const sockaddr_in address = at.to_sockaddr();
+  if (!fd || ::bind(fd.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0)
+    return FileDescriptor();
   return fd;
 }
 
-Fd listen_unix(const std::string& path) {
+FileDescriptor listen_unix(const std::string& path) {
   const auto address = unix_address(path);
-  return address ? bound_listener(new_socket(AF_UNIX, SOCK_STREAM), *address) : Fd();
+  return address ? bind_and_listen(open_socket(AF_UNIX, SOCK_STREAM), *address) : FileDescriptor();
 }
 
-Fd connect_unix(const std::string& path) {
+FileDescriptor connect_unix(const std::string& path) {
   const auto address = unix_address(path);
-  if (!address) return Fd();
-  Fd fd = new_socket(AF_UNIX, SOCK_STREAM);
-  return fd && try_connect(fd, *address) ? std::move(fd) : Fd();
+  if (!address) return FileDescriptor();
+  FileDescriptor fd = open_socket(AF_UNIX, SOCK_STREAM);
+  return fd && try_connect(fd, *address) ? std::move(fd) : FileDescriptor();
 }
 
-Fd adopt_listener(int number) {
+FileDescriptor adopt_listener(int number) {
   const auto option = [number](int name) {
     int value = -1;
     socklen_t size = sizeof value;
@@ -134,18 +137,18 @@
   errno = 0;
   if (option(SO_DOMAIN) != AF_INET || option(SO_TYPE) != SOCK_STREAM || option(SO_ACCEPTCONN) != 1) {
     if (errno == 0) errno = EINVAL;
-    return Fd();
+    return FileDescriptor();
   }
   const int flags = ::fcntl(number, F_GETFL);
   if (flags < 0 || ::fcntl(number, F_SETFL, flags | O_NONBLOCK) != 0 ||
       ::fcntl(number, F_SETFD, FD_CLOEXEC) != 0) {
-    return Fd();
+    return FileDescriptor();
   }
-  return Fd(number);
+  return FileDescriptor(number);
 }
 
-Fd accept_from(const Fd& listener) {
-  Fd fd(::accept4(listener.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
+FileDescriptor accept_connection(const FileDescriptor& listener) {
+  FileDescriptor fd(::accept4(listener.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
   const int on = 1;  // fails harmlessly on a Unix socket
   if (fd) {
     const int keep = errno;
@@ -161,14 +164,14 @@
   return static_cast<std::size_t>(limit.rlim_cur);
 }
 
-std::uint16_t local_port(const Fd& fd) {
+std::uint16_t local_port(const FileDescriptor& fd) {
   sockaddr_in address{};
   socklen_t size = sizeof address;
   if (::getsockname(fd.get(), reinterpret_cast<sockaddr*>(&address), &size) != 0) return 0;
   return ntohs(address.sin_port);
 }
 
-void send_best_effort(const Fd& fd, std::string_view bytes) {
+void send_best_effort(const FileDescriptor& fd, std::string_view bytes) {
   if (fd) ::send(fd.get(), bytes.data(), bytes.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
 }
 
--- a/src/net/file_watch.cpp
+++ b/src/net/file_watch.cpp
@@ -4,18 +4,18 @@
 
 namespace rookproxy {
 
-FileWatch::FileWatch(Loop& loop, std::vector<std::string> paths, Duration every,
-                     std::function<void()> changed)
-    : loop_(loop), paths_(std::move(paths)), every_(every), changed_(std::move(changed)) {
-  taken_ = last_ = look();
-  timer_ = loop_.at(loop_.now() + every_, [this] { turn(); });
+FileWatcher::FileWatcher(EventLoop& loop, std::vector<std::string> paths, Duration every,
+                         std::function<void()> changed)
+    : loop_(loop), paths_(std::move(paths)), interval_(every), on_change_(std::move(changed)) {
+  reported_ = previous_ = read_file_states();
+  timer_ = loop_.run_at(loop_.now() + interval_, [this] { check_for_change(); });
 }
 
-std::vector<FileWatch::Look> FileWatch::look() const {
-  std::vector<Look> looks;
+std::vector<FileWatcher::FileState> FileWatcher::read_file_states() const {
+  std::vector<FileState> looks;
   for (const std::string& path : paths_) {
     struct stat found {};
-    Look one;
+    FileState one;
     if (::stat(path.c_str(), &found) == 0) {
       one.device = found.st_dev;
       one.inode = found.st_ino;
@@ -28,14 +28,14 @@
   return looks;
 }
 
-void FileWatch::turn() {
-  timer_ = loop_.at(loop_.now() + every_, [this] { turn(); });
-  const auto now = look();
-  const bool settled = now == last_;
-  last_ = now;
-  if (!settled || now == taken_) return;
-  taken_ = now;
-  changed_();  // may destroy this
+void FileWatcher::check_for_change() {
+  timer_ = loop_.run_at(loop_.now() + interval_, [this] { check_for_change(); });
+  const auto now = read_file_states();
+  const bool settled = now == previous_;
+  previous_ = now;
+  if (!settled || now == reported_) return;
+  reported_ = now;
+  on_change_();  // may destroy this
 }
 
 }  // namespace rookproxy
--- a/src/net/file_watch.h
+++ b/src/net/file_watch.h
@@ -10,31 +10,31 @@
 
 namespace rookproxy {
 
-class FileWatch {
+class FileWatcher {
  public:
   // `changed` is called once what was seen of a change has been the same at two looks, so that a file that is
   // being written is left alone, and again after each further change.
-  FileWatch(Loop& loop, std::vector<std::string> paths, Duration every, std::function<void()> changed);
-  ~FileWatch() { loop_.cancel(timer_); }
-  FileWatch(const FileWatch&) = delete;
-  FileWatch& operator=(const FileWatch&) = delete;
+  FileWatcher(EventLoop& loop, std::vector<std::string> paths, Duration every, std::function<void()> changed);
+  ~FileWatcher() { loop_.cancel(timer_); }
+  FileWatcher(const FileWatcher&) = delete;
+  FileWatcher& operator=(const FileWatcher&) = delete;
 
  private:
   // What tells one state of the files from another; a file that is not there is a state as well.
-  struct Look {
+  struct FileState {
     std::uint64_t device = 0, inode = 0, size = 0;
     std::int64_t changed_ns = 0, modified_ns = 0;
-    bool operator==(const Look&) const = default;
+    bool operator==(const FileState&) const = default;
   };
-  std::vector<Look> look() const;
-  void turn();
+  std::vector<FileState> read_file_states() const;
+  void check_for_change();
 
-  Loop& loop_;
+  EventLoop& loop_;
   std::vector<std::string> paths_;
-  Duration every_;
-  std::function<void()> changed_;
-  std::vector<Look> taken_, last_;
-  TimerKey timer_{};
+  Duration interval_;
+  std::function<void()> on_change_;
+  std::vector<FileState> reported_, previous_;
+  TimerId timer_{};
 };
 
 }  // namespace rookproxy
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -10,58 +10,58 @@
 
 namespace rookproxy {
 
-Loop::Loop() : epoll_(::epoll_create1(EPOLL_CLOEXEC)), now_(wall_now()) {
+EventLoop::EventLoop() : epoll_(::epoll_create1(EPOLL_CLOEXEC)), now_(monotonic_now()) {
   if (!epoll_) throw std::system_error(errno, std::generic_category(), "epoll_create1");
 }
 
-SlotKey Loop::watch(int fd, Watcher& watcher) {
-  const SlotKey key = watchers_.insert(&watcher);
+SlotKey EventLoop::watch(int fd, EventHandler& watcher) {
+  const SlotKey key = handlers_.insert(&watcher);
   epoll_event event{};
   event.events = EPOLLIN | EPOLLOUT | EPOLLRDHUP | EPOLLET;
   event.data.u64 = key;
   if (::epoll_ctl(epoll_.get(), EPOLL_CTL_ADD, fd, &event) == 0) return key;
-  watchers_.take(key);
+  handlers_.take(key);
   return 0;
 }
 
-void Loop::unwatch(SlotKey key, int fd) {
-  if (!watchers_.take(key)) return;
+void EventLoop::unwatch(SlotKey key, int fd) {
+  if (!handlers_.take(key)) return;
   ::epoll_ctl(epoll_.get(), EPOLL_CTL_DEL, fd, nullptr);
 }
 
-void Loop::again(SlotKey key, std::uint32_t events) { again_.emplace_back(key, events); }
+void EventLoop::requeue(SlotKey key, std::uint32_t events) { requeued_.emplace_back(key, events); }
 
-TimerKey Loop::at(Time when, Task task) {
-  const TimerKey key{when, next_timer_++};
+TimerId EventLoop::run_at(Time when, Task task) {
+  const TimerId key{when, next_timer_sequence_++};
   timers_.emplace(key, std::move(task));
   return key;
 }
 
-void Loop::cancel(TimerKey& key) {
+void EventLoop::cancel(TimerId& key) {
   if (key.second != 0) timers_.erase(key);
   key = {};
 }
 
-void Loop::run() {
-  while (!stopped_) turn(true);
+void EventLoop::run() {
+  while (!stopped_) run_iteration(true);
   stopped_ = false;  // it may be run again
 }
 
-bool Loop::run_timers() {
+bool EventLoop::run_due_timers() {
   // Only those due at the turn's time and set before this turn's timers began: one set meanwhile at a time
   // already past (a wake the module asks for at once, say) waits for the next turn, which waits for nothing.
   // Else a timer that sets itself again holds the turn, with its clock, for ever.
-  std::vector<TimerKey> due;
+  std::vector<TimerId> due;
   for (auto at = timers_.begin(); at != timers_.end() && at->first.first <= now_; ++at)
     due.push_back(at->first);
-  for (const TimerKey& key : due) {
+  for (const TimerId& key : due) {
     auto node = timers_.extract(key);
     if (!node.empty()) node.mapped()();  // empty: cancelled by one before it
   }
   return !due.empty();
 }
 
-void Loop::run_deferred() {
+void EventLoop::run_deferred() {
   while (!deferred_.empty()) {
     std::vector<Task> tasks;
     tasks.swap(deferred_);
@@ -69,20 +69,20 @@
   }
 }
 
-bool Loop::turn(bool may_wait) {
+bool EventLoop::run_iteration(bool may_wait) {
   int wait_ms = -1;
-  if (!may_wait || !again_.empty()) {
+  if (!may_wait || !requeued_.empty()) {
     wait_ms = 0;
   } else if (!timers_.empty()) {
-    const Time now = wall_now();
-    if (now - now_ >= long_turn_) told_(now - now_);
+    const Time now = monotonic_now();
+    if (now - now_ >= stall_threshold_) on_stalled_iteration_(now - now_);
     const auto left = std::chrono::ceil<std::chrono::milliseconds>(timers_.begin()->first.first - now);
     wait_ms = static_cast<int>(std::clamp<std::int64_t>(left.count(), 0, 60'000));
   }
   epoll_event events[128];
   const int count = ::epoll_wait(epoll_.get(), events, std::size(events), wait_ms);
   if (count < 0 && errno != EINTR) throw std::system_error(errno, std::generic_category(), "epoll_wait");
-  now_ = wall_now();
+  now_ = monotonic_now();
   std::vector<std::pair<SlotKey, std::uint32_t>> ready;
   for (int i = 0; i < count; ++i) {
     const epoll_event event = events[i];  // the kernel packs it: no references into it
@@ -90,16 +90,16 @@
   }
   // Who used up a share comes last: a listener with a crowd before it must not push out those it has just let
   // in before what they sent is read.
-  ready.insert(ready.end(), again_.begin(), again_.end());
-  again_.clear();
-  quiet_ = count >= 0 && ready.empty();  // one cut short by a signal has not looked
+  ready.insert(ready.end(), requeued_.begin(), requeued_.end());
+  requeued_.clear();
+  idle_ = count >= 0 && ready.empty();  // one cut short by a signal has not looked
   for (const auto& [key, what] : ready) {
     // Found anew for each event: one before it in this turn may have closed this one and reused its slot.
-    if (Watcher** watcher = watchers_.find(key)) (*watcher)->on_ready(what);
+    if (EventHandler** watcher = handlers_.find(key)) (*watcher)->on_ready(what);
   }
-  const bool fired = run_timers();
+  const bool fired = run_due_timers();
   run_deferred();
-  if (each_turn_) each_turn_();
+  if (on_iteration_end_) on_iteration_end_();
   run_deferred();
   return fired || !ready.empty();
 }
--- a/src/net/signals.h
+++ b/src/net/signals.h
@@ -12,18 +12,18 @@
 // one that comes while it starts must neither kill it nor be lost.
 void block_signals(std::initializer_list<int> signals);
 
-class Signals final : private Watcher {
+class SignalWatcher final : private EventHandler {
  public:
   // Blocks these signals and hands them to `taken` from the loop, also those that have waited.
-  Signals(Loop& loop, std::initializer_list<int> signals, std::function<void(int)> taken);
-  ~Signals();
+  SignalWatcher(EventLoop& loop, std::initializer_list<int> signals, std::function<void(int)> taken);
+  ~SignalWatcher();
 
  private:
   void on_ready(std::uint32_t events) override;
-  Loop& loop_;
-  Fd fd_;
+  EventLoop& loop_;
+  FileDescriptor fd_;
   SlotKey key_ = 0;
-  std::function<void(int)> taken_;
+  std::function<void(int)> on_signal_;
 };
 
 }  // namespace rookproxy
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -13,16 +13,16 @@
 
 namespace rookproxy {
 namespace {
-constexpr std::size_t kUsualInput = 16 * 1024;
-constexpr std::size_t kRecord = 16 * 1024;  // what a channel is given at once
-constexpr int kAcceptShare = 16;            // connections a turn: what they sent is read before the next
-constexpr Duration kNoRoom = std::chrono::milliseconds(5);
+constexpr std::size_t kUsualInputCapacity = 16 * 1024;
+constexpr std::size_t kRecordSize = 16 * 1024;  // what a channel is given at once
+constexpr int kAcceptsPerIteration = 16;        // connections a turn: what they sent is read before the next
+constexpr Duration kCapacityRetryInterval = std::chrono::milliseconds(5);
 }  // namespace
 
-Stream::Stream(Loop& loop, Fd fd, StreamUser& user, bool connecting, std::size_t input_limit,
-               std::unique_ptr<Channel> channel)
-    : loop_(loop), fd_(std::move(fd)), user_(user), connecting_(connecting), input_limit_(input_limit) {
-  if (channel) secure(std::move(channel));
+Stream::Stream(EventLoop& loop, FileDescriptor fd, StreamHandler& user, bool connecting,
+               std::size_t input_limit, std::unique_ptr<SecureChannel> channel)
+    : loop_(loop), fd_(std::move(fd)), handler_(user), connecting_(connecting), input_limit_(input_limit) {
+  if (channel) install_channel(std::move(channel));
   key_ = loop_.watch(fd_.get(), *this);
   if (key_ == 0) fail("could not be watched");
 }
@@ -32,13 +32,13 @@
   close();
 }
 
-void Stream::secure(std::unique_ptr<Channel> channel) {
-  secured_ = std::make_unique<Secured>();
-  secured_->channel = std::move(channel);
+void Stream::install_channel(std::unique_ptr<SecureChannel> channel) {
+  secure_ = std::make_unique<SecureState>();
+  secure_->channel = std::move(channel);
 }
 
 void Stream::close() {
-  loop_.cancel(leave_timer_);
+  loop_.cancel(close_timer_);
   if (!fd_) return;
   loop_.unwatch(key_, fd_.get());
   fd_.reset();
@@ -46,17 +46,17 @@
 
 // The user hears of a fault only at the turn's end: it may be in the middle of a write to this very stream.
 void Stream::fail(std::string why) {
-  if (ended_) return;
-  ended_ = true;
+  if (failed_) return;
+  failed_ = true;
   loop_.defer([this, alive = alive_, why = std::move(why)] {
     if (!*alive || !fd_) return;
     close();
-    user_.on_closed(why);
+    handler_.on_closed(why);
   });
 }
 
-void Stream::end_writing() {
-  finishing_ = true;
+void Stream::shutdown_write() {
+  write_shutdown_requested_ = true;
   flush();
 }
 
@@ -65,67 +65,68 @@
 void Stream::half_close() {
   if (std::exchange(half_closed_, true)) return;
   ::shutdown(fd_.get(), SHUT_WR);
-  if (peer_ended_) fail("closed by the peer");
+  if (peer_closed_) fail("closed by the peer");
 }
 
-void Stream::end_in_order(Duration bound) {
-  if (!fd_ || ended_ || leaving_) return;
+void Stream::close_gracefully(Duration bound) {
+  if (!fd_ || failed_ || closing_gracefully_) return;
   if (connecting_) return fail("ended before it was connected");
-  leaving_ = true;
-  held_ = false;
-  leave_timer_ = loop_.at(loop_.now() + bound, [this] {
-    leave_timer_ = {};
+  closing_gracefully_ = true;
+  read_paused_ = false;
+  close_timer_ = loop_.run_at(loop_.now() + bound, [this] {
+    close_timer_ = {};
     fail("the peer did not end in time");
   });
-  end_writing();
-  look_again();  // what came before is in the way of the peer's end
+  shutdown_write();
+  schedule_read();  // what came before is in the way of the peer's end
 }
 
 void Stream::read_now() {
-  if (fd_ && !connecting_) read_some();
+  if (fd_ && !connecting_) read_available();
 }
 
-Stream::Ticket Stream::write(std::string bytes, std::uint64_t* written) {
-  const Ticket ticket = next_++;
-  if (leaving_) return ticket;
-  queued_ += bytes.size();
-  output_.push_back({ticket, std::move(bytes), written});
-  if (!connecting_ && output_.size() == 1) flush();
+Stream::WriteId Stream::write(std::string bytes, std::uint64_t* written) {
+  const WriteId ticket = next_write_id_++;
+  if (closing_gracefully_) return ticket;
+  queued_bytes_ += bytes.size();
+  pending_writes_.push_back({ticket, std::move(bytes), written});
+  if (!connecting_ && pending_writes_.size() == 1) flush();
   return ticket;
 }
 
-bool Stream::take_back(Ticket ticket) {
-  if (has_begun(ticket)) return false;
-  const auto found =
-      std::find_if(output_.begin(), output_.end(), [&](const Piece& p) { return p.ticket == ticket; });
-  if (found == output_.end()) return false;
-  queued_ -= found->bytes.size();
-  output_.erase(found);
+bool Stream::cancel_write(WriteId ticket) {
+  if (has_write_started(ticket)) return false;
+  const auto found = std::find_if(pending_writes_.begin(), pending_writes_.end(),
+                                  [&](const PendingWrite& p) { return p.id == ticket; });
+  if (found == pending_writes_.end()) return false;
+  queued_bytes_ -= found->bytes.size();
+  pending_writes_.erase(found);
   return true;
 }
 
-void Stream::hold_reading(bool hold) {
-  if (leaving_) return;
-  if (std::exchange(held_, hold) && !hold) look_again();
+void Stream::set_read_paused(bool hold) {
+  if (closing_gracefully_) return;
+  if (std::exchange(read_paused_, hold) && !hold) schedule_read();
 }
 
-void Stream::look_again() {
-  if (fd_) loop_.again(key_, EPOLLIN);
+void Stream::schedule_read() {
+  if (fd_) loop_.requeue(key_, EPOLLIN);
 }
 
 // Bytes from the socket go through the channel, and what it has to say goes out before anything else.
-void Stream::take_in(std::string_view bytes) {
-  const bool goes_on = secured_->channel->receive(bytes, input_, secured_->sealed);
+void Stream::receive_through_channel(std::string_view bytes) {
+  const bool goes_on = secure_->channel->receive(bytes, input_, secure_->encrypted);
   flush();
-  if (!input_.empty() && !held_) deliver();
-  if (!goes_on) fail(secured_->channel->why());
+  if (!input_.empty() && !read_paused_) deliver_input();
+  if (!goes_on) fail(secure_->channel->end_reason());
 }
 
 // False: the kernel takes no more for now, or the stream has failed.
-bool Stream::send_sealed() {
-  Secured& s = *secured_;
-  while (s.sent < s.sealed.size()) {
-    const ssize_t sent = ::send(fd_.get(), s.sealed.data() + s.sent, s.sealed.size() - s.sent, MSG_NOSIGNAL);
+bool Stream::send_encrypted() {
+  SecureState& s = *secure_;
+  while (s.sent < s.encrypted.size()) {
+    const ssize_t sent =
+        ::send(fd_.get(), s.encrypted.data() + s.sent, s.encrypted.size() - s.sent, MSG_NOSIGNAL);
     if (sent < 0) {
       if (errno == EINTR) continue;
       if (errno != EAGAIN && errno != EWOULDBLOCK) fail(std::string("write: ") + std::strerror(errno));
@@ -133,53 +134,53 @@
     }
     s.sent += static_cast<std::size_t>(sent);
   }
-  s.sealed.clear();
+  s.encrypted.clear();
   s.sent = 0;
-  for (std::uint64_t* counter : std::exchange(s.whole, {})) ++*counter;
+  for (std::uint64_t* counter : std::exchange(s.completed_counters, {})) ++*counter;
   return true;
 }
 
 // A piece has begun once the channel has some of it: from then on the peer may come to see it.
 void Stream::flush_secured() {
-  Secured& s = *secured_;
+  SecureState& s = *secure_;
   std::string record;
-  while (fd_ && !ended_ && send_sealed()) {
-    if (!s.channel->is_ready()) {
+  while (fd_ && !failed_ && send_encrypted()) {
+    if (!s.channel->is_handshake_complete()) {
       // A handshake that is cut short: what waits for its end could never be read.
-      if (leaving_) half_close();
+      if (closing_gracefully_) half_close();
       return;
     }
-    if (output_.empty()) {
-      if (!finishing_) return;
-      if (std::exchange(s.said_end, true)) return half_close();
-      s.channel->finish(s.sealed);
+    if (pending_writes_.empty()) {
+      if (!write_shutdown_requested_) return;
+      if (std::exchange(s.close_notify_sent, true)) return half_close();
+      s.channel->finish(s.encrypted);
       continue;
     }
     record.clear();
-    while (!output_.empty() && record.size() < kRecord) {
-      Piece& piece = output_.front();
-      const std::size_t part = std::min(kRecord - record.size(), piece.bytes.size() - front_sent_);
-      record.append(piece.bytes, front_sent_, part);
-      front_sent_ += part;
-      queued_ -= part;
-      first_unbegun_ = piece.ticket + 1;
-      if (front_sent_ < piece.bytes.size()) break;
-      if (piece.written) s.whole.push_back(piece.written);
-      output_.pop_front();
-      front_sent_ = 0;
+    while (!pending_writes_.empty() && record.size() < kRecordSize) {
+      PendingWrite& piece = pending_writes_.front();
+      const std::size_t part = std::min(kRecordSize - record.size(), piece.bytes.size() - front_bytes_sent_);
+      record.append(piece.bytes, front_bytes_sent_, part);
+      front_bytes_sent_ += part;
+      queued_bytes_ -= part;
+      first_unstarted_write_ = piece.id + 1;
+      if (front_bytes_sent_ < piece.bytes.size()) break;
+      if (piece.completed_counter) s.completed_counters.push_back(piece.completed_counter);
+      pending_writes_.pop_front();
+      front_bytes_sent_ = 0;
     }
-    s.channel->seal(record, s.sealed);
+    s.channel->seal(record, s.encrypted);
   }
 }
 
 void Stream::flush() {
-  if (secured_) return flush_secured();
-  while (!output_.empty() && fd_ && !ended_) {
+  if (secure_) return flush_secured();
+  while (!pending_writes_.empty() && fd_ && !failed_) {
     iovec parts[32];
     int count = 0;
-    for (auto& piece : output_) {
+    for (auto& piece : pending_writes_) {
       if (count == static_cast<int>(std::size(parts))) break;
-      const std::size_t skip = count == 0 ? front_sent_ : 0;
+      const std::size_t skip = count == 0 ? front_bytes_sent_ : 0;
       parts[count++] = {piece.bytes.data() + skip, piece.bytes.size() - skip};
     }
     msghdr message{};
@@ -191,64 +192,64 @@
       if (errno == EAGAIN || errno == EWOULDBLOCK) return;
       return fail(std::string("write: ") + std::strerror(errno));
     }
-    queued_ -= static_cast<std::size_t>(sent);
-    front_sent_ += static_cast<std::size_t>(sent);
-    while (!output_.empty() && front_sent_ >= output_.front().bytes.size()) {
-      front_sent_ -= output_.front().bytes.size();
-      first_unbegun_ = output_.front().ticket + 1;
-      if (output_.front().written) ++*output_.front().written;
-      output_.pop_front();
+    queued_bytes_ -= static_cast<std::size_t>(sent);
+    front_bytes_sent_ += static_cast<std::size_t>(sent);
+    while (!pending_writes_.empty() && front_bytes_sent_ >= pending_writes_.front().bytes.size()) {
+      front_bytes_sent_ -= pending_writes_.front().bytes.size();
+      first_unstarted_write_ = pending_writes_.front().id + 1;
+      if (pending_writes_.front().completed_counter) ++*pending_writes_.front().completed_counter;
+      pending_writes_.pop_front();
     }
-    if (front_sent_ > 0) first_unbegun_ = output_.front().ticket + 1;
+    if (front_bytes_sent_ > 0) first_unstarted_write_ = pending_writes_.front().id + 1;
   }
-  if (finishing_ && output_.empty() && fd_ && !ended_) half_close();
+  if (write_shutdown_requested_ && pending_writes_.empty() && fd_ && !failed_) half_close();
 }
 
-void Stream::deliver() {
+void Stream::deliver_input() {
   // The user may close this stream, write to it or be called again through it; it must not be destroyed here.
   std::size_t used = 0;
-  while (used < input_.size() && fd_ && !held_ && !leaving_) {
-    const bool was_secured = secured_ != nullptr;
-    const std::size_t now = user_.on_bytes(std::string_view(input_).substr(used));
+  while (used < input_.size() && fd_ && !read_paused_ && !closing_gracefully_) {
+    const bool was_secured = secure_ != nullptr;
+    const std::size_t now = handler_.on_bytes(std::string_view(input_).substr(used));
     if (now == 0) break;
     used += now;
-    if (secured_ && !was_secured) {
+    if (secure_ && !was_secured) {
       // What came behind the word to go on in secret is no word of the user's, but the channel's.
       const std::string rest = std::exchange(input_, "").substr(used);
-      return take_in(rest);
+      return receive_through_channel(rest);
     }
   }
-  if (leaving_) used = input_.size();
+  if (closing_gracefully_) used = input_.size();
   input_.erase(0, used);
   // One large message must not keep its room for the connection's life.
-  if (input_.empty() && input_.capacity() > 2 * kUsualInput) input_.shrink_to_fit();
+  if (input_.empty() && input_.capacity() > 2 * kUsualInputCapacity) input_.shrink_to_fit();
 }
 
-void Stream::read_some() {
-  if (!input_.empty() && !held_) deliver();
-  for (std::size_t share = 0; fd_ && !held_ && !ended_;) {
-    if (share >= kReadShare) return loop_.again(key_, EPOLLIN);
+void Stream::read_available() {
+  if (!input_.empty() && !read_paused_) deliver_input();
+  for (std::size_t share = 0; fd_ && !read_paused_ && !failed_;) {
+    if (share >= kReadBytesPerIteration) return loop_.requeue(key_, EPOLLIN);
     if (input_.size() >= input_limit_) return fail("a message larger than the buffer");
     char chunk[16 * 1024];
     const std::size_t room = std::min(sizeof chunk, input_limit_ - input_.size());
     const ssize_t got = ::recv(fd_.get(), chunk, room, 0);
     if (got > 0) {
       share += static_cast<std::size_t>(got);
-      if (leaving_) continue;
-      if (secured_) {
-        take_in({chunk, static_cast<std::size_t>(got)});
+      if (closing_gracefully_) continue;
+      if (secure_) {
+        receive_through_channel({chunk, static_cast<std::size_t>(got)});
         continue;
       }
       input_.append(chunk, static_cast<std::size_t>(got));
-      deliver();
+      deliver_input();
       continue;
     }
-    if (got == 0 && leaving_ && !half_closed_) {
-      peer_ended_ = true;  // it may still take what is queued
+    if (got == 0 && closing_gracefully_ && !half_closed_) {
+      peer_closed_ = true;  // it may still take what is queued
       return;
     }
     // A channel that ended well has said so before.
-    if (got == 0) return fail(secured_ ? "cut off by the peer" : "closed by the peer");
+    if (got == 0) return fail(secure_ ? "cut off by the peer" : "closed by the peer");
     if (errno == EINTR) continue;
     if (errno == EAGAIN || errno == EWOULDBLOCK) return;
     return fail(std::string("read: ") + std::strerror(errno));
@@ -264,28 +265,28 @@
     if (fault != 0) return fail(std::string("connect: ") + std::strerror(fault));
     if ((events & EPOLLOUT) == 0) return fail("connect: hung up");
     connecting_ = false;
-    if (secured_) take_in({});  // the one who connects speaks first
-    user_.on_connected();
+    if (secure_) receive_through_channel({});  // the one who connects speaks first
+    handler_.on_connected();
   }
-  if (fd_ && !leaving_ && (events & (EPOLLRDHUP | EPOLLHUP | EPOLLERR)) != 0) user_.on_hangup();
-  if (fd_ && (events & (EPOLLIN | EPOLLRDHUP | EPOLLHUP | EPOLLERR)) != 0) read_some();
+  if (fd_ && !closing_gracefully_ && (events & (EPOLLRDHUP | EPOLLHUP | EPOLLERR)) != 0) handler_.on_hangup();
+  if (fd_ && (events & (EPOLLIN | EPOLLRDHUP | EPOLLHUP | EPOLLERR)) != 0) read_available();
   if (fd_ && (events & EPOLLOUT) != 0) {
     flush();
-    if (queued() == 0 && !ended_ && !leaving_) user_.on_flushed();
+    if (queued_bytes() == 0 && !failed_ && !closing_gracefully_) handler_.on_flushed();
   }
 }
 
 namespace {
-Fd spare_descriptor() { return Fd(::open("/dev/null", O_RDONLY | O_CLOEXEC)); }
+FileDescriptor open_reserve_descriptor() { return FileDescriptor(::open("/dev/null", O_RDONLY | O_CLOEXEC)); }
 }  // namespace
 
-Acceptor::Acceptor(Loop& loop, Fd listener, std::function<void(Fd)> taken, bool accepting,
-                   std::function<bool()> room)
+Acceptor::Acceptor(EventLoop& loop, FileDescriptor listener, std::function<void(FileDescriptor)> taken,
+                   bool accepting, std::function<bool()> room)
     : loop_(loop),
       listener_(std::move(listener)),
-      reserve_(spare_descriptor()),
-      taken_(std::move(taken)),
-      room_(std::move(room)) {
+      reserve_descriptor_(open_reserve_descriptor()),
+      on_accepted_(std::move(taken)),
+      has_capacity_(std::move(room)) {
   if (accepting) start();
 }
 
@@ -298,39 +299,39 @@
 }
 
 void Acceptor::stop() {
-  loop_.cancel(retry_);
+  loop_.cancel(retry_timer_);
   loop_.unwatch(std::exchange(key_, 0), listener_.get());
 }
 
 void Acceptor::on_ready(std::uint32_t) {
   // One that was lost (below) is had again before anybody is let in: else nobody would be told any more.
-  if (!reserve_) reserve_ = spare_descriptor();
+  if (!reserve_descriptor_) reserve_descriptor_ = open_reserve_descriptor();
   for (int taken = 0;; ++taken) {
     if (key_ == 0) return;  // stopped by what was just taken
-    if (taken == kAcceptShare) return loop_.again(key_, EPOLLIN);
-    if (room_ && !room_()) {
-      loop_.cancel(retry_);
-      retry_ = loop_.at(loop_.now() + kNoRoom, [this] { on_ready(EPOLLIN); });
+    if (taken == kAcceptsPerIteration) return loop_.requeue(key_, EPOLLIN);
+    if (has_capacity_ && !has_capacity_()) {
+      loop_.cancel(retry_timer_);
+      retry_timer_ = loop_.run_at(loop_.now() + kCapacityRetryInterval, [this] { on_ready(EPOLLIN); });
       return;
     }
-    Fd fd = accept_from(listener_);
+    FileDescriptor fd = accept_connection(listener_);
     if (fd) {
-      taken_(std::move(fd));
+      on_accepted_(std::move(fd));
       continue;
     }
     const int why = errno;
     if (why == EINTR || why == ECONNABORTED || why == EPROTO) continue;
-    if ((why == EMFILE || why == ENFILE) && reserve_) {
-      reserve_.reset();
-      const bool told = static_cast<bool>(accept_from(listener_));
-      reserve_ = spare_descriptor();
+    if ((why == EMFILE || why == ENFILE) && reserve_descriptor_) {
+      reserve_descriptor_.reset();
+      const bool told = static_cast<bool>(accept_connection(listener_));
+      reserve_descriptor_ = open_reserve_descriptor();
       if (told) continue;  // else somebody else has what was the reserve's: no use to try on at once
     }
     if (why != EAGAIN && why != EWOULDBLOCK) {
       // Out of descriptors with no reserve, or of kernel memory: no edge will come for what waits, so look
       // again.
-      loop_.cancel(retry_);
-      retry_ = loop_.at(loop_.now() + std::chrono::milliseconds(50), [this] { on_ready(EPOLLIN); });
+      loop_.cancel(retry_timer_);
+      retry_timer_ = loop_.run_at(loop_.now() + std::chrono::milliseconds(50), [this] { on_ready(EPOLLIN); });
     }
     return;
   }
--- a/src/net/sweep.h
+++ b/src/net/sweep.h
@@ -9,34 +9,35 @@
 
 namespace rookproxy {
 
-class Sweep {
+class IncrementalScan {
  public:
-  Sweep(Loop& loop, std::function<void(SlotKey)> look) : loop_(loop), look_(std::move(look)) {}
-  ~Sweep() { loop_.cancel(timer_); }
-  Sweep(const Sweep&) = delete;
-  Sweep& operator=(const Sweep&) = delete;
+  IncrementalScan(EventLoop& loop, std::function<void(SlotKey)> look)
+      : loop_(loop), visit_(std::move(look)) {}
+  ~IncrementalScan() { loop_.cancel(timer_); }
+  IncrementalScan(const IncrementalScan&) = delete;
+  IncrementalScan& operator=(const IncrementalScan&) = delete;
   // Begins anew; a key whose thing has gone meanwhile is for `look` to find out.
   void start(std::vector<SlotKey> keys) {
-    keys_ = std::move(keys);
+    remaining_ = std::move(keys);
     loop_.cancel(timer_);
-    turn();
+    scan_some();
   }
 
  private:
-  static constexpr int kATurn = 8;
-  void turn() {
+  static constexpr int kKeysPerIteration = 8;
+  void scan_some() {
     timer_ = {};
-    for (int left = kATurn; left > 0 && !keys_.empty(); --left) {
-      const SlotKey key = keys_.back();
-      keys_.pop_back();
-      look_(key);
+    for (int left = kKeysPerIteration; left > 0 && !remaining_.empty(); --left) {
+      const SlotKey key = remaining_.back();
+      remaining_.pop_back();
+      visit_(key);
     }
-    if (!keys_.empty()) timer_ = loop_.at(loop_.now(), [this] { turn(); });
+    if (!remaining_.empty()) timer_ = loop_.run_at(loop_.now(), [this] { scan_some(); });
   }
-  Loop& loop_;
-  std::function<void(SlotKey)> look_;
-  std::vector<SlotKey> keys_;
-  TimerKey timer_{};
+  EventLoop& loop_;
+  std::function<void(SlotKey)> visit_;
+  std::vector<SlotKey> remaining_;
+  TimerId timer_{};
 };
 
 }  // namespace rookproxy
--- a/src/ops/call.cpp
+++ b/src/ops/call.cpp
@@ -2,33 +2,34 @@
 
 namespace rookproxy {
 namespace {
-constexpr std::size_t kLongestAnswer = 64 * 1024;
+constexpr std::size_t kMaxResponseBytes = 64 * 1024;
 }
 
-OpsCall::OpsCall(Loop& loop, const Endpoint& at, std::string_view call, Duration within, Done done)
-    : loop_(loop), done_(std::move(done)) {
-  timer_ = loop_.at(loop_.now() + within, [this] { end(""); });
-  Fd fd = connect_tcp(at);
+AdminClient::AdminClient(EventLoop& loop, const SocketAddress& at, std::string_view call, Duration within,
+                         Callback done)
+    : loop_(loop), callback_(std::move(done)) {
+  timer_ = loop_.run_at(loop_.now() + within, [this] { finish(""); });
+  FileDescriptor fd = connect_tcp(at);
   if (!fd) return;  // nobody there: told when the time is up, so that a caller who asks on asks no faster
-  stream_ = std::make_unique<Stream>(loop_, std::move(fd), *this, true, kLongestAnswer);
+  stream_ = std::make_unique<Stream>(loop_, std::move(fd), *this, true, kMaxResponseBytes);
   stream_->write(std::string(call) + "\n");
 }
 
-OpsCall::~OpsCall() { loop_.cancel(timer_); }
+AdminClient::~AdminClient() { loop_.cancel(timer_); }
 
-std::size_t OpsCall::on_bytes(std::string_view bytes) {
-  if (answer_.size() < kLongestAnswer) answer_ += bytes;
+std::size_t AdminClient::on_bytes(std::string_view bytes) {
+  if (response_.size() < kMaxResponseBytes) response_ += bytes;
   return bytes.size();
 }
 
 // The answer is whole once the dispatcher has closed the connection behind it.
-void OpsCall::on_closed(std::string_view) {
-  if (answer_.ends_with('\n')) end(std::move(answer_));
+void AdminClient::on_closed(std::string_view) {
+  if (response_.ends_with('\n')) finish(std::move(response_));
 }
 
-void OpsCall::end(std::string answer) {
+void AdminClient::finish(std::string answer) {
   loop_.cancel(timer_);
-  if (done_) std::exchange(done_, nullptr)(std::move(answer));
+  if (callback_) std::exchange(callback_, nullptr)(std::move(answer));
 }
 
 }  // namespace rookproxy
--- a/src/ops/call.h
+++ b/src/ops/call.h
@@ -8,22 +8,23 @@
 
 namespace rookproxy {
 
-class OpsCall final : public StreamUser {
+class AdminClient final : public StreamHandler {
  public:
   // `done` is called once, after this call: with the answer, or with nothing if there is none in time.
-  using Done = std::function<void(std::string answer)>;
-  OpsCall(Loop& loop, const Endpoint& at, std::string_view call, Duration within, Done done);
-  ~OpsCall();
+  using Callback = std::function<void(std::string answer)>;
+  AdminClient(EventLoop& loop, const SocketAddress& at, std::string_view call, Duration within,
+              Callback done);
+  ~AdminClient();
 
   std::size_t on_bytes(std::string_view bytes) override;
   void on_closed(std::string_view why) override;
 
  private:
-  void end(std::string answer);
-  Loop& loop_;
-  Done done_;
-  std::string answer_;
-  TimerKey timer_{};
+  void finish(std::string answer);
+  EventLoop& loop_;
+  Callback callback_;
+  std::string response_;
+  TimerId timer_{};
   std::unique_ptr<Stream> stream_;
 };
 
--- a/src/ops/ops.h
+++ b/src/ops/ops.h
@@ -13,45 +13,45 @@
 namespace rookproxy {
 
 // Whom the operators ask about.
-class OpsSource {
+class AdminSource {
  public:
   // Why this process is not ready to serve; empty if it is.
-  virtual std::string why_not_ready() const = 0;
-  virtual const Figures& figures() const = 0;
+  virtual std::string not_ready_reason() const = 0;
+  virtual const Metrics& metrics() const = 0;
   virtual Gauges gauges() const = 0;
   // Of parts that may be off: their names and values, in the order in which they are shown.
-  virtual std::vector<std::pair<std::string, std::uint64_t>> more_figures() const { return {}; }
+  virtual std::vector<std::pair<std::string, std::uint64_t>> optional_metrics() const { return {}; }
 
  protected:
-  ~OpsSource() = default;
+  ~AdminSource() = default;
 };
 
 // The figures as METRICS gives them: a name and a value a line, under the names that operators know.
-std::string figures_text(const Figures& figures, const Gauges& gauges);
+std::string format_metrics(const Metrics& figures, const Gauges& gauges);
 // The whole answer to one call, without its line's end.
-std::string ops_answer(std::string_view call, const OpsSource& source);
+std::string admin_response(std::string_view call, const AdminSource& source);
 
-class OpsServer {
+class AdminServer {
  public:
   struct Limits {
     // Callers that hold a connection must not shut out others: at the cap the one that came first gives way.
-    std::size_t most_callers = 16;
-    std::size_t longest_call = 256;               // bytes of a line
-    Duration patience = std::chrono::seconds(5);  // for the line, and for its answer to be taken
+    std::size_t max_clients = 16;
+    std::size_t max_command_bytes = 256;         // bytes of a line
+    Duration timeout = std::chrono::seconds(5);  // for the line, and for its answer to be taken
   };
-  OpsServer(Loop& loop, Fd listener, const OpsSource& source, Limits limits);
-  ~OpsServer();
+  AdminServer(EventLoop& loop, FileDescriptor listener, const AdminSource& source, Limits limits);
+  ~AdminServer();
   std::uint16_t port() const { return acceptor_.port(); }
 
  private:
-  class Caller;
-  void accept(Fd fd);
-  void drop(SlotKey key);
+  class Client;
+  void accept(FileDescriptor fd);
+  void close_client(SlotKey key);
 
-  Loop& loop_;
-  const OpsSource& source_;
+  EventLoop& loop_;
+  const AdminSource& source_;
   Limits limits_;
-  SlotTable<std::unique_ptr<Caller>> callers_;
+  SlotMap<std::unique_ptr<Client>> clients_;
   Acceptor acceptor_;
 };
 
--- a/src/options/options.h
+++ b/src/options/options.h
@@ -11,17 +11,17 @@
 namespace rookproxy {
 
 struct ProgramOptions {
-  std::string file;
-  bool check = false;
+  std::string config_file;
+  bool check_only = false;
 };
 
-enum ProgramExit { kExitDone = 0, kExitFailed = 1, kExitUsage = 2 };
+enum ExitCode { kExitSuccess = 0, kExitFailure = 1, kExitUsage = 2 };
 
 // What CLI11 throws, as this project's programs end: 0 where help was asked for, 2 for wrong usage.
-inline int end_of_parse(const CLI::App& app, const CLI::ParseError& fault) {
+inline int report_parse_error(const CLI::App& app, const CLI::ParseError& fault) {
   if (fault.get_exit_code() == static_cast<int>(CLI::ExitCodes::Success)) {
     app.exit(fault, std::cout, std::cerr);
-    return kExitDone;
+    return kExitSuccess;
   }
   std::cerr << app.get_name() << ": " << fault.what() << "\nTry --help.\n";
   return kExitUsage;
@@ -36,32 +36,33 @@
   CLI::App app(about, name);
   app.footer(footer);
   auto* file =
-      app.add_option("--file", options.file,
+      app.add_option("--file", options.config_file,
                      needs_file ? "the agent's file" : "an operator's file; its keys win over $NODE_CONFIG")
           ->type_name("FILE");
   if (needs_file) file->required();
-  app.add_flag("--check", options.check, "reads the configuration, says what is wrong with it, and exits");
+  app.add_flag("--check", options.check_only,
+               "reads the configuration, says what is wrong with it, and exits");
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& fault) {
-    return end_of_parse(app, fault);
+    return report_parse_error(app, fault);
   }
-  Log log(std::cerr, Level::kInfo, "-", name);
+  Logger log(std::cerr, LogLevel::kInfo, "-", name);
   try {
     return body(options, log);
   } catch (const SettingsError& fault) {
-    log.line(Level::kError, "config", fault.what(), {});
+    log.write(LogLevel::kError, "config", fault.what(), {});
     return kExitUsage;
   } catch (const std::exception& fault) {
-    log.line(Level::kError, "crash", fault.what(), {});
-    return kExitFailed;
+    log.write(LogLevel::kError, "crash", fault.what(), {});
+    return kExitFailure;
   }
 }
 
 // What --check says when nothing is wrong; what is wrong was thrown.
-inline int report_fine() {
+inline int report_valid_configuration() {
   std::cout << "configuration is fine\n";
-  return kExitDone;
+  return kExitSuccess;
 }
 
 }  // namespace rookproxy
--- a/src/peers/budget.h
+++ b/src/peers/budget.h
@@ -9,24 +9,25 @@
 
 namespace rookproxy::peers {
 
-class Budget {
+class ByteRateLimiter {
  public:
   // Holds at most a second's worth, and is full at first.
-  explicit Budget(std::uint32_t bytes_per_second) : rate_(bytes_per_second), level_(bytes_per_second) {}
+  explicit ByteRateLimiter(std::uint32_t bytes_per_second)
+      : rate_(bytes_per_second), tokens_(bytes_per_second) {}
   // Is there as much? The last quarter is for what is `urgent`.
-  bool has(std::size_t bytes, bool urgent, Time now) {
-    if (now > filled_) {
-      const double seconds = std::chrono::duration<double>(now - filled_).count();
-      level_ = std::min(rate_, level_ + seconds * rate_);
-      filled_ = now;
+  bool allows(std::size_t bytes, bool urgent, Time now) {
+    if (now > refilled_at_) {
+      const double seconds = std::chrono::duration<double>(now - refilled_at_).count();
+      tokens_ = std::min(rate_, tokens_ + seconds * rate_);
+      refilled_at_ = now;
     }
-    return level_ - static_cast<double>(bytes) >= (urgent ? 0 : rate_ / 4);
+    return tokens_ - static_cast<double>(bytes) >= (urgent ? 0 : rate_ / 4);
   }
-  void take(std::size_t bytes) { level_ -= static_cast<double>(bytes); }
+  void consume(std::size_t bytes) { tokens_ -= static_cast<double>(bytes); }
 
  private:
-  double rate_, level_;
-  Time filled_{};
+  double rate_, tokens_;
+  Time refilled_at_{};
 };
 
 }  // namespace rookproxy::peers
--- a/src/peers/codec.cpp
+++ b/src/peers/codec.cpp
@@ -13,37 +13,37 @@
 using Millis = std::chrono::milliseconds;
 
 // The first byte.
-constexpr unsigned kVersion = 1, kVersionBits = 0x3f, kProved = 0x80, kToAll = 0x40;
+constexpr unsigned kVersion = 1, kVersionBits = 0x3f, kAuthenticated = 0x80, kBroadcast = 0x40;
 // A rumour in CBOR at its largest: a member, an incarnation, a state.
-constexpr std::size_t kRumourBytes = 3 + 9 + 1;
-constexpr std::size_t kRumourNumbers = 3;
+constexpr std::size_t kMaxGossipUpdateBytes = 3 + 9 + 1;
+constexpr std::size_t kGossipUpdateFields = 3;
 
 // A plan's times are milliseconds since its earliest, plus one; 0 is 'never set'. 39 bits are 17 years.
 constexpr unsigned kTimeBits = 39;
-constexpr std::uint64_t kMostTime = (std::uint64_t(1) << kTimeBits) - 1;
-constexpr std::uint64_t kMostBase = std::uint64_t(1) << 43;  // milliseconds: the year 2248
-constexpr Duration kMostLease = std::chrono::hours(1);
+constexpr std::uint64_t kMaxTimeOffset = (std::uint64_t(1) << kTimeBits) - 1;
+constexpr std::uint64_t kMaxBaseTime = std::uint64_t(1) << 43;  // milliseconds: the year 2248
+constexpr Duration kMaxLease = std::chrono::hours(1);
 
-struct Broken {
-  Reason reason;
+struct CodecFailure {
+  DropReason reason;
 };
 
 // ---- a plan's entries, each in one number of 64 bits or less
 
-struct Packed {
+struct PackedConfig {
   std::uint64_t base = 0;
   std::vector<std::uint64_t> zones, retirements;  // a retirement has two numbers: the second is its order's
 };
 
 std::uint64_t millis_of(Time time) {
   const auto micros = time.time_since_epoch().count();
-  if (micros < 0 || micros % 1000 != 0 || std::uint64_t(micros) / 1000 > kMostBase)
-    throw Broken{Reason::kTimes};
+  if (micros < 0 || micros % 1000 != 0 || std::uint64_t(micros) / 1000 > kMaxBaseTime)
+    throw CodecFailure{DropReason::kInvalidTime};
   return static_cast<std::uint64_t>(micros) / 1000;
 }
 
-Packed pack(const FleetPlan& plan) {
-  Packed packed;
+PackedConfig pack(const ClusterConfig& plan) {
+  PackedConfig packed;
   std::uint64_t earliest = std::numeric_limits<std::uint64_t>::max();
   const auto see = [&earliest](Time since) {
     if (since != Time{}) earliest = std::min(earliest, millis_of(since));
@@ -54,7 +54,7 @@
   const auto since_base = [&packed](Time since) -> std::uint64_t {
     if (since == Time{}) return 0;
     const std::uint64_t offset = millis_of(since) - packed.base + 1;
-    if (offset > kMostTime) throw Broken{Reason::kTimes};
+    if (offset > kMaxTimeOffset) throw CodecFailure{DropReason::kInvalidTime};
     return offset;
   };
   // The time has the high bits: young plans, and times never set, make small numbers.
@@ -71,13 +71,13 @@
   return packed;
 }
 
-void unpack(const Packed& packed, FleetPlan& plan) {
-  if (packed.base > kMostBase) throw Broken{Reason::kTimes};
-  if (packed.zones.size() > kMostZones || packed.retirements.size() > 2 * kMostRetirements)
-    throw Broken{Reason::kTooMany};
-  if (packed.retirements.size() % 2 != 0) throw Broken{Reason::kShape};
+void unpack(const PackedConfig& packed, ClusterConfig& plan) {
+  if (packed.base > kMaxBaseTime) throw CodecFailure{DropReason::kInvalidTime};
+  if (packed.zones.size() > kMaxZones || packed.retirements.size() > 2 * kMaxRetirements)
+    throw CodecFailure{DropReason::kTooManyEntries};
+  if (packed.retirements.size() % 2 != 0) throw CodecFailure{DropReason::kMalformed};
   const auto time = [&packed](std::uint64_t offset) {
-    if (offset > kMostTime) throw Broken{Reason::kTimes};
+    if (offset > kMaxTimeOffset) throw CodecFailure{DropReason::kInvalidTime};
     return offset == 0 ? Time{} : Time(Millis(packed.base + offset - 1));
   };
   for (const std::uint64_t bits : packed.zones) {
@@ -91,7 +91,7 @@
   }
   for (std::size_t i = 0; i < packed.retirements.size(); i += 2) {
     const std::uint64_t bits = packed.retirements[i], order = packed.retirements[i + 1];
-    if (order > std::numeric_limits<std::uint32_t>::max()) throw Broken{Reason::kRange};
+    if (order > std::numeric_limits<std::uint32_t>::max()) throw CodecFailure{DropReason::kOutOfRange};
     RetirementPlan one;
     one.site = static_cast<std::uint8_t>(bits >> 10);
     one.weight = bits >> 3 & 0x7f;
@@ -120,31 +120,31 @@
   const json& in;
   std::size_t at = 0;
   const json& next() {
-    if (at >= in.size()) throw Broken{Reason::kShape};
+    if (at >= in.size()) throw CodecFailure{DropReason::kMalformed};
     return in[at++];
   }
   static std::uint64_t number(const json& value) {
-    if (!value.is_number_unsigned()) throw Broken{Reason::kShape};
+    if (!value.is_number_unsigned()) throw CodecFailure{DropReason::kMalformed};
     return value.get<std::uint64_t>();
   }
   template <class T>
   void operator()(T& value) {
     const std::uint64_t got = number(next());
     if constexpr (!std::is_enum_v<T>) {
-      if (got > std::numeric_limits<T>::max()) throw Broken{Reason::kRange};
+      if (got > std::numeric_limits<T>::max()) throw CodecFailure{DropReason::kOutOfRange};
     } else if (got > std::numeric_limits<std::underlying_type_t<T>>::max()) {
-      throw Broken{Reason::kRange};
+      throw CodecFailure{DropReason::kOutOfRange};
     }
     value = static_cast<T>(got);
   }
   void list(std::vector<std::uint64_t>& values) {
     const json& from = next();
-    if (!from.is_array()) throw Broken{Reason::kShape};
+    if (!from.is_array()) throw CodecFailure{DropReason::kMalformed};
     for (const json& one : from) values.push_back(number(one));
   }
   bool is_more(bool) { return at < in.size(); }
   void end() const {
-    if (at != in.size()) throw Broken{Reason::kShape};
+    if (at != in.size()) throw CodecFailure{DropReason::kMalformed};
   }
 };
 
@@ -156,10 +156,10 @@
   io(ballot.member);
 }
 template <class Io>
-void pass(Io& io, FleetPlan& plan) {
+void pass(Io& io, ClusterConfig& plan) {
   io(plan.epoch);
   io(plan.fingerprint);
-  Packed packed;
+  PackedConfig packed;
   if constexpr (!Io::kReads) packed = pack(plan);
   io(packed.base);
   io.list(packed.zones);
@@ -173,7 +173,7 @@
   io(number);
 }
 template <class Io>
-void pass(Io& io, PingFor& m) {
+void pass(Io& io, PingRequest& m) {
   auto& [number, about] = m;
   io(number);
   io(about);
@@ -202,7 +202,7 @@
   pass(io, *plan);
 }
 template <class Io>
-void pass(Io& io, Refusal& m) {
+void pass(Io& io, Nack& m) {
   auto& [epoch, promised] = m;
   io(epoch);
   pass(io, promised);
@@ -225,13 +225,13 @@
   pass(io, plan);
 }
 template <class Io>
-void pass(Io& io, Ask& m) {
+void pass(Io& io, RecoveryQuery& m) {
   auto& [number, epoch] = m;
   io(number);
   io(epoch);
 }
 template <class Io>
-void pass(Io& io, Tell& m) {
+void pass(Io& io, RecoveryReply& m) {
   auto& [number, epoch, votes, voted] = m;
   io(number);
   io(epoch);
@@ -244,18 +244,18 @@
   io(epoch);
   std::uint64_t left = static_cast<std::uint64_t>(span.count());
   io(left);
-  if (left > static_cast<std::uint64_t>(kMostLease.count())) throw Broken{Reason::kTimes};
+  if (left > static_cast<std::uint64_t>(kMaxLease.count())) throw CodecFailure{DropReason::kInvalidTime};
   span = Duration(left);
   io(number);
 }
 
 // The body whose place in the variant is its number on the wire: a new one goes to the end.
 template <std::size_t Type = 0>
-Body empty_body(std::uint64_t type) {
-  if constexpr (Type == std::variant_size_v<Body>) {
-    throw Broken{Reason::kUnknownType};
+MessageBody empty_body(std::uint64_t type) {
+  if constexpr (Type == std::variant_size_v<MessageBody>) {
+    throw CodecFailure{DropReason::kUnknownType};
   } else {
-    return type == Type ? Body(std::in_place_index<Type>) : empty_body<Type + 1>(type);
+    return type == Type ? MessageBody(std::in_place_index<Type>) : empty_body<Type + 1>(type);
   }
 }
 
@@ -265,7 +265,7 @@
   std::size_t members;
 
   void member(MemberId id) const {
-    if (id >= members) throw Broken{Reason::kUnknownMember};
+    if (id >= members) throw CodecFailure{DropReason::kUnknownMember};
   }
   template <class Message>
   void operator()(const Message& m) const {
@@ -273,26 +273,28 @@
     if constexpr (requires { m.ballot; }) member(m.ballot.member);
     if constexpr (requires { m.promised; }) member(m.promised.member);
     if constexpr (requires { m.accepted; }) {
-      if (m.accepted.has_value() != m.plan.has_value()) throw Broken{Reason::kShape};
+      if (m.accepted.has_value() != m.plan.has_value()) throw CodecFailure{DropReason::kMalformed};
       if (m.accepted) member(m.accepted->member);
       if (m.plan) plan(*m.plan);
     } else if constexpr (requires { m.plan; }) {
       plan(m.plan);
     }
   }
-  void plan(const FleetPlan& plan) const {
-    if (plan.zones.size() > kMostZones || plan.retirements.size() > kMostRetirements)
-      throw Broken{Reason::kTooMany};
+  void plan(const ClusterConfig& plan) const {
+    if (plan.zones.size() > kMaxZones || plan.retirements.size() > kMaxRetirements)
+      throw CodecFailure{DropReason::kTooManyEntries};
     for (auto zone = plan.zones.begin(); zone != plan.zones.end(); ++zone) {
-      if (zone->share > 100 || zone->state > ZoneState::kReturning) throw Broken{Reason::kRange};
+      if (zone->share > 100 || zone->state > ZoneState::kReturning)
+        throw CodecFailure{DropReason::kOutOfRange};
       if (std::any_of(plan.zones.begin(), zone, [&](const auto& other) { return other.zone == zone->zone; }))
-        throw Broken{Reason::kTwice};
+        throw CodecFailure{DropReason::kDuplicateEntry};
     }
     for (auto one = plan.retirements.begin(); one != plan.retirements.end(); ++one) {
-      if (one->weight > 100 || one->state > RetirementState::kStopped) throw Broken{Reason::kRange};
+      if (one->weight > 100 || one->state > RetirementState::kStopped)
+        throw CodecFailure{DropReason::kOutOfRange};
       if (std::any_of(plan.retirements.begin(), one,
                       [&](const auto& other) { return other.site == one->site; }))
-        throw Broken{Reason::kTwice};
+        throw CodecFailure{DropReason::kDuplicateEntry};
     }
   }
 };
@@ -300,78 +302,83 @@
 }  // namespace
 
 Codec::Codec(std::uint32_t fleet, MemberId self, std::size_t members, const std::vector<std::string>& keys)
-    : fleet_(fleet), self_(self), members_(members), prover_(keys) {}
+    : cluster_fingerprint_(fleet), self_(self), members_(members), authenticator_(keys) {}
 
 // Two bytes that aren't sent, since both sides know them: who a datagram is for.
-std::string Codec::under_proof(std::optional<MemberId> to) const {
+std::string Codec::authenticated_prefix(std::optional<MemberId> to) const {
   const unsigned place = to.value_or(std::numeric_limits<MemberId>::max());
   return {static_cast<char>(place >> 8), static_cast<char>(place)};
 }
 
-std::optional<Reason> Codec::fault_of(const Envelope& envelope) const {
+std::optional<DropReason> Codec::validate(const Envelope& envelope) const {
   const Bounds bounds{members_};
   try {
     bounds.member(envelope.sender);
     std::visit(bounds, envelope.body);
-    for (const auto& rumour : envelope.rumours) {
+    for (const auto& rumour : envelope.gossip) {
       bounds.member(rumour.member);
-      if (rumour.state > MemberState::kGone) return Reason::kRange;
+      if (rumour.state > MemberState::kFailed) return DropReason::kOutOfRange;
     }
-  } catch (const Broken& broken) {
+  } catch (const CodecFailure& broken) {
     return broken.reason;
   }
   return std::nullopt;
 }
 
-std::variant<std::string, Reason> Codec::encode(const Envelope& envelope, std::optional<MemberId> to) const {
-  if (const auto fault = fault_of(envelope)) return *fault;
+std::variant<std::string, DropReason> Codec::encode(const Envelope& envelope,
+                                                    std::optional<MemberId> to) const {
+  if (const auto fault = validate(envelope)) return *fault;
   try {
     Writer body;
-    Body copy = envelope.body;
+    MessageBody copy = envelope.body;
     std::visit([&body](auto& message) { pass(body, message); }, copy);
     json rumours = json::array();
-    for (const auto& rumour : envelope.rumours) {
+    for (const auto& rumour : envelope.gossip) {
       rumours.push_back(rumour.member);
       rumours.push_back(rumour.incarnation);
       rumours.push_back(static_cast<unsigned>(rumour.state));
     }
-    const json whole = json::array({fleet_, envelope.sender, envelope.incarnation, envelope.sequence,
-                                    envelope.body.index(), std::move(body.out), std::move(rumours)});
-    std::string bytes(1, static_cast<char>(kVersion | (prover_.is_on() ? kProved : 0) | (to ? 0 : kToAll)));
+    const json whole =
+        json::array({cluster_fingerprint_, envelope.sender, envelope.incarnation, envelope.sequence,
+                     envelope.body.index(), std::move(body.out), std::move(rumours)});
+    std::string bytes(1, static_cast<char>(kVersion | (authenticator_.is_enabled() ? kAuthenticated : 0) |
+                                           (to ? 0 : kBroadcast)));
     json::to_cbor(whole, bytes);
-    if (prover_.is_on()) bytes += prover_.prove(under_proof(to), bytes);
-    if (bytes.size() > kMostBytes) return Reason::kTooLong;
+    if (authenticator_.is_enabled()) bytes += authenticator_.sign(authenticated_prefix(to), bytes);
+    if (bytes.size() > kMaxDatagramBytes) return DropReason::kTooLong;
     return bytes;
-  } catch (const Broken& broken) {
+  } catch (const CodecFailure& broken) {
     return broken.reason;
   }
 }
 
-std::variant<Envelope, Reason> Codec::decode(std::string_view bytes) const {
-  if (bytes.empty()) return Reason::kEmpty;
-  if (bytes.size() > kMostBytes) return Reason::kTooLong;
+std::variant<Envelope, DropReason> Codec::decode(std::string_view bytes) const {
+  if (bytes.empty()) return DropReason::kEmpty;
+  if (bytes.size() > kMaxDatagramBytes) return DropReason::kTooLong;
   const auto head = static_cast<unsigned char>(bytes[0]);
-  if ((head & kVersionBits) != kVersion) return Reason::kVersion;
-  const bool proved = (head & kProved) != 0;
-  if (proved != prover_.is_on()) return proved ? Reason::kUnwantedProof : Reason::kNoProof;
+  if ((head & kVersionBits) != kVersion) return DropReason::kUnknownVersion;
+  const bool proved = (head & kAuthenticated) != 0;
+  if (proved != authenticator_.is_enabled())
+    return proved ? DropReason::kUnexpectedMac : DropReason::kMissingMac;
   if (proved) {
-    if (bytes.size() <= kProofBytes) return Reason::kForged;
-    const auto proof = bytes.substr(bytes.size() - kProofBytes);
-    bytes.remove_suffix(kProofBytes);
-    const auto to = (head & kToAll) != 0 ? std::nullopt : std::optional<MemberId>(self_);
-    if (!prover_.accepts(under_proof(to), bytes, proof)) return Reason::kForged;
+    if (bytes.size() <= kMacBytes) return DropReason::kInvalidMac;
+    const auto proof = bytes.substr(bytes.size() - kMacBytes);
+    bytes.remove_suffix(kMacBytes);
+    const auto to = (head & kBroadcast) != 0 ? std::nullopt : std::optional<MemberId>(self_);
+    if (!authenticator_.verify(authenticated_prefix(to), bytes, proof)) return DropReason::kInvalidMac;
   }
   bytes.remove_prefix(1);
   try {
     const json whole = json::from_cbor(bytes, true, false);
     if (whole.is_discarded()) {
-      return json::from_cbor(bytes, false, false).is_discarded() ? Reason::kUnreadable : Reason::kTrailing;
+      return json::from_cbor(bytes, false, false).is_discarded() ? DropReason::kUnreadable
+                                                                 : DropReason::kTrailingBytes;
     }
-    if (!whole.is_array() || whole.empty()) return Reason::kShape;
+    if (!whole.is_array() || whole.empty()) return DropReason::kMalformed;
     Reader in{whole};
     std::uint32_t fleet = 0;
     in(fleet);
-    if (fleet != fleet_) return Reason::kForeignFleet;
+    if (fleet != cluster_fingerprint_) return DropReason::kForeignCluster;
     Envelope envelope;
     in(envelope.sender);
     in(envelope.incarnation);
@@ -380,35 +387,36 @@
     in(type);
     envelope.body = empty_body(type);
     const json& body = in.next();
-    if (!body.is_array()) return Reason::kShape;
+    if (!body.is_array()) return DropReason::kMalformed;
     Reader fields{body};
     std::visit([&fields](auto& message) { pass(fields, message); }, envelope.body);
     fields.end();
     const json& rumours = in.next();
     in.end();
-    if (!rumours.is_array() || rumours.size() % kRumourNumbers != 0) return Reason::kShape;
+    if (!rumours.is_array() || rumours.size() % kGossipUpdateFields != 0) return DropReason::kMalformed;
     Reader told{rumours};
     while (told.is_more(false)) {
-      Rumour& rumour = envelope.rumours.emplace_back();
+      GossipUpdate& rumour = envelope.gossip.emplace_back();
       told(rumour.member);
       told(rumour.incarnation);
       told(rumour.state);
     }
-    if (const auto fault = fault_of(envelope)) return *fault;
+    if (const auto fault = validate(envelope)) return *fault;
     return envelope;
-  } catch (const Broken& broken) {
+  } catch (const CodecFailure& broken) {
     return broken.reason;
   } catch (const json::exception&) {  // an array that claims more than any memory
-    return Reason::kUnreadable;
+    return DropReason::kUnreadable;
   }
 }
 
-std::size_t Codec::room_for_rumours(Envelope envelope) const {
-  envelope.rumours.clear();
+std::size_t Codec::gossip_capacity(Envelope envelope) const {
+  envelope.gossip.clear();
   const auto bytes = encode(envelope, std::nullopt);
   const auto* text = std::get_if<std::string>(&bytes);
   // Beyond 23 numbers an array's head takes a byte more.
-  return text ? (kMostBytes - std::min(kMostBytes, text->size() + 1)) / kRumourBytes : 0;
+  return text ? (kMaxDatagramBytes - std::min(kMaxDatagramBytes, text->size() + 1)) / kMaxGossipUpdateBytes
+              : 0;
 }
 
 }  // namespace rookproxy::peers
--- a/src/peers/codec.h
+++ b/src/peers/codec.h
@@ -16,14 +16,14 @@
 
 namespace fleet = decide::fleet;
 
-constexpr std::size_t kMostBytes = 256;  // the platform's bound for a datagram between dispatchers
+constexpr std::size_t kMaxDatagramBytes = 256;  // the platform's bound for a datagram between dispatchers
 
 struct Envelope {
   fleet::MemberId sender = 0;
   fleet::Incarnation incarnation = 0;
   std::uint64_t sequence = 0;  // of the sender's process, one more each datagram
-  fleet::Body body;
-  std::vector<fleet::Rumour> rumours;
+  fleet::MessageBody body;
+  std::vector<fleet::GossipUpdate> gossip;
   bool operator==(const Envelope&) const = default;
 };
 
@@ -35,20 +35,21 @@
 
   // At most kMostBytes, or why not. `to` nobody: for every member. Who it is for is under the proof, so that
   // a datagram for one can't be shown to another.
-  std::variant<std::string, Reason> encode(const Envelope& envelope, std::optional<fleet::MemberId> to) const;
+  std::variant<std::string, DropReason> encode(const Envelope& envelope,
+                                               std::optional<fleet::MemberId> to) const;
   // Looks into nothing that is not proved, where a key is set; throws nothing, whatever comes.
-  std::variant<Envelope, Reason> decode(std::string_view bytes) const;
+  std::variant<Envelope, DropReason> decode(std::string_view bytes) const;
   // How many rumours fit beside this envelope's body, whatever they are; those that it has don't count.
-  std::size_t room_for_rumours(Envelope envelope) const;
+  std::size_t gossip_capacity(Envelope envelope) const;
 
  private:
-  std::string under_proof(std::optional<fleet::MemberId> to) const;
-  std::optional<Reason> fault_of(const Envelope& envelope) const;
+  std::string authenticated_prefix(std::optional<fleet::MemberId> to) const;
+  std::optional<DropReason> validate(const Envelope& envelope) const;
 
-  std::uint32_t fleet_;
+  std::uint32_t cluster_fingerprint_;
   fleet::MemberId self_;
   std::size_t members_;
-  Prover prover_;
+  MessageAuthenticator authenticator_;
 };
 
 }  // namespace rookproxy::peers
--- a/src/peers/proof.h
+++ b/src/peers/proof.h
@@ -16,9 +16,9 @@
   using SettingsError::SettingsError;
 };
 
-constexpr std::size_t kLeastKey = 32, kMostKey = 1024;  // bytes
+constexpr std::size_t kMinKeyBytes = 32, kMaxKeyBytes = 1024;  // bytes
 // Half of the digest, the least that RFC 2104, section 5, advises.
-constexpr std::size_t kProofBytes = 16;
+constexpr std::size_t kMacBytes = 16;
 
 // The key in a file: its bytes, without one line end behind them. Throws KeyError, which names the file and
 // what to do: if it can't be read, holds under 32 bytes or over 1,024, or others than its owner and group may
@@ -27,14 +27,14 @@
 
 // The first key proves what is sent; what any of them proves is taken. While keys are changed there are two.
 // None: nothing is proved or checked.
-class Prover {
+class MessageAuthenticator {
  public:
   // Throws KeyError on a key under 32 bytes.
-  explicit Prover(const std::vector<std::string>& keys);
-  bool is_on() const { return !contexts_.empty(); }
+  explicit MessageAuthenticator(const std::vector<std::string>& keys);
+  bool is_enabled() const { return !contexts_.empty(); }
   // kProofBytes of them.
-  std::string prove(std::string_view head, std::string_view text) const { return digest(0, head, text); }
-  bool accepts(std::string_view head, std::string_view text, std::string_view proof) const;
+  std::string sign(std::string_view head, std::string_view text) const { return digest(0, head, text); }
+  bool verify(std::string_view head, std::string_view text, std::string_view proof) const;
 
  private:
   struct Deleter {
--- a/src/peers/reason.h
+++ b/src/peers/reason.h
@@ -7,41 +7,41 @@
 
 namespace rookproxy::peers {
 
-enum class Reason : std::uint8_t {
+enum class DropReason : std::uint8_t {
   // Of the bytes, before anything in them is believed.
   kEmpty,
   kTooLong,
-  kVersion,
-  kNoProof,
-  kUnwantedProof,
-  kForged,
+  kUnknownVersion,
+  kMissingMac,
+  kUnexpectedMac,
+  kInvalidMac,
   // Of what they say.
   kUnreadable,
-  kTrailing,
-  kForeignFleet,
+  kTrailingBytes,
+  kForeignCluster,
   kUnknownType,
-  kShape,
-  kRange,
-  kTimes,
-  kTooMany,
-  kTwice,
+  kMalformed,
+  kOutOfRange,
+  kInvalidTime,
+  kTooManyEntries,
+  kDuplicateEntry,
   kUnknownMember,
   // Of where they came from and when.
-  kStranger,
-  kOtherSender,
-  kOwn,
-  kSeen,
+  kUnknownSender,
+  kSenderMismatch,
+  kOwnMessage,
+  kDuplicate,
   kTooOld,
-  kFormer,
-  kAhead,
+  kOldIncarnation,
+  kFutureIncarnation,
   // Of what was to be sent.
   kOverBudget,
-  kBlocked,
-  kNotSent,
-  kClosed,
+  kSendBufferFull,
+  kSendFailed,
+  kSocketClosed,
 };
 
-inline constexpr std::array<std::string_view, 27> kReasonWords = {
+inline constexpr std::array<std::string_view, 27> kDropReasonTexts = {
     "empty",
     "longer than 256 bytes",
     "of a version that this dispatcher does not know",
@@ -71,17 +71,21 @@
     "the socket is not open",
 };
 // As operators read them in a figure's name: short, one a reason, and never worded anew.
-inline constexpr std::array<std::string_view, 27> kReasonNames = {
+inline constexpr std::array<std::string_view, 27> kDropReasonNames = {
     "empty",       "too_long", "version",     "no_proof",       "unwanted_proof", "forged",
     "unreadable",  "trailing", "other_fleet", "unknown_type",   "shape",          "range",
     "times",       "too_many", "twice",       "unknown_member", "stranger",       "other_sender",
     "own",         "seen",     "too_old",     "former",         "ahead",          "over_budget",
     "buffer_full", "not_sent", "closed"};
-constexpr std::size_t kReasons = kReasonWords.size();
-static_assert(kReasons == static_cast<std::size_t>(Reason::kClosed) + 1);
-static_assert(kReasonNames.size() == kReasons);
+constexpr std::size_t kDropReasonCount = kDropReasonTexts.size();
+static_assert(kDropReasonCount == static_cast<std::size_t>(DropReason::kSocketClosed) + 1);
+static_assert(kDropReasonNames.size() == kDropReasonCount);
 
-constexpr std::string_view words(Reason reason) { return kReasonWords[static_cast<std::size_t>(reason)]; }
-constexpr std::string_view name_of(Reason reason) { return kReasonNames[static_cast<std::size_t>(reason)]; }
+constexpr std::string_view text_of(DropReason reason) {
+  return kDropReasonTexts[static_cast<std::size_t>(reason)];
+}
+constexpr std::string_view name_of(DropReason reason) {
+  return kDropReasonNames[static_cast<std::size_t>(reason)];
+}
 
 }  // namespace rookproxy::peers
--- a/src/sql/lexer.cpp
+++ b/src/sql/lexer.cpp
@@ -68,7 +68,7 @@
   return true;
 }
 
-std::vector<Token> tokens(std::string_view s) {
+std::vector<Token> tokenize(std::string_view s) {
   std::vector<Token> out;
   out.reserve(std::min<std::size_t>(s.size() / 4 + 4, 4096));
   for (std::size_t i = 0; i < s.size();) {
@@ -117,7 +117,7 @@
   return out;
 }
 
-std::optional<std::string> ambiguity(std::string_view s, bool mysql) {
+std::optional<std::string> find_ambiguity(std::string_view s, bool mysql) {
   for (std::size_t i = 0; i < s.size();) {
     const char c = s[i];
     const char next = i + 1 < s.size() ? s[i + 1] : '\0';
@@ -167,7 +167,7 @@
 }
 
 std::uint64_t table_group(std::string_view statement, std::string_view schema) {
-  const auto list = tokens(statement);
+  const auto list = tokenize(statement);
   std::optional<std::uint64_t> anywhere;
   bool tables = false, bare_table = false;
   for (std::size_t i = 0; i < list.size(); ++i) {
@@ -194,7 +194,7 @@
   return anywhere.value_or(0);
 }
 
-bool is_harmless_function(const Token& token) {
+bool is_side_effect_free_function(const Token& token) {
   constexpr auto kNames = std::to_array<std::string_view>({"ABS",
                                                            "ASCII",
                                                            "AVG",
@@ -320,7 +320,7 @@
   return among(token, kNames);
 }
 
-bool is_word_before_parenthesis(const Token& token) {
+bool is_keyword_before_parenthesis(const Token& token) {
   constexpr auto kWords = std::to_array<std::string_view>(
       {"ALL",       "AND",      "ANY",    "AS",        "BETWEEN", "BY",      "CASE", "DISTINCT",
        "DIV",       "ELSE",     "EXCEPT", "EXISTS",    "FROM",    "HAVING",  "IN",   "INDEX",
@@ -330,9 +330,9 @@
   return among(token, kWords);
 }
 
-bool only_reads(std::string_view statement) { return only_reads(tokens(statement)); }
+bool is_read_only(std::string_view statement) { return is_read_only(tokenize(statement)); }
 
-bool only_reads(const std::vector<Token>& list) {
+bool is_read_only(const std::vector<Token>& list) {
   if (list.empty()) return true;
   constexpr std::array<std::string_view, 6> kReaders{"SELECT", "SHOW", "EXPLAIN", "DESCRIBE", "DESC", "WITH"};
   std::size_t first = 0;
@@ -348,13 +348,13 @@
     if (list[i].kind == Token::Kind::kQuotedName && i + 1 < list.size() && is_mark(list[i + 1], '('))
       return false;
     if (list[i].kind != Token::Kind::kWord || i + 1 >= list.size() || !is_mark(list[i + 1], '(')) continue;
-    if (!is_harmless_function(list[i]) && !is_word_before_parenthesis(list[i])) return false;
+    if (!is_side_effect_free_function(list[i]) && !is_keyword_before_parenthesis(list[i])) return false;
   }
   return true;
 }
 
-std::optional<std::string> session_state(std::string_view statement) {
-  const auto list = tokens(statement);
+std::optional<std::string> find_session_state(std::string_view statement) {
+  const auto list = tokenize(statement);
   if (list.empty()) return std::nullopt;
   const auto at = [&](std::size_t i) { return i < list.size() ? list[i] : Token{}; };
   constexpr std::array<std::string_view, 6> kTransactions{"BEGIN",     "COMMIT",  "ROLLBACK",
--- a/src/sql/session.h
+++ b/src/sql/session.h
@@ -6,16 +6,16 @@
 
 namespace rookproxy::sql {
 
-enum class SessionAsk {
+enum class SessionStatement {
   kNone,            // not one of these
-  kHolds,           // asks for what holds anyway, as SET NAMES utf8mb4
+  kNoEffect,        // asks for what holds anyway, as SET NAMES utf8mb4
   kAutocommitOn,    // remembered; nothing else changes
   kAutocommitOff,   // remembered; the statement that then would need a transaction is turned down
   kEndTransaction,  // COMMIT or ROLLBACK: there is never one to end
 };
-SessionAsk session_ask(std::string_view statement);
+SessionStatement classify_session_statement(std::string_view statement);
 
 // Does the statement end in a commit of its own whatever autocommit says (DDL and the like)?
-bool commits_itself(std::string_view statement);
+bool commits_implicitly(std::string_view statement);
 
 }  // namespace rookproxy::sql
--- a/src/sql/tables.cpp
+++ b/src/sql/tables.cpp
@@ -9,14 +9,14 @@
 namespace rookproxy::sql {
 namespace {
 
+using decide::StatementAnalysis;
 using decide::StatementEffect;
-using decide::StatementFacts;
 using Kind = Token::Kind;
 
 // Deeper than any client's statement; a bound on our own stack.
-constexpr int kMostDepth = 64;
+constexpr int kMaxDepth = 64;
 
-struct Unknown : std::runtime_error {
+struct UnresolvedStatementError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
@@ -28,7 +28,7 @@
   }
 
   std::vector<std::string> schemas() {
-    if (list_.empty()) throw Unknown("nothing to run");
+    if (list_.empty()) throw UnresolvedStatementError("nothing to run");
     statement();
     if (at_ != list_.size()) unexpected();
     return std::move(schemas_);
@@ -71,14 +71,14 @@
   }
   bool at_end() const { return at_ >= list_.size(); }
   [[noreturn]] void unexpected() const {
-    if (at_end()) throw Unknown("it ends too soon");
+    if (at_end()) throw UnresolvedStatementError("it ends too soon");
     const Token& t = token();
-    throw Unknown(t.kind == Kind::kString ? "a string out of place"
-                                          : "unexpected '" + t.text.substr(0, 40) + "'");
+    throw UnresolvedStatementError(t.kind == Kind::kString ? "a string out of place"
+                                                           : "unexpected '" + t.text.substr(0, 40) + "'");
   }
   struct Deeper {
     explicit Deeper(Parser& parser) : parser_(parser) {
-      if (++parser_.depth_ > kMostDepth) throw Unknown("it is nested too deep");
+      if (++parser_.depth_ > kMaxDepth) throw UnresolvedStatementError("it is nested too deep");
     }
     ~Deeper() { --parser_.depth_; }
     Parser& parser_;
@@ -120,7 +120,7 @@
     if (token().kind != Kind::kWord && token().kind != Kind::kQuotedName && token().kind != Kind::kNumber)
       unexpected();
     ++at_;
-    if (mark('.')) throw Unknown("a name of three parts");
+    if (mark('.')) throw UnresolvedStatementError("a name of three parts");
     touch(first.text);
   }
 
@@ -176,9 +176,10 @@
     ++at_;
     if (!name) return;
     if (mark('(')) {
-      if (first.kind == Kind::kWord && is_word_before_parenthesis(first)) return;
-      if (first.kind == Kind::kQuotedName || !is_harmless_function(first)) {
-        throw Unknown("it calls '" + first.text.substr(0, 40) + "', which may read anything");
+      if (first.kind == Kind::kWord && is_keyword_before_parenthesis(first)) return;
+      if (first.kind == Kind::kQuotedName || !is_side_effect_free_function(first)) {
+        throw UnresolvedStatementError("it calls '" + first.text.substr(0, 40) +
+                                       "', which may read anything");
       }
       const bool words_of_its_own = is_word(first, "TRIM") || is_word(first, "EXTRACT") ||
                                     is_word(first, "SUBSTRING") || is_word(first, "SUBSTR");
@@ -193,7 +194,8 @@
     }
     if (token().kind == Kind::kMark || token().kind == Kind::kString) unexpected();
     ++at_;
-    if (mark('(')) throw Unknown("it calls a function of '" + first.text.substr(0, 40) + "'");
+    if (mark('('))
+      throw UnresolvedStatementError("it calls a function of '" + first.text.substr(0, 40) + "'");
     if (!mark('.')) return;
     ++at_;
     if (!mark('*') && (token().kind == Kind::kMark || token().kind == Kind::kString)) unexpected();
@@ -407,7 +409,8 @@
     }
     if (word("CREATE") && word("TABLE", 1)) return create_table();
     if (word("DROP") && word("TABLE", 1)) return drop_table();
-    throw Unknown("'" + token().text.substr(0, 40) + "' is not a statement whose tables are made out here");
+    throw UnresolvedStatementError("'" + token().text.substr(0, 40) +
+                                   "' is not a statement whose tables are made out here");
   }
 
   void explain() {
@@ -431,7 +434,7 @@
     } else if (any_word("VARIABLES", "STATUS", "COLLATION", "CHARSET", "ENGINES", "PLUGINS")) {
       ++at_;
     } else {
-      throw Unknown("SHOW names data of others, too");
+      throw UnresolvedStatementError("SHOW names data of others, too");
     }
     if (take_word("LIKE")) {
       if (token().kind != Kind::kString) unexpected();
@@ -555,20 +558,20 @@
 
 }  // namespace
 
-StatementFacts statement_facts(std::string_view statement, std::string_view schema, Dialect dialect) {
-  StatementFacts facts;
-  if (const auto reason = ambiguity(statement, dialect == Dialect::kMysql)) {
+StatementAnalysis analyze_statement(std::string_view statement, std::string_view schema, Dialect dialect) {
+  StatementAnalysis facts;
+  if (const auto reason = find_ambiguity(statement, dialect == Dialect::kMysql)) {
     // Not even its effect is known, so it counts as a write: what it hides could be one.
-    facts.why = *reason;
+    facts.unresolved_reason = *reason;
     return facts;
   }
-  auto list = tokens(statement);
-  facts.effect = only_reads(list) ? StatementEffect::kReads : StatementEffect::kWrites;
+  auto list = tokenize(statement);
+  facts.effect = is_read_only(list) ? StatementEffect::kReads : StatementEffect::kWrites;
   try {
     facts.schemas = Parser(std::move(list), schema).schemas();
-    facts.tables_known = true;
-  } catch (const Unknown& fault) {
-    facts.why = fault.what();
+    facts.tables_resolved = true;
+  } catch (const UnresolvedStatementError& fault) {
+    facts.unresolved_reason = fault.what();
   }
   return facts;
 }
--- a/src/sql/tables.h
+++ b/src/sql/tables.h
@@ -13,6 +13,7 @@
   kAny     // the engine is not known: what dialects read differently is unknown
 };
 // `schema` is the session's default, for tables that carry no schema's name.
-decide::StatementFacts statement_facts(std::string_view statement, std::string_view schema, Dialect dialect);
+decide::StatementAnalysis analyze_statement(std::string_view statement, std::string_view schema,
+                                            Dialect dialect);
 
 }  // namespace rookproxy::sql
--- a/src/standins/authority.cpp
+++ b/src/standins/authority.cpp
@@ -34,7 +34,7 @@
 
 Certificate blank(const std::string& common_name, long serial, int from, int to) {
   Certificate made;
-  made.key = access::new_key(decide::Algorithm::kEs256);
+  made.key = access::generate_key(decide::Algorithm::kEs256);
   made.certificate = std::shared_ptr<X509>(X509_new(), X509_free);
   X509* one = made.certificate.get();
   X509_set_version(one, 2);
@@ -55,36 +55,38 @@
   return text_of(out);
 }
 
-std::string Certificate::key_pem() const { return access::private_pem(key.get()); }
+std::string Certificate::private_key_pem() const { return access::to_private_pem(key.get()); }
 
-Authority::Authority(const std::string& name) : own_(blank(name, 1, -3600, 86400)) {
-  X509* one = own_.certificate.get();
+CertificateAuthority::CertificateAuthority(const std::string& name) : root_(blank(name, 1, -3600, 86400)) {
+  X509* one = root_.certificate.get();
   X509_set_issuer_name(one, X509_get_subject_name(one));
   extend(one, one, NID_basic_constraints, "critical,CA:TRUE");
   extend(one, one, NID_key_usage, "critical,keyCertSign,cRLSign");
   extend(one, one, NID_subject_key_identifier, "hash");
-  require(X509_sign(one, own_.key.get(), EVP_sha256()) > 0);
+  require(X509_sign(one, root_.key.get(), EVP_sha256()) > 0);
 }
 
-Certificate Authority::issue(const Wanted& wanted) {
-  Certificate made = blank(wanted.common_name, ++next_, wanted.from, wanted.to);
+Certificate CertificateAuthority::issue(const CertificateRequest& wanted) {
+  Certificate made =
+      blank(wanted.common_name, ++last_serial_, wanted.valid_from_seconds, wanted.valid_to_seconds);
   X509* one = made.certificate.get();
-  X509_set_issuer_name(one, X509_get_subject_name(own_.certificate.get()));
-  extend(one, own_.certificate.get(), NID_basic_constraints, "critical,CA:FALSE");
-  extend(one, own_.certificate.get(), NID_ext_key_usage, wanted.for_clients ? "clientAuth" : "serverAuth");
+  X509_set_issuer_name(one, X509_get_subject_name(root_.certificate.get()));
+  extend(one, root_.certificate.get(), NID_basic_constraints, "critical,CA:FALSE");
+  extend(one, root_.certificate.get(), NID_ext_key_usage,
+         wanted.is_for_client_authentication ? "clientAuth" : "serverAuth");
   std::string names;
-  for (const auto& name : wanted.names) names += (names.empty() ? "" : ",") + name;
-  if (!names.empty()) extend(one, own_.certificate.get(), NID_subject_alt_name, names);
-  require(X509_sign(one, own_.key.get(), EVP_sha256()) > 0);
+  for (const auto& name : wanted.alternative_names) names += (names.empty() ? "" : ",") + name;
+  if (!names.empty()) extend(one, root_.certificate.get(), NID_subject_alt_name, names);
+  require(X509_sign(one, root_.key.get(), EVP_sha256()) > 0);
   return made;
 }
 
-void Authority::revoke(const Certificate& one) { revoked_.push_back(one.certificate); }
+void CertificateAuthority::revoke(const Certificate& one) { revoked_.push_back(one.certificate); }
 
-std::string Authority::crl(int from, int to) const {
+std::string CertificateAuthority::revocation_list_pem(int from, int to) const {
   X509_CRL* list = X509_CRL_new();
   X509_CRL_set_version(list, 1);
-  X509_CRL_set_issuer_name(list, X509_get_subject_name(own_.certificate.get()));
+  X509_CRL_set_issuer_name(list, X509_get_subject_name(root_.certificate.get()));
   ASN1_TIME* at = X509_gmtime_adj(nullptr, from);
   X509_CRL_set1_lastUpdate(list, at);
   X509_gmtime_adj(at, to);
@@ -98,7 +100,7 @@
   }
   ASN1_TIME_free(at);
   X509_CRL_sort(list);
-  require(X509_CRL_sign(list, own_.key.get(), EVP_sha256()) > 0);
+  require(X509_CRL_sign(list, root_.key.get(), EVP_sha256()) > 0);
   BIO* out = BIO_new(BIO_s_mem());
   PEM_write_bio_X509_CRL(out, list);
   X509_CRL_free(list);
--- a/src/standins/authority.h
+++ b/src/standins/authority.h
@@ -16,27 +16,27 @@
   access::Pkey key;
   std::shared_ptr<x509_st> certificate;
   std::string pem() const;
-  std::string key_pem() const;
+  std::string private_key_pem() const;
 };
 
-class Authority {
+class CertificateAuthority {
  public:
-  explicit Authority(const std::string& name);
-  struct Wanted {
+  explicit CertificateAuthority(const std::string& name);
+  struct CertificateRequest {
     std::string common_name;
-    std::vector<std::string> names;  // 'URI:...', 'DNS:...', 'email:...', 'IP:...'
-    int from = -10, to = 3600;       // seconds from now
-    bool for_clients = true;         // else for servers
+    std::vector<std::string> alternative_names;             // 'URI:...', 'DNS:...', 'email:...', 'IP:...'
+    int valid_from_seconds = -10, valid_to_seconds = 3600;  // seconds from now
+    bool is_for_client_authentication = true;               // else for servers
   };
-  Certificate issue(const Wanted& wanted);
+  Certificate issue(const CertificateRequest& wanted);
   void revoke(const Certificate& one);
   // `from`, `to`: the list's own times, in seconds from now.
-  std::string crl(int from = -1, int to = 3600) const;
-  std::string pem() const { return own_.pem(); }
+  std::string revocation_list_pem(int from = -1, int to = 3600) const;
+  std::string pem() const { return root_.pem(); }
 
  private:
-  Certificate own_;
-  long next_ = 1;
+  Certificate root_;
+  long last_serial_ = 1;
   std::vector<std::shared_ptr<x509_st>> revoked_;
 };
 
--- a/src/standins/callers.cpp
+++ b/src/standins/callers.cpp
@@ -17,9 +17,9 @@
 
 }  // namespace
 
-json Callers::section() const {
-  return {{"keys", folder_ + "/keys.json"},
-          {"revoked", folder_ + "/revoked.json"},
+json CredentialFixture::access_section() const {
+  return {{"keys", directory_ + "/keys.json"},
+          {"revoked", directory_ + "/revoked.json"},
           {"issuers", {"https://id.test"}},
           {"audience", "rookproxy"},
           {"leeway_ms", 0},
@@ -36,17 +36,17 @@
           {"users", {{{"name", "school"}, {"tenant", "addis"}, {"roles", {"officer"}}}}}};
 }
 
-void Callers::put(const std::string& file, const std::string& text) const {
-  const std::string aside = folder_ + "/aside";
+void CredentialFixture::write_atomically(const std::string& file, const std::string& text) const {
+  const std::string aside = directory_ + "/aside";
   std::ofstream(aside) << text;
-  std::filesystem::rename(aside, folder_ + "/" + file);
+  std::filesystem::rename(aside, directory_ + "/" + file);
 }
 
-void Callers::make_key(const std::string& name, const std::string& algorithm) {
-  keys_[name] = access::new_key(decide::algorithm_named(algorithm).value());
+void CredentialFixture::make_key(const std::string& name, const std::string& algorithm) {
+  keys_[name] = access::generate_key(decide::parse_algorithm(algorithm).value());
 }
 
-void Callers::publish(const std::vector<std::string>& specs) const {
+void CredentialFixture::publish_keys(const std::vector<std::string>& specs) const {
   json list = json::array();
   for (const std::string& spec : specs) {
     std::istringstream parts(spec);
@@ -54,16 +54,17 @@
     std::getline(parts, name, ':');
     std::getline(parts, from, ':');
     std::getline(parts, to);
-    json jwk = access::public_jwk(key(name), name);
+    json jwk = access::to_public_jwk(key(name), name);
     if (!from.empty() && from != "-") jwk["nbf"] = unix_now() + std::stod(from);
     if (!to.empty() && to != "-") jwk["exp"] = unix_now() + std::stod(to);
     list.push_back(std::move(jwk));
   }
-  put("keys.json", json{{"keys", list}}.dump());
-  if (!std::filesystem::exists(folder_ + "/revoked.json")) put("revoked.json", "{}");
+  write_atomically("keys.json", json{{"keys", list}}.dump());
+  if (!std::filesystem::exists(directory_ + "/revoked.json")) write_atomically("revoked.json", "{}");
 }
 
-std::string Callers::token(const std::string& key_name, const std::string& role, const json& changes) const {
+std::string CredentialFixture::mint_token(const std::string& key_name, const std::string& role,
+                                          const json& changes) const {
   json claims{
       {"iss", "https://id.test"}, {"aud", "rookproxy"}, {"sub", "s-1"},          {"jti", "j-1"},
       {"tenant", "addis"},        {"roles", {role}},    {"iat", unix_now() - 1}, {"exp", unix_now() + 600}};
@@ -72,44 +73,47 @@
     if (claims.contains(name) && claims[name].is_string())
       claims[name] = unix_now() + std::stod(claims[name].get<std::string>());
   }
-  return access::mint(key(key_name), key_name, claims);
+  return access::sign_token(key(key_name), key_name, claims);
 }
 
-json Callers::tls(bool frames, const std::string& mysql, const std::string& clients, bool crl) {
-  renew_server();
-  put("ca.pem", authority_.pem());
-  json section{{"certificate", folder_ + "/server.pem"},
-               {"key", folder_ + "/server.key"},
+json CredentialFixture::tls_section(bool frames, const std::string& mysql, const std::string& clients,
+                                    bool crl) {
+  renew_server_certificate();
+  write_atomically("ca.pem", authority_.pem());
+  json section{{"certificate", directory_ + "/server.pem"},
+               {"key", directory_ + "/server.key"},
                {"client_certificates", clients},
                {"crl_grace_ms", 0},
                {"frames", frames},
                {"mysql", mysql}};
-  if (clients != "none") section["client_ca"] = folder_ + "/ca.pem";
+  if (clients != "none") section["client_ca"] = directory_ + "/ca.pem";
   if (!crl) return section;
   publish_crl(-1, 3600);
-  section["crl"] = folder_ + "/crl.pem";
+  section["crl"] = directory_ + "/crl.pem";
   return section;
 }
 
-void Callers::renew_server() {
+void CredentialFixture::renew_server_certificate() {
   const Certificate server = authority_.issue({"rookproxy", {"IP:127.0.0.1"}, -10, 3600, false});
-  put("server.key", server.key_pem());
-  put("server.pem", server.pem());
+  write_atomically("server.key", server.private_key_pem());
+  write_atomically("server.pem", server.pem());
 }
 
-void Callers::make_certificate(const std::string& name, const std::string& alternative, int from, int to,
-                               bool by_stranger, bool for_clients) {
-  Authority& by = by_stranger ? stranger_ : authority_;
+void CredentialFixture::issue_certificate(const std::string& name, const std::string& alternative, int from,
+                                          int to, bool by_stranger, bool for_clients) {
+  CertificateAuthority& by = by_stranger ? untrusted_authority_ : authority_;
   std::vector<std::string> names;
   if (!alternative.empty()) names.push_back(alternative);
   certificates_[name] = by.issue({name, names, from, to, for_clients});
 }
 
-void Callers::publish_crl(int from, int to) { put("crl.pem", authority_.crl(from, to)); }
+void CredentialFixture::publish_crl(int from, int to) {
+  write_atomically("crl.pem", authority_.revocation_list_pem(from, to));
+}
 
-void Callers::revoke(const std::string& kind, const std::string& what) {
-  revoked_[kind].push_back(what);
-  put("revoked.json", revoked_.dump());
+void CredentialFixture::revoke_token(const std::string& kind, const std::string& what) {
+  revocations_[kind].push_back(what);
+  write_atomically("revoked.json", revocations_.dump());
 }
 
 }  // namespace rookproxy::test
--- a/src/standins/lines_engine.cpp
+++ b/src/standins/lines_engine.cpp
@@ -7,93 +7,93 @@
 
 namespace rookproxy::test {
 
-class LinesEngineLoop {
+class AutoReplyLineEngineLoop {
  public:
-  explicit LinesEngineLoop(LinesEngine& engine)
+  explicit AutoReplyLineEngineLoop(AutoReplyLineEngine& engine)
       : engine_(engine),
-        acceptor_(loop_, listen_tcp({0x7f000001, 0}), [this](Fd fd) { accept(std::move(fd)); }) {
+        acceptor_(loop_, listen_tcp({0x7f000001, 0}), [this](FileDescriptor fd) { accept(std::move(fd)); }) {
     engine_.port_ = acceptor_.port();
     engine_.started_ = true;
-    look_for_end();
+    poll_stop_request();
   }
   void run() { loop_.run(); }
 
  private:
-  class Link final : public StreamUser {
+  class Connection final : public StreamHandler {
    public:
-    Link(LinesEngineLoop& owner, SlotKey key, Fd fd)
+    Connection(AutoReplyLineEngineLoop& owner, SlotKey key, FileDescriptor fd)
         : owner_(owner), key_(key), stream_(owner.loop_, std::move(fd), *this, false, 1u << 20) {}
     std::size_t on_bytes(std::string_view bytes) override {
       const auto end = bytes.find("\r\n");
       if (end == bytes.npos) return 0;
       const std::string_view line = bytes.substr(0, end);
-      if (line.starts_with("REQ ")) return request(bytes, line, end + 2);
+      if (line.starts_with("REQ ")) return handle_request(bytes, line, end + 2);
       if (line.starts_with("HELO ") || line.starts_with("STAT ")) {
         stream_.write(std::string(line.substr(5)) + " well - 0\r\n\r\n");
       }
       return end + 2;
     }
     void on_closed(std::string_view) override {
-      if (auto gone = owner_.links_.take(key_)) {
-        owner_.loop_.defer([kept = std::make_shared<std::unique_ptr<Link>>(std::move(*gone))] {});
+      if (auto gone = owner_.connections_.take(key_)) {
+        owner_.loop_.defer([kept = std::make_shared<std::unique_ptr<Connection>>(std::move(*gone))] {});
       }
     }
 
    private:
-    std::size_t request(std::string_view bytes, std::string_view line, std::size_t body_at) {
+    std::size_t handle_request(std::string_view bytes, std::string_view line, std::size_t body_at) {
       const std::size_t body = std::stoul(std::string(line.substr(line.rfind(' ') + 1)));
       if (bytes.size() < body_at + body + 2) return 0;
       const std::string_view id = line.substr(4, line.find(' ', 4) - 4);
-      if (owner_.engine_.keep_) {
+      if (owner_.engine_.record_statements_) {
         const std::lock_guard lock(owner_.engine_.mutex_);
-        ++owner_.engine_.statements_[std::string(bytes.substr(body_at, body))];
-        owner_.engine_.arrivals_.push_back(std::chrono::steady_clock::now());
+        ++owner_.engine_.statement_counts_[std::string(bytes.substr(body_at, body))];
+        owner_.engine_.arrival_times_.push_back(std::chrono::steady_clock::now());
       }
-      ++owner_.engine_.answered_;
+      ++owner_.engine_.response_count_;
       stream_.write(std::string(id) + " data parts=1 6\r\na\tb\tc\n\r\n");
       return body_at + body + 2;
     }
-    LinesEngineLoop& owner_;
+    AutoReplyLineEngineLoop& owner_;
     SlotKey key_;
     Stream stream_;
   };
-  void accept(Fd fd) {
-    const SlotKey key = links_.insert(nullptr);
-    *links_.find(key) = std::make_unique<Link>(*this, key, std::move(fd));
+  void accept(FileDescriptor fd) {
+    const SlotKey key = connections_.insert(nullptr);
+    *connections_.find(key) = std::make_unique<Connection>(*this, key, std::move(fd));
   }
-  void look_for_end() {
-    if (engine_.stop_) return loop_.stop();
-    loop_.at(loop_.now() + std::chrono::milliseconds(20), [this] { look_for_end(); });
+  void poll_stop_request() {
+    if (engine_.stop_requested_) return loop_.stop();
+    loop_.run_at(loop_.now() + std::chrono::milliseconds(20), [this] { poll_stop_request(); });
   }
-  Loop loop_;
-  LinesEngine& engine_;
-  SlotTable<std::unique_ptr<Link>> links_;
+  EventLoop loop_;
+  AutoReplyLineEngine& engine_;
+  SlotMap<std::unique_ptr<Connection>> connections_;
   Acceptor acceptor_;
 };
 
-LinesEngine::LinesEngine() : thread_([this] { run(); }) {
+AutoReplyLineEngine::AutoReplyLineEngine() : thread_([this] { run(); }) {
   while (!started_) std::this_thread::yield();
 }
 
-LinesEngine::~LinesEngine() {
-  stop_ = true;
+AutoReplyLineEngine::~AutoReplyLineEngine() {
+  stop_requested_ = true;
   thread_.join();
 }
 
-void LinesEngine::run() {
-  LinesEngineLoop loop(*this);
+void AutoReplyLineEngine::run() {
+  AutoReplyLineEngineLoop loop(*this);
   loop.run();
 }
 
-std::vector<std::chrono::steady_clock::time_point> LinesEngine::arrivals() {
+std::vector<std::chrono::steady_clock::time_point> AutoReplyLineEngine::arrival_times() {
   const std::lock_guard lock(mutex_);
-  return arrivals_;
+  return arrival_times_;
 }
 
-std::uint64_t LinesEngine::seen(const std::string& text) {
+std::uint64_t AutoReplyLineEngine::count_statements_containing(const std::string& text) {
   const std::lock_guard lock(mutex_);
   std::uint64_t sum = 0;
-  for (const auto& [statement, times] : statements_) {
+  for (const auto& [statement, times] : statement_counts_) {
     if (statement.find(text) != statement.npos) sum += times;
   }
   return sum;
--- a/src/standins/tls_peer.cpp
+++ b/src/standins/tls_peer.cpp
@@ -11,7 +11,7 @@
 
 using namespace std::chrono_literals;
 
-TlsPeer::TlsPeer(int fd, const std::string& certificate, const std::string& key) : fd_(fd) {
+TlsClientSession::TlsClientSession(int fd, const std::string& certificate, const std::string& key) : fd_(fd) {
   SSL_CTX* context = SSL_CTX_new(TLS_client_method());
   ssl_ = std::shared_ptr<SSL>(SSL_new(context), SSL_free);
   SSL_CTX_free(context);
@@ -32,38 +32,38 @@
     ERR_clear_error();
     const int done = SSL_connect(ssl_.get());
     if (done == 1) return;
-    if (!wait(done, 20s)) throw std::runtime_error("the handshake failed");
+    if (!wait_for_handshake_io(done, 20s)) throw std::runtime_error("the handshake failed");
   }
 }
 
-bool TlsPeer::wait(int outcome, std::chrono::milliseconds within) {
+bool TlsClientSession::wait_for_handshake_io(int outcome, std::chrono::milliseconds within) {
   const int error = SSL_get_error(ssl_.get(), outcome);
   if (error != SSL_ERROR_WANT_READ && error != SSL_ERROR_WANT_WRITE) return false;
   pollfd one{fd_, static_cast<short>(error == SSL_ERROR_WANT_READ ? POLLIN : POLLOUT), 0};
   return ::poll(&one, 1, static_cast<int>(within.count())) > 0;
 }
 
-bool TlsPeer::send(std::string_view bytes) {
+bool TlsClientSession::send(std::string_view bytes) {
   while (!bytes.empty()) {
     ERR_clear_error();
     const int sent = SSL_write(ssl_.get(), bytes.data(), static_cast<int>(bytes.size()));
     if (sent > 0) {
       bytes.remove_prefix(static_cast<std::size_t>(sent));
-    } else if (!wait(sent, 20s)) {
+    } else if (!wait_for_handshake_io(sent, 20s)) {
       return false;
     }
   }
   return true;
 }
 
-int TlsPeer::read(char* bytes, int room, std::chrono::milliseconds within) {
+int TlsClientSession::read(char* bytes, int room, std::chrono::milliseconds within) {
   for (;;) {
     ERR_clear_error();
     const int got = SSL_read(ssl_.get(), bytes, room);
     if (got > 0) return got;
     const int error = SSL_get_error(ssl_.get(), got);
     if (error != SSL_ERROR_WANT_READ && error != SSL_ERROR_WANT_WRITE) return 0;
-    if (!wait(got, within)) return -1;
+    if (!wait_for_handshake_io(got, within)) return -1;
   }
 }
 
--- a/src/standins/tls_peer.h
+++ b/src/standins/tls_peer.h
@@ -10,17 +10,17 @@
 
 namespace rookproxy::test {
 
-class TlsPeer {
+class TlsClientSession {
  public:
   // Begins on a connected non-blocking socket, which lives longer; `certificate` and `key` in PEM, or empty.
   // Throws std::runtime_error if the handshake fails.
-  TlsPeer(int fd, const std::string& certificate, const std::string& key);
+  TlsClientSession(int fd, const std::string& certificate, const std::string& key);
   bool send(std::string_view bytes);
   // What comes within that time: > 0 bytes, 0 the end (or a fault), -1 nothing.
   int read(char* bytes, int room, std::chrono::milliseconds within);
 
  private:
-  bool wait(int outcome, std::chrono::milliseconds within);
+  bool wait_for_handshake_io(int outcome, std::chrono::milliseconds within);
   int fd_;
   std::shared_ptr<ssl_st> ssl_;
 };
--- a/src/tls/context.cpp
+++ b/src/tls/context.cpp
@@ -17,13 +17,13 @@
 using decide::Denial;
 
 template <class T, void (*free_it)(T*)>
-struct Freed {
+struct OpenSslDeleter {
   void operator()(T* one) const { free_it(one); }
 };
-using BioOwned = std::unique_ptr<BIO, Freed<BIO, BIO_free_all>>;
-using X509Owned = std::unique_ptr<X509, Freed<X509, X509_free>>;
-using CrlOwned = std::unique_ptr<X509_CRL, Freed<X509_CRL, X509_CRL_free>>;
-using StoreContext = std::unique_ptr<X509_STORE_CTX, Freed<X509_STORE_CTX, X509_STORE_CTX_free>>;
+using BioPtr = std::unique_ptr<BIO, OpenSslDeleter<BIO, BIO_free_all>>;
+using X509Ptr = std::unique_ptr<X509, OpenSslDeleter<X509, X509_free>>;
+using CrlPtr = std::unique_ptr<X509_CRL, OpenSslDeleter<X509_CRL, X509_CRL_free>>;
+using StoreContextPtr = std::unique_ptr<X509_STORE_CTX, OpenSslDeleter<X509_STORE_CTX, X509_STORE_CTX_free>>;
 
 // libcrypto's own words for what went wrong first, and nothing left behind for the next who asks.
 std::string openssl_reason() {
@@ -34,42 +34,42 @@
   return reason ? reason : "error " + std::to_string(code);
 }
 
-struct FileFault {
-  std::string path, why;
+struct FileError {
+  std::string path, reason;
 };
-[[noreturn]] void refuse(const std::string& path, const std::string& why) { throw FileFault{path, why}; }
+[[noreturn]] void reject_file(const std::string& path, const std::string& why) { throw FileError{path, why}; }
 
-BioOwned open_pem(const std::string& path) {
-  BioOwned file(BIO_new_file(path.c_str(), "r"));
+BioPtr open_pem(const std::string& path) {
+  BioPtr file(BIO_new_file(path.c_str(), "r"));
   if (!file) {
     ERR_clear_error();
-    refuse(path, "can't be read");
+    reject_file(path, "can't be read");
   }
   return file;
 }
 
-std::optional<Time> time_of(const ASN1_TIME* at) {
+std::optional<Time> to_time(const ASN1_TIME* at) {
   std::tm parts{};
   if (!at || ASN1_TIME_to_tm(at, &parts) != 1) return std::nullopt;
   return Time(std::chrono::seconds(::timegm(&parts)));
 }
 
-std::vector<X509Owned> certificates_in(const std::string& path) {
-  const BioOwned file = open_pem(path);
-  std::vector<X509Owned> list;
+std::vector<X509Ptr> read_certificates(const std::string& path) {
+  const BioPtr file = open_pem(path);
+  std::vector<X509Ptr> list;
   while (X509* one = PEM_read_bio_X509(file.get(), nullptr, nullptr, nullptr)) list.emplace_back(one);
   // What ends the list is either the file's end or a fault; a file cut in the middle must not pass for a
   // short one.
   const unsigned long end = ERR_peek_last_error();
   ERR_clear_error();
   if (end != 0 && ERR_GET_REASON(end) != PEM_R_NO_START_LINE)
-    refuse(path, "a certificate in it can't be read");
-  if (list.empty()) refuse(path, "holds no certificate in PEM");
+    reject_file(path, "a certificate in it can't be read");
+  if (list.empty()) reject_file(path, "holds no certificate in PEM");
   return list;
 }
 
 std::string name_text(const X509_NAME* name) {
-  const BioOwned out(BIO_new(BIO_s_mem()));
+  const BioPtr out(BIO_new(BIO_s_mem()));
   X509_NAME_print_ex(out.get(), name, 0, XN_FLAG_RFC2253);
   char* data = nullptr;
   const long size = BIO_get_mem_data(out.get(), &data);
@@ -85,7 +85,7 @@
   return text;
 }
 
-Time now_by_system() { return std::chrono::time_point_cast<Duration>(std::chrono::system_clock::now()); }
+Time system_now() { return std::chrono::time_point_cast<Duration>(std::chrono::system_clock::now()); }
 
 // A list that is overdue is believed for its grace. The settings hang on the store.
 int settings_index() {
@@ -94,21 +94,22 @@
   return index;
 }
 
-int on_verified(int fine, X509_STORE_CTX* context) {
+int on_certificate_verified(int fine, X509_STORE_CTX* context) {
   if (fine == 1 || X509_STORE_CTX_get_error(context) != X509_V_ERR_CRL_HAS_EXPIRED) return fine;
   const auto* settings = static_cast<const ServerSettings*>(
       X509_STORE_get_ex_data(X509_STORE_CTX_get0_store(context), settings_index()));
   const X509_CRL* crl = X509_STORE_CTX_get0_current_crl(context);
   if (!settings || !crl) return 0;
-  const decide::CrlTimes times{time_of(X509_CRL_get0_lastUpdate(crl)).value_or(Time()),
-                               time_of(X509_CRL_get0_nextUpdate(crl))};
-  const auto standing = decide::judge_crl(times, now_by_system(), settings->crl_grace, settings->leeway);
+  const decide::CrlTimes times{to_time(X509_CRL_get0_lastUpdate(crl)).value_or(Time()),
+                               to_time(X509_CRL_get0_nextUpdate(crl))};
+  const auto standing =
+      decide::revocation_status(times, system_now(), settings->crl_grace_period, settings->clock_leeway);
   if (decide::fails_closed(standing)) return 0;
   X509_STORE_CTX_set_error(context, X509_V_OK);
   return 1;
 }
 
-Denial denial_of(int error) {
+Denial to_denial(int error) {
   switch (error) {
     case X509_V_OK:
       return Denial::kNone;
@@ -117,7 +118,7 @@
     case X509_V_ERR_CERT_HAS_EXPIRED:
       return Denial::kExpired;
     case X509_V_ERR_CERT_NOT_YET_VALID:
-      return Denial::kNotYet;
+      return Denial::kNotYetValid;
     case X509_V_ERR_UNABLE_TO_GET_CRL:
     case X509_V_ERR_CRL_HAS_EXPIRED:
     case X509_V_ERR_CRL_NOT_YET_VALID:
@@ -126,11 +127,11 @@
     case X509_V_ERR_CRL_PATH_VALIDATION_ERROR:
       return Denial::kRevocationUnknown;
     default:
-      return Denial::kUntrusted;
+      return Denial::kUntrustedCertificate;
   }
 }
 
-std::string pem_name(GENERAL_NAME* name) {
+std::string alternative_name_text(GENERAL_NAME* name) {
   const auto text = [](const ASN1_STRING* one) {
     return std::string(reinterpret_cast<const char*>(ASN1_STRING_get0_data(one)),
                        static_cast<std::size_t>(ASN1_STRING_length(one)));
@@ -161,47 +162,48 @@
   return list;
 }
 
-void ServerContext::load_own() {
-  const auto chain = certificates_in(settings_.certificate);
+void ServerContext::load_own_certificate() {
+  const auto chain = read_certificates(settings_.certificate);
   X509* own = chain.front().get();
-  if (SSL_CTX_use_certificate(context_.get(), own) != 1) refuse(settings_.certificate, openssl_reason());
+  if (SSL_CTX_use_certificate(context_.get(), own) != 1) reject_file(settings_.certificate, openssl_reason());
   for (std::size_t i = 1; i < chain.size(); ++i) {
     if (X509_NAME_cmp(X509_get_issuer_name(chain[i - 1].get()), X509_get_subject_name(chain[i].get())) != 0) {
-      refuse(settings_.certificate, "certificate " + std::to_string(i + 1) + " (" +
-                                        name_text(X509_get_subject_name(chain[i].get())) +
-                                        ") is not the issuer of the one before it");
+      reject_file(settings_.certificate, "certificate " + std::to_string(i + 1) + " (" +
+                                             name_text(X509_get_subject_name(chain[i].get())) +
+                                             ") is not the issuer of the one before it");
     }
     SSL_CTX_add1_chain_cert(context_.get(), chain[i].get());
   }
-  const BioOwned file = open_pem(settings_.key);
-  const std::unique_ptr<EVP_PKEY, Freed<EVP_PKEY, EVP_PKEY_free>> key(
+  const BioPtr file = open_pem(settings_.key);
+  const std::unique_ptr<EVP_PKEY, OpenSslDeleter<EVP_PKEY, EVP_PKEY_free>> key(
       PEM_read_bio_PrivateKey(file.get(), nullptr, nullptr, nullptr));
   if (!key) {
     ERR_clear_error();
-    refuse(settings_.key, "holds no private key in PEM");
+    reject_file(settings_.key, "holds no private key in PEM");
   }
   if (X509_check_private_key(own, key.get()) != 1) {
     ERR_clear_error();
-    refuse(settings_.key, "is not the key of " + settings_.certificate);
+    reject_file(settings_.key, "is not the key of " + settings_.certificate);
   }
-  if (SSL_CTX_use_PrivateKey(context_.get(), key.get()) != 1) refuse(settings_.key, openssl_reason());
-  const auto begins = time_of(X509_get0_notBefore(own)), ends = time_of(X509_get0_notAfter(own));
-  if (!begins || !ends) refuse(settings_.certificate, "its times can't be read");
-  expires_ = *ends;
-  if (now_by_system() >= *ends) refuse(settings_.certificate, "expired at " + date_text(*ends));
-  if (now_by_system() + settings_.leeway < *begins)
-    refuse(settings_.certificate, "is good only from " + date_text(*begins) + " on");
+  if (SSL_CTX_use_PrivateKey(context_.get(), key.get()) != 1) reject_file(settings_.key, openssl_reason());
+  const auto begins = to_time(X509_get0_notBefore(own)), ends = to_time(X509_get0_notAfter(own));
+  if (!begins || !ends) reject_file(settings_.certificate, "its times can't be read");
+  expires_at_ = *ends;
+  if (system_now() >= *ends) reject_file(settings_.certificate, "expired at " + date_text(*ends));
+  if (system_now() + settings_.clock_leeway < *begins)
+    reject_file(settings_.certificate, "is good only from " + date_text(*begins) + " on");
 }
 
-void ServerContext::load_clients(const ServerContext* former) {
+void ServerContext::load_client_verification(const ServerContext* former) {
   store_ = std::shared_ptr<X509_STORE>(X509_STORE_new(), X509_STORE_free);
   X509_STORE_set_ex_data(store_.get(), settings_index(), &settings_);
-  X509_STORE_set_verify_cb(store_.get(), on_verified);
+  X509_STORE_set_verify_cb(store_.get(), on_certificate_verified);
   SSL_CTX_set1_cert_store(context_.get(), store_.get());
   if (settings_.client_certificates == ClientCertificates::kNone) return;
-  for (const auto& one : certificates_in(settings_.client_ca)) {
+  for (const auto& one : read_certificates(settings_.client_ca)) {
     if (X509_check_ca(one.get()) < 1) {
-      refuse(settings_.client_ca, name_text(X509_get_subject_name(one.get())) + " is no CA's certificate");
+      reject_file(settings_.client_ca,
+                  name_text(X509_get_subject_name(one.get())) + " is no CA's certificate");
     }
     X509_STORE_add_cert(store_.get(), one.get());
     SSL_CTX_add_client_CA(context_.get(), one.get());
@@ -211,12 +213,12 @@
                      nullptr);
   SSL_CTX_set_verify_depth(context_.get(), 4);
   if (settings_.crl.empty()) return;
-  const BioOwned file = open_pem(settings_.crl);
+  const BioPtr file = open_pem(settings_.crl);
   while (X509_CRL* read = PEM_read_bio_X509_CRL(file.get(), nullptr, nullptr, nullptr)) {
-    const CrlOwned crl(read);
-    const auto made = time_of(X509_CRL_get0_lastUpdate(read));
-    if (!made) refuse(settings_.crl, "its times can't be read");
-    const decide::CrlTimes times{*made, time_of(X509_CRL_get0_nextUpdate(read))};
+    const CrlPtr crl(read);
+    const auto made = to_time(X509_CRL_get0_lastUpdate(read));
+    if (!made) reject_file(settings_.crl, "its times can't be read");
+    const decide::CrlTimes times{*made, to_time(X509_CRL_get0_nextUpdate(read))};
     // Of several, what is known is known as long as by the one that ends first.
     if (!crl_ || (times.next_update && (!crl_->next_update || *times.next_update < *crl_->next_update)))
       crl_ = times;
@@ -225,13 +227,13 @@
   const unsigned long end = ERR_peek_last_error();
   ERR_clear_error();
   if (end != 0 && ERR_GET_REASON(end) != PEM_R_NO_START_LINE)
-    refuse(settings_.crl, "a list in it can't be read");
-  if (!crl_) refuse(settings_.crl, "holds no list of revoked certificates (X509 CRL) in PEM");
+    reject_file(settings_.crl, "a list in it can't be read");
+  if (!crl_) reject_file(settings_.crl, "holds no list of revoked certificates (X509 CRL) in PEM");
   if (former && !decide::may_replace(former->crl_, *crl_))
-    refuse(settings_.crl, "is older than the list that is in force");
-  if (decide::judge_crl(crl_, now_by_system(), settings_.crl_grace, settings_.leeway) ==
-      decide::CrlStanding::kFromFuture) {
-    refuse(settings_.crl, "is good only from " + date_text(crl_->this_update) + " on");
+    reject_file(settings_.crl, "is older than the list that is in force");
+  if (decide::revocation_status(crl_, system_now(), settings_.crl_grace_period, settings_.clock_leeway) ==
+      decide::RevocationStatus::kNotYetValid) {
+    reject_file(settings_.crl, "is good only from " + date_text(crl_->this_update) + " on");
   }
   X509_STORE_set_flags(store_.get(), X509_V_FLAG_CRL_CHECK | X509_V_FLAG_CRL_CHECK_ALL);
 }
@@ -252,53 +254,53 @@
   SSL_CTX_set_max_early_data(context, 0);
   SSL_CTX_set_mode(context, SSL_MODE_RELEASE_BUFFERS);
   try {
-    made->load_own();
-    made->load_clients(former);
-  } catch (const FileFault& fault) {
+    made->load_own_certificate();
+    made->load_client_verification(former);
+  } catch (const FileError& fault) {
     const char* key = fault.path == settings.key         ? "key"
                       : fault.path == settings.client_ca ? "client_ca"
                       : fault.path == settings.crl       ? "crl"
                                                          : "certificate";
     // A certificate and key that are missing altogether are what a trial lacks first: say what makes them.
     const bool own = fault.path == settings.key || fault.path == settings.certificate;
-    const std::string hint = own && fault.why == "can't be read"
+    const std::string hint = own && fault.reason == "can't be read"
                                  ? "; `rookproxyctl certificate new --certificate " + settings.certificate +
                                        " --key " + settings.key + " --name NAME` makes a pair for trials"
                                  : "";
-    throw TlsError(std::string("tls.") + key + " (" + fault.path + "): " + fault.why + hint);
+    throw TlsError(std::string("tls.") + key + " (" + fault.path + "): " + fault.reason + hint);
   }
   return made;
 }
 
-decide::Denial ServerContext::judge(x509_st* certificate,
-                                    const std::vector<std::shared_ptr<x509_st>>& chain) const {
-  const StoreContext context(X509_STORE_CTX_new());
+decide::Denial ServerContext::verify_chain(x509_st* certificate,
+                                           const std::vector<std::shared_ptr<x509_st>>& chain) const {
+  const StoreContextPtr context(X509_STORE_CTX_new());
   STACK_OF(X509)* others = sk_X509_new_null();
   for (const auto& one : chain) sk_X509_push(others, one.get());
   int error = X509_V_ERR_UNSPECIFIED;
   if (context && X509_STORE_CTX_init(context.get(), store_.get(), certificate, others) == 1) {
     X509_STORE_CTX_set_default(context.get(), "ssl_client");
-    X509_STORE_CTX_set_verify_cb(context.get(), on_verified);
+    X509_STORE_CTX_set_verify_cb(context.get(), on_certificate_verified);
     error = X509_verify_cert(context.get()) == 1 ? X509_V_OK : X509_STORE_CTX_get_error(context.get());
     if (error == X509_V_OK && X509_STORE_CTX_get_error(context.get()) != X509_V_OK)
       error = X509_STORE_CTX_get_error(context.get());
   }
   sk_X509_free(others);
   ERR_clear_error();
-  return denial_of(error);
+  return to_denial(error);
 }
 
-std::optional<Time> ServerContext::known_until() const {
+std::optional<Time> ServerContext::revocation_known_until() const {
   if (!crl_ || !crl_->next_update) return std::nullopt;
-  return *crl_->next_update + settings_.crl_grace;
+  return *crl_->next_update + settings_.crl_grace_period;
 }
 
 std::string describe(const ServerContext& context) {
   const X509* own = SSL_CTX_get0_certificate(context.get());
   std::string text = context.settings().certificate + ": " + name_text(X509_get_subject_name(own)) +
                      ", issued by " + name_text(X509_get_issuer_name(own)) + ", ends at " +
-                     date_text(context.expires());
-  if (const auto until = context.known_until())
+                     date_text(context.expires_at());
+  if (const auto until = context.revocation_known_until())
     text += "\n" + context.settings().crl + ": believed until " + date_text(*until);
   return text;
 }
@@ -316,7 +318,7 @@
 }
 
 namespace {
-void drain(SSL* ssl, std::string& out) {
+void take_output(SSL* ssl, std::string& out) {
   char* data = nullptr;
   BIO* from = SSL_get_wbio(ssl);
   const long size = BIO_get_mem_data(from, &data);
@@ -326,19 +328,19 @@
 }
 }  // namespace
 
-bool ServerChannel::fail(const char* doing) {
+bool ServerChannel::set_failure(const char* doing) {
   if (const long verdict = SSL_get_verify_result(ssl_.get());
       verdict != X509_V_OK && !SSL_is_init_finished(ssl_.get())) {
-    why_ = std::string("TLS: client certificate: ") + X509_verify_cert_error_string(verdict);
+    end_reason_ = std::string("TLS: client certificate: ") + X509_verify_cert_error_string(verdict);
     ERR_clear_error();
   } else {
-    why_ = std::string("TLS: ") + doing + ": " + openssl_reason();
+    end_reason_ = std::string("TLS: ") + doing + ": " + openssl_reason();
   }
   return false;
 }
 
 bool ServerChannel::receive(std::string_view bytes, std::string& plain, std::string& out) {
-  if (!why_.empty()) return false;
+  if (!end_reason_.empty()) return false;
   ERR_clear_error();
   if (!bytes.empty()) BIO_write(SSL_get_rbio(ssl_.get()), bytes.data(), static_cast<int>(bytes.size()));
   bool goes_on = true;
@@ -346,8 +348,8 @@
     const int done = SSL_do_handshake(ssl_.get());
     if (done != 1) {
       const int error = SSL_get_error(ssl_.get(), done);
-      if (error != SSL_ERROR_WANT_READ) goes_on = fail("handshake");
-      drain(ssl_.get(), out);
+      if (error != SSL_ERROR_WANT_READ) goes_on = set_failure("handshake");
+      take_output(ssl_.get(), out);
       return goes_on;
     }
   }
@@ -360,37 +362,37 @@
     }
     const int error = SSL_get_error(ssl_.get(), got);
     if (error == SSL_ERROR_ZERO_RETURN) {
-      why_ = "closed by the peer";
+      end_reason_ = "closed by the peer";
       goes_on = false;
     } else if (error != SSL_ERROR_WANT_READ) {
-      goes_on = fail("record");
+      goes_on = set_failure("record");
     }
     break;
   }
-  drain(ssl_.get(), out);
+  take_output(ssl_.get(), out);
   return goes_on;
 }
 
 void ServerChannel::seal(std::string_view plain, std::string& out) {
   ERR_clear_error();
   if (!plain.empty()) SSL_write(ssl_.get(), plain.data(), static_cast<int>(plain.size()));
-  drain(ssl_.get(), out);
+  take_output(ssl_.get(), out);
 }
 
 void ServerChannel::finish(std::string& out) {
   ERR_clear_error();
   SSL_shutdown(ssl_.get());
-  drain(ssl_.get(), out);
+  take_output(ssl_.get(), out);
 }
 
-bool ServerChannel::is_ready() const { return SSL_is_init_finished(ssl_.get()) == 1; }
+bool ServerChannel::is_handshake_complete() const { return SSL_is_init_finished(ssl_.get()) == 1; }
 
-std::optional<decide::CertificateFacts> ServerChannel::peer() const {
+std::optional<decide::CertificateInfo> ServerChannel::peer_certificate() const {
   X509* certificate = SSL_get0_peer_certificate(ssl_.get());
   if (!certificate || SSL_get_verify_result(ssl_.get()) != X509_V_OK) return std::nullopt;
-  decide::CertificateFacts facts;
+  decide::CertificateInfo facts;
   facts.subject = name_text(X509_get_subject_name(certificate));
-  facts.not_after = time_of(X509_get0_notAfter(certificate)).value_or(Time());
+  facts.not_after = to_time(X509_get0_notAfter(certificate)).value_or(Time());
   if (BIGNUM* number = ASN1_INTEGER_to_BN(X509_get0_serialNumber(certificate), nullptr)) {
     char* hex = BN_bn2hex(number);
     facts.serial = hex;
@@ -400,14 +402,14 @@
   auto* names =
       static_cast<GENERAL_NAMES*>(X509_get_ext_d2i(certificate, NID_subject_alt_name, nullptr, nullptr));
   for (int i = 0; names && i < sk_GENERAL_NAME_num(names); ++i) {
-    if (std::string one = pem_name(sk_GENERAL_NAME_value(names, i)); !one.empty())
-      facts.names.push_back(std::move(one));
+    if (std::string one = alternative_name_text(sk_GENERAL_NAME_value(names, i)); !one.empty())
+      facts.alternative_names.push_back(std::move(one));
   }
   GENERAL_NAMES_free(names);
   return facts;
 }
 
-decide::Denial ServerChannel::judge(const ServerContext& context) const {
+decide::Denial ServerChannel::verify_peer(const ServerContext& context) const {
   X509* certificate = SSL_get0_peer_certificate(ssl_.get());
   if (!certificate) return Denial::kNoCredentials;
   std::vector<std::shared_ptr<X509>> chain;
@@ -417,7 +419,7 @@
     X509_up_ref(one);
     chain.emplace_back(one, X509_free);
   }
-  return context.judge(certificate, chain);
+  return context.verify_chain(certificate, chain);
 }
 
 }  // namespace rookproxy::tls
--- a/src/tls/context.h
+++ b/src/tls/context.h
@@ -35,8 +35,8 @@
   std::string certificate, key;  // PEM: the chain, its own certificate first; and its private key
   std::string client_ca, crl;    // PEM; the CRL, where one is named, must be there and fresh
   ClientCertificates client_certificates = ClientCertificates::kNone;
-  Duration crl_grace{};  // a list is believed so long after its successor was due
-  Duration leeway{};     // for clocks that differ
+  Duration crl_grace_period{};  // a list is believed so long after its successor was due
+  Duration clock_leeway{};      // for clocks that differ
   std::vector<std::string> files() const;
 };
 
@@ -46,44 +46,44 @@
   static std::shared_ptr<const ServerContext> load(const ServerSettings& settings,
                                                    const ServerContext* former = nullptr);
   // Is the chain good at this time, by this context's CA and list? As when it was shown, but anew.
-  decide::Denial judge(x509_st* certificate, const std::vector<std::shared_ptr<x509_st>>& chain) const;
+  decide::Denial verify_chain(x509_st* certificate, const std::vector<std::shared_ptr<x509_st>>& chain) const;
   // Until when whether a certificate was revoked is known: the list's end and its grace. None: there is no
   // list.
-  std::optional<Time> known_until() const;
-  Time expires() const { return expires_; }  // the own certificate
+  std::optional<Time> revocation_known_until() const;
+  Time expires_at() const { return expires_at_; }  // the own certificate
   const ServerSettings& settings() const { return settings_; }
   ssl_ctx_st* get() const { return context_.get(); }
 
  private:
   ServerContext() = default;
-  void load_own();
-  void load_clients(const ServerContext* former);
+  void load_own_certificate();
+  void load_client_verification(const ServerContext* former);
   ServerSettings settings_;
   std::shared_ptr<ssl_ctx_st> context_;
   std::shared_ptr<x509_store_st> store_;
   std::optional<decide::CrlTimes> crl_;
-  Time expires_{};
+  Time expires_at_{};
 };
 
 // One connection's. It keeps its context for as long as it lives.
-class ServerChannel final : public Channel {
+class ServerChannel final : public SecureChannel {
  public:
   explicit ServerChannel(std::shared_ptr<const ServerContext> context);
   bool receive(std::string_view bytes, std::string& plain, std::string& out) override;
   void seal(std::string_view plain, std::string& out) override;
   void finish(std::string& out) override;
-  bool is_ready() const override;
-  std::string why() const override { return why_; }
+  bool is_handshake_complete() const override;
+  std::string end_reason() const override { return end_reason_; }
   // The client's certificate, once is_ready(); nothing if it showed none.
-  std::optional<decide::CertificateFacts> peer() const;
+  std::optional<decide::CertificateInfo> peer_certificate() const;
   // Is it good by that context, now? It may be another than it was shown to.
-  decide::Denial judge(const ServerContext& context) const;
+  decide::Denial verify_peer(const ServerContext& context) const;
 
  private:
-  bool fail(const char* doing);
+  bool set_failure(const char* doing);
   std::shared_ptr<const ServerContext> context_;
   std::shared_ptr<ssl_st> ssl_;
-  std::string why_;
+  std::string end_reason_;
 };
 
 // What --check tells of a chain and a key that fit: whose, and when it ends.
--- a/src/wire.cpp
+++ b/src/wire.cpp
@@ -15,7 +15,7 @@
 constexpr double kBillMemoryMb = 4;
 
 [[noreturn]] void bad(std::string_view what, std::string_view text) {
-  throw WireError(std::string(what) + ": '" + std::string(text.substr(0, 80)) + "'");
+  throw FormatError(std::string(what) + ": '" + std::string(text.substr(0, 80)) + "'");
 }
 
 void split(std::string_view text, char at, std::vector<std::string_view>& parts) {
@@ -79,27 +79,29 @@
 constexpr Word<Outcome> kOutcomes[] = {
     {"served", Outcome::kServed},
     {"server_error", Outcome::kError},
-    {"turned_away", Outcome::kTurnedAway},
-    {"no_answer", Outcome::kNoAnswer},
-    {"no_connection", Outcome::kNoConnection},
+    {"turned_away", Outcome::kRejected},
+    {"no_answer", Outcome::kNoResponse},
+    {"no_connection", Outcome::kConnectFailed},
     {"connection_lost", Outcome::kConnectionLost},
     {"called_off", Outcome::kCancelled},
     {"not_sent", Outcome::kNotSent},
 };
 constexpr Word<EngineState> kStates[] = {{"SERVING", EngineState::kServing},
                                          {"DRAINING", EngineState::kDraining},
-                                         {"DELETED", EngineState::kGone}};
-constexpr Word<ListKind> kLists[] = {{"changes", ListKind::kChanges},
-                                     {"all", ListKind::kWhole},
-                                     {"remembered", ListKind::kRemembered},
-                                     {"refused", ListKind::kRefused}};
-constexpr Word<Effect> kEffects[] = {
-    {"pure", Effect::kSafe}, {"token", Effect::kKeyed}, {"side_effect", Effect::kUnsafe}};
-constexpr Word<RepeatScope> kScopes[] = {
-    {"all", RepeatScope::kAll}, {"zone", RepeatScope::kZone}, {"cell", RepeatScope::kCell}};
-constexpr Word<ListMode> kModes[] = {{"automatic", ListMode::kPushed}, {"subscribe", ListMode::kAsked}};
-constexpr Word<ShortMemory> kShort[] = {
-    {"wait", ShortMemory::kWait}, {"shrink", ShortMemory::kShrink}, {"page", ShortMemory::kPage}};
+                                         {"DELETED", EngineState::kRemoved}};
+constexpr Word<EngineListKind> kLists[] = {{"changes", EngineListKind::kDelta},
+                                           {"all", EngineListKind::kSnapshot},
+                                           {"remembered", EngineListKind::kCached},
+                                           {"refused", EngineListKind::kRejected}};
+constexpr Word<Idempotency> kEffects[] = {{"pure", Idempotency::kIdempotent},
+                                          {"token", Idempotency::kKeyed},
+                                          {"side_effect", Idempotency::kNonIdempotent}};
+constexpr Word<IdempotencyScope> kScopes[] = {
+    {"all", IdempotencyScope::kAll}, {"zone", IdempotencyScope::kZone}, {"cell", IdempotencyScope::kCell}};
+constexpr Word<EngineListMode> kModes[] = {{"automatic", EngineListMode::kPushed},
+                                           {"subscribe", EngineListMode::kSubscribed}};
+constexpr Word<MemoryPressure> kShort[] = {
+    {"wait", MemoryPressure::kWait}, {"shrink", MemoryPressure::kShrink}, {"page", MemoryPressure::kPage}};
 
 std::optional<LoadReport> parse_report(std::string_view text) {
   if (absent(text)) return std::nullopt;
@@ -111,11 +113,11 @@
     if (colon == pair.npos) bad("load report without a colon", pair);
     const auto name = pair.substr(0, colon);
     const double value = number(pair.substr(colon + 1), "load report");
-    if (name == "outstanding") report.held = value;
-    if (name == "backlog") report.waiting = value;
-    if (name == "utilization") report.cpu_busy = value;
-    if (name == "x0") report.memory_granted = value;
-    if (name == "x1") report.disks_busy = value;
+    if (name == "outstanding") report.active_queries = value;
+    if (name == "backlog") report.queries_waiting_for_memory = value;
+    if (name == "utilization") report.cpu_utilization = value;
+    if (name == "x0") report.memory_utilization = value;
+    if (name == "x1") report.disk_utilization = value;
   }
   return report;
 }
@@ -190,20 +192,20 @@
   const std::string at = "grades." + std::to_string(i) + ".";
   ClassSettings cls;
   cls.name = config.get(at + "name").value_or("");
-  cls.worth = config.number_or(at + "value", 1);
-  cls.aim = config.time(at + "target").value_or(0);
-  cls.aim_stretch = config.number_or(at + "aim_stretch", 0);
-  cls.deadline = config.time(at + "deadline").value_or(0);
-  cls.late_worth = config.number_or(at + "late_worth", 0);
-  cls.effect = word_of(kEffects, config.get(at + "effect").value_or(""), at + "effect");
-  if (cls.effect == Effect::kKeyed) {
+  cls.priority_weight = config.number_or(at + "value", 1);
+  cls.latency_objective = config.time(at + "target").value_or(0);
+  cls.latency_objective_per_work = config.number_or(at + "aim_stretch", 0);
+  cls.timeout = config.time(at + "deadline").value_or(0);
+  cls.late_weight = config.number_or(at + "late_worth", 0);
+  cls.idempotency = word_of(kEffects, config.get(at + "effect").value_or(""), at + "effect");
+  if (cls.idempotency == Idempotency::kKeyed) {
     if (const auto scope = config.get(at + "group"))
-      cls.repeat_scope = word_of(kScopes, *scope, at + "group");
-    cls.repeat_window = config.time(at + "window");
+      cls.idempotency_scope = word_of(kScopes, *scope, at + "group");
+    cls.idempotency_window = config.time(at + "window");
   }
   cls.ordered = config.is_set(at + "keep_order");
-  cls.zones_allowed = bound_to(config, at + "allowed_in", zones);
-  cls.kinds_allowed = bound_to(config, at + "models_allowed", kinds);
+  cls.allowed_zones = bound_to(config, at + "allowed_in", zones);
+  cls.allowed_machine_types = bound_to(config, at + "models_allowed", kinds);
   const auto threads = config.list("domain.threads_by_class");
   if (i < threads.size()) cls.threads = whole<int>(threads[i], "domain.threads_by_class");
   const auto loads = config.list("domain.is_load");
@@ -224,8 +226,9 @@
   const Config config(pairs);
   Settings s;
   s.seed = seed;
-  if (const auto text = config.get("fleet_size")) s.routers = whole<std::uint32_t>(*text, "fleet_size");
-  if (const auto text = config.get("ordinal")) s.ordinal = whole<std::uint32_t>(*text, "ordinal");
+  if (const auto text = config.get("fleet_size"))
+    s.instance_count = whole<std::uint32_t>(*text, "fleet_size");
+  if (const auto text = config.get("ordinal")) s.instance_index = whole<std::uint32_t>(*text, "ordinal");
   const auto zones = config.list("localities");
   const auto kinds = config.list("models");
   s.zones = static_cast<std::uint32_t>(std::max<std::size_t>(1, zones.size()));
@@ -241,62 +244,63 @@
   const auto cores = config.list("domain.cpu_of_kind");
   const auto memory = config.list("domain.ram_of_kind_mb");
   for (std::size_t i = 0; i < kinds.size(); ++i) {
-    KindSettings kind;
+    MachineTypeSettings kind;
     kind.name = kinds[i];
     if (i < cores.size()) kind.cores = number(cores[i], "domain.cpu_of_kind");
     if (i < memory.size()) kind.memory_mb = number(memory[i], "domain.ram_of_kind_mb");
-    s.kinds.push_back(std::move(kind));
+    s.machine_types.push_back(std::move(kind));
   }
   if (const auto text = config.get("membership_mode"))
-    s.list_mode = word_of(kModes, *text, "membership_mode");
+    s.engine_list_mode = word_of(kModes, *text, "membership_mode");
   s.may_cancel = config.is_set("permissions.cancel");
   s.may_probe = config.is_set("permissions.probes");
   s.reports_load = config.get("report.source").value_or("") != "off";
-  s.second_copies = config.is_set("permissions.second_copies");
+  s.hedging = config.is_set("permissions.second_copies");
   if (const auto text = config.get("permissions.max_attempts")) {
     s.max_attempts = whole<std::uint32_t>(*text, "permissions.max_attempts");
   }
   if (config.is_set("permissions.retry_after")) {
     s.max_retry_after = config.time("permissions.max_retry_after").value_or(0);
   }
-  s.answer_grace = config.time("safety.grace_to_answer").value_or(0);
-  s.drain_grace = config.time("safety.drain_grace").value_or(0);
+  s.response_grace_period = config.time("safety.grace_to_answer").value_or(0);
+  s.drain_grace_period = config.time("safety.drain_grace").value_or(0);
   if (config.get("safety.fall_multiple")) {
-    ColdStart cold;
-    cold.from = config.number_or("safety.cold_from", 1);
-    cold.warm_after = config.time("safety.cold").value_or(0);
-    cold.multiple = config.number_or("safety.fall_multiple", 1);
-    cold.span = config.time("safety.overload_for").value_or(0);
-    s.cold = cold;
-  }
-  s.order_rest = config.time("safety.turn_gap");
+    SlowStart cold;
+    cold.initial_share = config.number_or("safety.cold_from", 1);
+    cold.warm_up_period = config.time("safety.cold").value_or(0);
+    cold.overload_factor = config.number_or("safety.fall_multiple", 1);
+    cold.overload_window = config.time("safety.overload_for").value_or(0);
+    s.slow_start = cold;
+  }
+  s.ordered_key_cooldown = config.time("safety.turn_gap");
   if (config.get("safety.counted_over")) {
-    s.attempt_budget =
-        AttemptBudget{config.number_or("safety.min_extra", 0), config.number_or("safety.repeat_ratio", 0),
-                      config.time("safety.counted_over").value_or(0)};
-  }
-  s.grants_heeded = config.is_set("domain.takes_grants");
-  s.priorities_heeded = config.is_set("domain.priorities");
-  if (config.get("domain.largest_share")) s.largest_grant = config.number_or("domain.largest_share", 1);
+    s.retry_budget =
+        RetryBudget{config.number_or("safety.min_extra", 0), config.number_or("safety.repeat_ratio", 0),
+                    config.time("safety.counted_over").value_or(0)};
+  }
+  s.memory_grants_supported = config.is_set("domain.takes_grants");
+  s.priorities_supported = config.is_set("domain.priorities");
+  if (config.get("domain.largest_share"))
+    s.max_memory_grant_share = config.number_or("domain.largest_share", 1);
   if (const auto text = config.get("domain.out_of_memory")) {
-    s.short_memory = word_of(kShort, *text, "domain.out_of_memory");
+    s.memory_pressure = word_of(kShort, *text, "domain.out_of_memory");
   }
   const auto notes = config.time("domain.tells_every");
-  if (notes && *notes > 0) s.note_interval = notes;
-  s.costs_told = config.is_set("domain.tells_cost");
-  s.over_share_worth = config.number_or("over_share_worth", 1);
-  s.crossing_price = config.number_or("prices.cross_zone", 0);
-  s.probe_price = config.number_or("prices.probe", 0);
+  if (notes && *notes > 0) s.progress_interval = notes;
+  s.reports_cost = config.is_set("domain.tells_cost");
+  s.over_quota_weight = config.number_or("over_share_worth", 1);
+  s.cross_zone_cost = config.number_or("prices.cross_zone", 0);
+  s.probe_cost = config.number_or("prices.probe", 0);
   return s;
 }
 
-struct Host::Row {
+struct SimulatorSession::EngineRow {
   EngineEntry entry;
   std::string zone;
   std::string kind;
 };
 
-struct Host::Instance {
+struct SimulatorSession::Instance {
   struct Known {
     std::string id;
     int out = 0;
@@ -355,13 +359,13 @@
   }
 };
 
-Host::Host() = default;
-Host::~Host() = default;
+SimulatorSession::SimulatorSession() = default;
+SimulatorSession::~SimulatorSession() = default;
 
-bool Host::inside_batch() const { return in_batch_; }
+bool SimulatorSession::is_inside_batch() const { return in_batch_; }
 
-Host::Instance& Host::current() {
-  if (current_name_.empty()) throw WireError("event before any target_instance");
+SimulatorSession::Instance& SimulatorSession::current() {
+  if (current_name_.empty()) throw FormatError("event before any target_instance");
   auto& slot = instances_[current_name_];
   if (!slot) {
     slot = std::make_unique<Instance>();
@@ -374,13 +378,13 @@
   return *slot;
 }
 
-bool Host::take_line(std::string_view line, std::string& reply) {
+bool SimulatorSession::handle_line(std::string_view line, std::string& reply) {
   split(line, '\t', fields_);
   const auto& what = fields_[0];
   const auto need = [&](std::size_t low, std::size_t high) {
     if (fields_.size() - 1 < low || fields_.size() - 1 > high) {
-      throw WireError(std::string(what.substr(0, 40)) + " has " + std::to_string(fields_.size() - 1) +
-                      " values, not " + std::to_string(low));
+      throw FormatError(std::string(what.substr(0, 40)) + " has " + std::to_string(fields_.size() - 1) +
+                        " values, not " + std::to_string(low));
     }
   };
   if (!in_batch_) {
@@ -393,40 +397,40 @@
     current_name_.clear();
     return false;
   }
-  if (rows_due_ > 0) {
+  if (rows_expected_ > 0) {
     if (what != "row") bad("a row of the directory is missing before", what);
     need(7, 7);
-    Row row;
+    EngineRow row;
     row.entry.name = fields_[1];
-    if (absent(fields_[1])) throw WireError("row without an engine");
-    row.entry.started = absent(fields_[2]) ? 0 : time_of(fields_[2], "launched");
+    if (absent(fields_[1])) throw FormatError("row without an engine");
+    row.entry.started_at = absent(fields_[2]) ? 0 : time_of(fields_[2], "launched");
     row.entry.state = word_of(kStates, fields_[3], "status");
     row.zone = fields_[4];
     row.entry.cell = absent(fields_[5]) ? 0 : whole<std::uint32_t>(fields_[5], "unit_group");
     row.entry.weight = absent(fields_[6]) ? 1 : number(fields_[6], "weight");
     row.kind = fields_[7];
-    lists_[rows_list_].push_back(std::move(row));
-    --rows_due_;
+    engine_lists_[receiving_list_].push_back(std::move(row));
+    --rows_expected_;
     return false;
   }
   if (what == "commit") {
     need(0, 0);
     in_batch_ = false;
-    answer(reply);
+    write_reply(reply);
     return true;
   }
   if (what == "target_instance") {
     need(1, 1);
     current_name_ = fields_[1];
-    if (absent(fields_[1])) throw WireError("target_instance without a name");
+    if (absent(fields_[1])) throw FormatError("target_instance without a name");
     return false;
   }
   if (what == "directory") {
     need(2, 2);
-    rows_list_ = whole<std::uint32_t>(fields_[1], "roster_id");
-    if (rows_list_ >= lists_.size()) bad("roster_id is out of range", fields_[1]);
-    rows_due_ = whole<std::uint32_t>(fields_[2], "entries");
-    lists_[rows_list_].clear();
+    receiving_list_ = whole<std::uint32_t>(fields_[1], "roster_id");
+    if (receiving_list_ >= engine_lists_.size()) bad("roster_id is out of range", fields_[1]);
+    rows_expected_ = whole<std::uint32_t>(fields_[2], "entries");
+    engine_lists_[receiving_list_].clear();
     return false;
   }
   if (what == "enlist") {
@@ -446,7 +450,7 @@
     };
     instance.class_names = names(settings.classes);
     instance.tenant_names = names(settings.tenants);
-    instance.kind_names = names(settings.kinds);
+    instance.kind_names = names(settings.machine_types);
     instance.zone_names.clear();
     for (const auto zone : config.list("localities")) instance.zone_names.emplace_back(zone);
     try {
@@ -458,7 +462,7 @@
   }
   auto& instance = current();
   if (!instance.alive) {
-    throw WireError(std::string(what.substr(0, 40)) + " for an instance never enlisted: " + instance.name);
+    throw FormatError(std::string(what.substr(0, 40)) + " for an instance never enlisted: " + instance.name);
   }
   if (what == "destroy") {
     need(0, 0);
@@ -467,15 +471,15 @@
     need(2, 3);
     EngineList list;
     list.kind = word_of(kLists, fields_[2], "mode");
-    if (list.kind != ListKind::kRefused) {
+    if (list.kind != EngineListKind::kRejected) {
       need(3, 3);
       const auto number_of_list = whole<std::uint32_t>(fields_[3], "roster_id");
-      if (number_of_list >= lists_.size()) bad("roster_id is out of range", fields_[3]);
-      for (const auto& row : lists_[number_of_list]) {
+      if (number_of_list >= engine_lists_.size()) bad("roster_id is out of range", fields_[3]);
+      for (const auto& row : engine_lists_[number_of_list]) {
         auto entry = row.entry;
         entry.id = instance.intern_engine(entry.name);
         entry.zone = index_in(instance.zone_names, row.zone).value_or(UINT32_MAX - 1);
-        entry.kind = index_in(instance.kind_names, row.kind).value_or(UINT32_MAX - 1);
+        entry.machine_type = index_in(instance.kind_names, row.kind).value_or(UINT32_MAX - 1);
         list.entries.push_back(std::move(entry));
       }
     }
@@ -483,17 +487,17 @@
   } else if (what == "new_request") {
     need(8, 9);
     RequestArrived request;
-    if (absent(fields_[1])) throw WireError("new_request without an id");
+    if (absent(fields_[1])) throw FormatError("new_request without an id");
     const auto bits = absent(fields_[2]) ? 0 : whole<std::uint64_t>(fields_[2], "state_bits");
-    request.is_repeat = (bits & 2) != 0;
+    request.is_client_retry = (bits & 2) != 0;
     const auto cls = index_in(instance.class_names, fields_[3]);
     if (!cls) bad("unknown class", fields_[3]);
-    request.cls = *cls;
+    request.class_index = *cls;
     if (!absent(fields_[4])) {
       request.key =
           instance.keys.try_emplace(std::string(fields_[4]), instance.keys.size() + 1).first->second;
     }
-    request.give_up_at = time_of(fields_[5], "give_up_at");
+    request.deadline = time_of(fields_[5], "give_up_at");
     if (!absent(fields_[6])) {
       const double mb = number(fields_[6], "need_mb");
       if (mb < 0) bad("need_mb is out of range", fields_[6]);
@@ -522,7 +526,7 @@
     ended.attempt = whole<std::uint32_t>(fields_[2], "shot");
     ended.outcome = word_of(kOutcomes, fields_[4], "disposition");
     ended.latency = time_of(fields_[5], "latency");
-    ended.over = flag(fields_[6], "settled");
+    ended.completed = flag(fields_[6], "settled");
     if (fields_.size() > 7 && !absent(fields_[7])) {
       const auto bill = whole<std::int64_t>(fields_[7], "bill");
       if (bill < 0) bad("bill is out of range", fields_[7]);
@@ -536,25 +540,25 @@
       ended.request = *id;
       auto& known = instance.requests[*id];
       --known.out;
-      if (ended.over) known.ended = true;
+      if (ended.completed) known.ended = true;
       instance.events.emplace_back(std::move(ended));
     }
   } else if (what == "opened") {
     need(4, 4);
     const auto shot = whole<std::uint32_t>(fields_[3], "shot");
-    if (const auto id = instance.known(fields_[1])) instance.events.emplace_back(AnswerBegun{*id, shot});
+    if (const auto id = instance.known(fields_[1])) instance.events.emplace_back(ResponseStarted{*id, shot});
   } else if (what == "heartbeat") {
     need(5, 5);
-    AttemptNote note;
+    AttemptUpdate note;
     note.attempt = whole<std::uint32_t>(fields_[2], "shot");
     note.engine = instance.engine(fields_[3]);
     const auto kind = whole<int>(fields_[4], "what");
     note.amount = absent(fields_[5]) ? 0 : number(fields_[5], "amount");
     if (kind < 1 || kind > 3) bad("unknown note", fields_[4]);
-    note.kind = kind == 1            ? NoteKind::kProgress
-                : kind == 2          ? NoteKind::kSpills
-                : note.amount == 2.0 ? NoteKind::kWaitsForLoad
-                                     : NoteKind::kWaitsForMemory;
+    note.kind = kind == 1            ? AttemptUpdateKind::kProgress
+                : kind == 2          ? AttemptUpdateKind::kSpilling
+                : note.amount == 2.0 ? AttemptUpdateKind::kWaitingForLoad
+                                     : AttemptUpdateKind::kWaitingForMemory;
     if (const auto id = instance.known(fields_[1])) {
       note.request = *id;
       instance.events.emplace_back(note);
@@ -563,7 +567,7 @@
     need(1, 1);
     if (const auto id = instance.known(fields_[1])) {
       instance.end(*id);
-      instance.events.emplace_back(RequestDropped{*id});
+      instance.events.emplace_back(ClientDisconnected{*id});
     }
   } else if (what == "timeout_fired") {
     need(1, 1);
@@ -584,7 +588,7 @@
   return false;
 }
 
-void Host::answer(std::string& reply) {
+void SimulatorSession::write_reply(std::string& reply) {
   for (auto* instance : touched_) {
     instance->touched = false;
     if (!instance->alive) continue;
@@ -607,7 +611,7 @@
     }
     for (const auto& event : instance->events) {
       if (const auto* ended = std::get_if<AttemptEnded>(&event)) instance->release_if_done(ended->request);
-      if (const auto* dropped = std::get_if<RequestDropped>(&event))
+      if (const auto* dropped = std::get_if<ClientDisconnected>(&event))
         instance->release_if_done(dropped->request);
     }
     instance->events.clear();
@@ -616,7 +620,7 @@
   reply += "finished\n";
 }
 
-void Host::write_actions(Instance& instance, std::string& reply) {
+void SimulatorSession::write_actions(Instance& instance, std::string& reply) {
   const auto request = [&](RequestId id) -> Instance::Known& {
     const auto found = instance.requests.find(id);
     if (found == instance.requests.end()) throw std::logic_error("action for an unknown request");
@@ -635,7 +639,7 @@
         append(reply, *send->timeout);
       else
         reply += '-';
-    } else if (const auto* terms = std::get_if<SetTerms>(&action)) {
+    } else if (const auto* terms = std::get_if<SetExecutionOptions>(&action)) {
       reply += "terms\t";
       request(terms->request);
       reply += '\t';
@@ -647,7 +651,7 @@
       request(cancel->request);
       reply += '\t';
       append(reply, cancel->attempt);
-    } else if (const auto* refuse = std::get_if<Refuse>(&action)) {
+    } else if (const auto* refuse = std::get_if<Reject>(&action)) {
       reply += "push_back\t";
       request(refuse->request).ended = true;
       ended.push_back(refuse->request);
@@ -660,7 +664,7 @@
       reply += "end_failed\t";
       request(fail->request).ended = true;
       ended.push_back(fail->request);
-    } else if (const auto* wake = std::get_if<Wake>(&action)) {
+    } else if (const auto* wake = std::get_if<SetTimer>(&action)) {
       reply += "wake_at\t";
       append(reply, wake->at);
       reply += '\t';
@@ -668,7 +672,7 @@
     } else if (const auto* probe = std::get_if<Probe>(&action)) {
       reply += "sample\t";
       reply += instance.engines.at(probe->engine);
-    } else if (std::holds_alternative<FollowList>(action)) {
+    } else if (std::holds_alternative<SubscribeEngineList>(action)) {
       reply += "keep_informed\t1";
     } else if (const auto* log = std::get_if<Log>(&action)) {
       reply += "journal_line\t" + log->text;
@@ -679,11 +683,11 @@
 }
 
 int serve(std::istream& in, std::ostream& out, std::ostream& err) {
-  Host host;
+  SimulatorSession host;
   std::string line, reply;
   for (std::uint64_t at = 1; std::getline(in, line); ++at) {
     try {
-      if (!host.take_line(line, reply)) continue;
+      if (!host.handle_line(line, reply)) continue;
     } catch (const std::exception& fault) {
       err << "lemonshift: line " << at << ": " << fault.what() << std::endl;
       return 1;
@@ -695,7 +699,7 @@
       return 1;
     }
   }
-  if (host.inside_batch()) {
+  if (host.is_inside_batch()) {
     err << "lemonshift: end of input inside a batch" << std::endl;
     return 1;
   }
--- a/src/wire.h
+++ b/src/wire.h
@@ -15,7 +15,7 @@
 
 namespace lemonshift::wire {
 
-struct WireError : std::runtime_error {
+struct FormatError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
@@ -23,28 +23,28 @@
 Settings parse_settings(std::uint64_t seed, const std::vector<std::string_view>& pairs);
 
 // Hosts any number of instances. Feed it lines; after `commit` it appends one reply.
-class Host {
+class SimulatorSession {
  public:
-  Host();
-  ~Host();
+  SimulatorSession();
+  ~SimulatorSession();
   // Takes one line without its end. True if the line closed a batch and `reply` is to be written and flushed.
-  bool take_line(std::string_view line, std::string& reply);
-  bool inside_batch() const;
+  bool handle_line(std::string_view line, std::string& reply);
+  bool is_inside_batch() const;
 
  private:
   struct Instance;
-  struct Row;
+  struct EngineRow;
   void take_event(std::string_view line);
-  void answer(std::string& reply);
+  void write_reply(std::string& reply);
   void write_actions(Instance& instance, std::string& reply);
   Instance& current();
 
   std::unordered_map<std::string, std::unique_ptr<Instance>> instances_;
   std::vector<Instance*> touched_;
   std::string current_name_;
-  std::array<std::vector<Row>, 16> lists_;
-  std::size_t rows_due_ = 0;
-  std::size_t rows_list_ = 0;
+  std::array<std::vector<EngineRow>, 16> engine_lists_;
+  std::size_t rows_expected_ = 0;
+  std::size_t receiving_list_ = 0;
   bool in_batch_ = false;
   Time now_ = 0;
   std::vector<std::string_view> fields_;
--- a/tests/cold_sum_test.cpp
+++ b/tests/cold_sum_test.cpp
@@ -8,16 +8,16 @@
 namespace lemonshift {
 namespace {
 
-using fleet::Fleet;
 using fleet::kSecond;
-using fleet::Load;
+using fleet::SimulatedCluster;
+using fleet::TrafficClass;
 
 constexpr double kBusyShare = 0.85;  // of its cores that an engine's capacity may come to, at the least
 
 struct Case {
   const char* name;
   std::uint32_t routers = 100;
-  ColdStart cold = {0.3, 15 * kSecond, 3, 1'500'000};
+  SlowStart cold = {0.3, 15 * kSecond, 3, 1'500'000};
   EngineId warm = 10, starting = 1;                                      // engines
   double busy = 0.6;                                                     // of the warm engines' cores
   double burst = 1;                                                      // times that, from the start for 4 s
@@ -41,22 +41,22 @@
 
 Settings settings_of(const Case& c) {
   Settings s;
-  s.routers = c.routers;
+  s.instance_count = c.routers;
   s.max_attempts = 6, s.may_cancel = true, s.max_retry_after = 2 * kSecond;
-  s.kinds = {{"k", 8.0, 16384.0}};
-  s.drain_grace = 2 * kSecond, s.note_interval = kSecond / 2;
-  s.priorities_heeded = true;
-  s.cold = c.cold;
+  s.machine_types = {{"k", 8.0, 16384.0}};
+  s.drain_grace_period = 2 * kSecond, s.progress_interval = kSecond / 2;
+  s.priorities_supported = true;
+  s.slow_start = c.cold;
   const char* names[] = {"lookup", "report", "load", "d", "e"};
   for (std::size_t i = 0; i < c.mean_ms.size(); ++i) {
     ClassSettings k;
     k.name = names[i];
-    k.aim = static_cast<Time>(1000 * c.aims_ms[i]);
-    k.aim_stretch = 2.5;
-    k.deadline = i == 0 ? 3 * kSecond : 25 * kSecond;
+    k.latency_objective = static_cast<Time>(1000 * c.aims_ms[i]);
+    k.latency_objective_per_work = 2.5;
+    k.timeout = i == 0 ? 3 * kSecond : 25 * kSecond;
     k.threads = i == 0 ? 1 : 2;
-    k.worth = 1 + 3 * static_cast<double>(i), k.late_worth = 0.3;
-    if (i == 2) k.effect = Effect::kUnsafe, k.is_load = true;
+    k.priority_weight = 1 + 3 * static_cast<double>(i), k.late_weight = 0.3;
+    if (i == 2) k.idempotency = Idempotency::kNonIdempotent, k.is_load = true;
     s.classes.push_back(k);
   }
   return s;
@@ -72,23 +72,25 @@
 };
 
 // The worst span that ends with a send: its work against what the settings allow at its beginning.
-void look(const Fleet& f, const ColdStart& cold, std::size_t process, Worst& worst) {
+void look(const SimulatedCluster& f, const SlowStart& cold, std::size_t process, Worst& worst) {
   const auto& p = f.processes[process];
   const double mean = f.mean_work();
-  std::deque<const fleet::Sent*> span;
+  std::deque<const fleet::SentAttempt*> span;
   double told = 0, all = 0, calls = 0;
-  for (const auto& s : f.sent) {
-    if (s.process != process || s.at - p.started >= cold.warm_after) continue;
+  for (const auto& s : f.sent_attempts) {
+    if (s.process != process || s.sent_at - p.started_at >= cold.warm_up_period) continue;
     span.push_back(&s);
-    told += s.told * s.work, all += s.work, calls += s.told;
-    for (; span.front()->at <= s.at - cold.span; span.pop_front()) {
-      told -= span.front()->told * span.front()->work, all -= span.front()->work;
-      calls -= span.front()->told;
+    told += s.start_was_listed * s.work, all += s.work, calls += s.start_was_listed;
+    for (; span.front()->sent_at <= s.sent_at - cold.overload_window; span.pop_front()) {
+      told -= span.front()->start_was_listed * span.front()->work, all -= span.front()->work;
+      calls -= span.front()->start_was_listed;
     }
-    const double age = static_cast<double>(std::max<Time>(0, s.at - cold.span - p.started)) /
-                       static_cast<double>(cold.warm_after);
-    const double share = f.grown(cold, age);
-    const double n = cold.multiple * share * kBusyShare * p.cores * static_cast<double>(cold.span) / mean;
+    const double age =
+        static_cast<double>(std::max<Time>(0, s.sent_at - cold.overload_window - p.started_at)) /
+        static_cast<double>(cold.warm_up_period);
+    const double share = f.capacity_share(cold, age);
+    const double n = cold.overload_factor * share * kBusyShare * p.cores *
+                     static_cast<double>(cold.overload_window) / mean;
     const double most = bound(n) * mean;
     worst.told = std::max(worst.told, told / most);
     worst.calls = std::max(worst.calls, calls / bound(n));
@@ -104,11 +106,12 @@
 };
 
 // The first two seconds in which the engines that started get nine tenths of the others' mean.
-double carries_its_part(const Fleet& f, Time from, const std::set<EngineId>& cold, EngineId all) {
+double carries_its_part(const SimulatedCluster& f, Time from, const std::set<EngineId>& cold, EngineId all) {
   for (Time at = from; at + 2 * kSecond <= f.now; at += kSecond / 2) {
     double theirs = 0, others = 0;
-    for (const auto& s : f.sent) {
-      if (s.at >= at && s.at < at + 2 * kSecond) (cold.contains(s.engine) ? theirs : others) += s.work;
+    for (const auto& s : f.sent_attempts) {
+      if (s.sent_at >= at && s.sent_at < at + 2 * kSecond)
+        (cold.contains(s.engine) ? theirs : others) += s.work;
     }
     const auto n = static_cast<double>(cold.size());
     if (theirs / n >= 0.9 * others / (all - n)) return static_cast<double>(at - from) / kSecond;
@@ -120,17 +123,18 @@
   double a_round = 0, all_rates = 0;
   for (std::size_t i = 0; i < c.rates.size(); ++i) a_round += c.rates[i] * c.mean_ms[i] / 1000;
   for (const double one : c.rates) all_rates += one;
-  std::vector<Load> loads;
+  std::vector<TrafficClass> loads;
   for (std::size_t i = 0; i < c.rates.size(); ++i)
     loads.push_back({c.busy * 8 * c.warm * c.rates[i] / a_round, c.mean_ms[i] * 1000, i == 0 ? 1.2 : 0.8,
                      c.estimates > 0});
-  Fleet f(settings_of(c), loads, seed, c.parts);
-  f.estimate_off = c.estimates;
-  f.busy_ones = c.busy_ones, f.one_has = c.one_has, f.warms_last = c.warms_last;
-  for (EngineId i = 0; i < c.warm; ++i) f.add();
+  SimulatedCluster f(settings_of(c), loads, seed, c.parts);
+  f.estimate_factor = c.estimates;
+  f.busy_dispatcher_factor = c.busy_ones, f.first_dispatcher_share = c.one_has,
+  f.capacity_grows_at_end = c.warms_last;
+  for (EngineId i = 0; i < c.warm; ++i) f.add_engine();
   std::vector<EngineId> cold;
   if (!c.starts_known) {
-    for (EngineId i = 0; i < c.starting; ++i) cold.push_back(f.add());
+    for (EngineId i = 0; i < c.starting; ++i) cold.push_back(f.add_engine());
   }
   f.run(6 * kSecond);
   const Time ramp = f.now;
@@ -139,50 +143,50 @@
     last_start = f.now;
     for (EngineId i = 0; i < c.starting; ++i) {
       if (i > 0 && c.steps > 0) {
-        f.publish(c.spread, c.late_one_in);
+        f.publish_list(c.spread, c.late_one_in);
         f.run(f.now + static_cast<Time>(c.steps * kSecond));
         last_start = f.now;
       }
       if (start == 0 && c.starts_known) {
-        cold.push_back(f.add(f.now));
+        cold.push_back(f.add_engine(f.now));
       } else {
-        f.end(cold[i]);
-        f.begin(cold[i]);
+        f.stop_process(cold[i]);
+        f.start_process(cold[i]);
       }
-      f.process(cold[i]).most = c.most;
+      f.process(cold[i]).max_attempts = c.most;
     }
-    f.publish(c.spread, c.late_one_in);
-    f.pushing = c.burst;
-    f.at(f.now + 4 * kSecond, [&f] { f.pushing = 1; });
+    f.publish_list(c.spread, c.late_one_in);
+    f.traffic_factor = c.burst;
+    f.schedule(f.now + 4 * kSecond, [&f] { f.traffic_factor = 1; });
     if (c.dispatchers_restart) {
       for (std::uint32_t i = 0; i < c.routers; i += 3)
-        f.at(f.now + kSecond / 2 + 4 * kSecond * i / c.routers, [&f, i] { f.restart(i); });
+        f.schedule(f.now + kSecond / 2 + 4 * kSecond * i / c.routers, [&f, i] { f.restart_dispatcher(i); });
     }
     for (std::uint32_t i = 0; c.anew_at > 0 && i < c.routers * c.parts; ++i) {
       const auto when = f.now + c.anew_at + c.anew_within * i / (c.routers * c.parts);
-      f.at(when, [&f, &c, i] { f.restart(i, c.list_after, false); });
+      f.schedule(when, [&f, &c, i] { f.restart_dispatcher(i, c.list_after, false); });
     }
-    f.run(f.now + (start + 1 < c.starts ? 8 * kSecond : c.cold.warm_after));
+    f.run(f.now + (start + 1 < c.starts ? 8 * kSecond : c.cold.warm_up_period));
   }
   const Time ramp_over = f.now;
   f.run(f.now + 5 * kSecond);  // are they full members by then?
   Worst worst;
   double work = 0, time = 0;
   for (std::size_t p = 0; p < f.processes.size(); ++p) {
-    if (f.processes[p].started == 0) continue;
+    if (f.processes[p].started_at == 0) continue;
     look(f, c.cold, p, worst);
-    time += 8 * static_cast<double>(c.starts > 1 ? 8 * kSecond : c.cold.warm_after);
-    for (const auto& s : f.sent) work += s.process == p && s.at < ramp_over ? s.work : 0;
+    time += 8 * static_cast<double>(c.starts > 1 ? 8 * kSecond : c.cold.warm_up_period);
+    for (const auto& s : f.sent_attempts) work += s.process == p && s.sent_at < ramp_over ? s.work : 0;
   }
   service->used = work / time;
   double came = 0, served = 0, in_time = 0;
-  for (const auto& a : f.asked) {
-    if (a.arrived < ramp || a.arrived >= ramp_over || a.orphan) continue;
-    ++came, served += a.served, in_time += a.served && a.ended <= a.aim_at;
+  for (const auto& a : f.requests) {
+    if (a.arrived < ramp || a.arrived >= ramp_over || a.orphaned) continue;
+    ++came, served += a.succeeded, in_time += a.succeeded && a.ended_at <= a.objective_at;
   }
   service->served = served / came, service->in_time = in_time / came;
-  service->full_at =
-      carries_its_part(f, last_start, {cold.begin(), cold.end()}, static_cast<EngineId>(f.reach.size()));
+  service->full_at = carries_its_part(f, last_start, {cold.begin(), cold.end()},
+                                      static_cast<EngineId>(f.process_of_engine.size()));
   return worst;
 }
 
@@ -201,7 +205,7 @@
 }
 
 TEST(ColdSum, AllDispatchersTogetherStayUnderWhatTheSettingsAllow) {
-  const ColdStart first{0.3, 15 * kSecond, 3, 1'500'000}, second{0.3, 15 * kSecond, 4, 2 * kSecond};
+  const SlowStart first{0.3, 15 * kSecond, 3, 1'500'000}, second{0.3, 15 * kSecond, 4, 2 * kSecond};
   std::vector<Case> cases;
   for (const std::uint32_t n : {100u, 300u}) {
     cases.push_back({.name = "burst at its start", .routers = n, .busy = 0.9, .burst = 4});
@@ -306,11 +310,11 @@
   for (const Time told_after : {Time{0}, kSecond / 10, kSecond}) {
     Settings s = settings_of(Case{.name = "", .routers = 3});
     Router router(s);
-    const Time began = 100 * kSecond, known_at = began + told_after, span = s.cold->span;
+    const Time began = 100 * kSecond, known_at = began + told_after, span = s.slow_start->overload_window;
     EngineList before, now;
-    before.kind = ListKind::kRemembered;
+    before.kind = EngineListKind::kCached;
     now.entries.emplace_back().name = "cold";
-    now.entries[0].started = began - kSecond;
+    now.entries[0].started_at = began - kSecond;
     std::vector<Time> sends;
     std::vector<Action> actions;
     RequestId id = 0;
@@ -319,7 +323,7 @@
       if (at == began) events.push_back(before);
       if (at == known_at) events.push_back(now);
       RequestArrived r;
-      r.id = ++id, r.give_up_at = at + 3 * kSecond, r.work = 300'000;
+      r.id = ++id, r.deadline = at + 3 * kSecond, r.work = 300'000;
       events.push_back(r);
       for (int turns = 0; turns < 100 && !events.empty(); ++turns) {  // answered at once
         actions.clear();
@@ -328,7 +332,7 @@
           if (const auto* sent = std::get_if<Send>(&action)) {
             sends.push_back(at);
             AttemptEnded ended;
-            ended.request = sent->request, ended.latency = 20'000, ended.over = true;
+            ended.request = sent->request, ended.latency = 20'000, ended.completed = true;
             events.push_back(ended);
           }
         }
--- a/tests/consumer/main.cpp
+++ b/tests/consumer/main.cpp
@@ -5,11 +5,11 @@
 int main() {
   lemonshift::Settings settings;
   settings.max_attempts = 3;
-  settings.kinds.push_back({"small", 8.0, 16384.0});
+  settings.machine_types.push_back({"small", 8.0, 16384.0});
   lemonshift::ClassSettings lookup;
   lookup.name = "lookup";
-  lookup.aim = 300'000;
-  lookup.deadline = 2'000'000;
+  lookup.latency_objective = 300'000;
+  lookup.timeout = 2'000'000;
   settings.classes.push_back(lookup);
   lemonshift::Router router(settings);
 
@@ -17,7 +17,7 @@
   list.entries.push_back({.id = 0, .name = "engine-a"});
   lemonshift::RequestArrived query;
   query.id = 1;
-  query.give_up_at = 2'000'000;
+  query.deadline = 2'000'000;
   query.group = 7;
   query.work = 50'000;
 
--- a/tests/dispatch/access.cpp
+++ b/tests/dispatch/access.cpp
@@ -6,12 +6,12 @@
 #include "scenario.h"
 #include "standins/callers.h"
 
-using rookproxy::test::play;
+using rookproxy::test::run_scenario;
 
 namespace rookproxy {
 
 TEST_CASE("frames: a token lets its caller do what its role may, with its tenant's data alone") {
-  play(R"(
+  run_scenario(R"(
     engines a
     access
     key k ES256
@@ -48,7 +48,7 @@
 }
 
 TEST_CASE("frames: the token goes no further than the front, and no log has it") {
-  play(R"(
+  run_scenario(R"(
     engines a
     access
     key k EdDSA
@@ -68,7 +68,7 @@
 
 TEST_CASE("frames: a token that expires in mid-session ends its next request, and a fresh one goes on") {
   // What is open when it expires ends as it would.
-  play(R"(
+  run_scenario(R"(
     engines a
     access
     key k RS256
@@ -92,7 +92,7 @@
 
 TEST_CASE(
     "frames: keys overlap in a rotation, and a key that leaves takes its tokens along, also checked ones") {
-  play(R"(
+  run_scenario(R"(
     engines a
     access
     key old ES256
@@ -129,7 +129,7 @@
 }
 
 TEST_CASE("frames: a token that was taken back, or whose subject was, is refused though it was checked") {
-  play(R"(
+  run_scenario(R"(
     engines a
     access
     key k ES256
@@ -157,7 +157,7 @@
 }
 
 TEST_CASE("frames: keys and rights are taken whole or not at all, and what is open goes on") {
-  play(R"(
+  run_scenario(R"(
     engines a
     access
     key k ES256
@@ -188,7 +188,7 @@
 }
 
 TEST_CASE("frames: what is no token of ours is refused by name, and who sends nothing else is let go") {
-  play(R"(
+  run_scenario(R"(
     engines a
     access
     key k ES256
@@ -240,7 +240,7 @@
 }
 
 TEST_CASE("frames: keys rotate under load from 50 connections, and no valid caller is refused") {
-  play(R"(
+  run_scenario(R"(
     lines-engines a b
     access
     key old ES256
@@ -252,7 +252,7 @@
 }
 
 TEST_CASE("frames: in TLS, a client certificate stands for its caller, and a token for another") {
-  play(R"(
+  run_scenario(R"(
     engines a
     access
     key k ES256
@@ -294,7 +294,7 @@
 
 TEST_CASE("frames: a large answer and a large request pass in TLS, in pieces") {
   const std::string wide(200'000, 'w');
-  play(R"(
+  run_scenario(R"(
     engines a
     access
     tls frames required
@@ -304,18 +304,18 @@
     start
     client o tls officer
     send o slowly 200 request 1 load 9000 INSERT INTO sales_17.orders VALUES (')" +
-       wide + R"(')
+               wide + R"(')
     expect a REQ
     send a data parts=1 )" +
-       wide.substr(0, 5000) + R"(
+               wide.substr(0, 5000) + R"(
     expect o served 1 )" +
-       wide.substr(0, 5000));
+               wide.substr(0, 5000));
 }
 
 TEST_CASE(
     "frames: a certificate that was revoked asks for nothing more, and its connection ends once nothing is "
     "open") {
-  play(R"(
+  run_scenario(R"(
     engines a
     access
     key k ES256
@@ -354,7 +354,7 @@
 }
 
 TEST_CASE("frames: certificates of strangers, of servers, over or not yet begun are not let in") {
-  play(R"(
+  run_scenario(R"(
     engines a
     access
     key k ES256
@@ -378,7 +378,7 @@
 }
 
 TEST_CASE("frames: a certificate that ends in mid-session asks for nothing more") {
-  play(R"(
+  run_scenario(R"(
     engines a
     access
     key k ES256
@@ -398,7 +398,7 @@
 
 TEST_CASE(
     "frames: with a list that is too old nobody is let in by a certificate, until a fresh one is there") {
-  play(R"(
+  run_scenario(R"(
     engines a
     access
     key k ES256
@@ -430,7 +430,7 @@
 }
 
 TEST_CASE("frames: the server's certificate is replaced in service, and connections under the former go on") {
-  play(R"(
+  run_scenario(R"(
     engines a
     access
     key k ES256
@@ -457,7 +457,7 @@
 }
 
 TEST_CASE("mysql: callers log in by token in TLS alone, as themselves, and may what their roles may") {
-  play(R"(
+  run_scenario(R"(
     mysql-engines a b
     access
     key k ES256
@@ -506,7 +506,7 @@
 
 TEST_CASE(
     "mysql: a token that expires in mid-session is refused, and a fresh one goes on in the same session") {
-  play(R"(
+  run_scenario(R"(
     mysql-engines a b
     access
     key k EdDSA
@@ -532,7 +532,7 @@
 }
 
 TEST_CASE("mysql: keys rotate and revocations hold in open sessions") {
-  play(R"(
+  run_scenario(R"(
     mysql-engines a b
     access
     key old ES256
@@ -560,7 +560,7 @@
 }
 
 TEST_CASE("mysql: a client certificate stands for its caller until it is revoked, also in an idle session") {
-  play(R"(
+  run_scenario(R"(
     mysql-engines a b
     access
     key k ES256
@@ -592,7 +592,7 @@
 }
 
 TEST_CASE("mysql: PyMySQL logs in by token over TLS") {
-  play(R"(
+  run_scenario(R"(
     mysql-engines a b
     access
     key k ES256
