--- a/tests/dispatch/access_decisions.cpp
+++ b/tests/dispatch/access_decisions.cpp
@@ -17,8 +17,8 @@
 
 const Time kNow{std::chrono::hours(500'000)};
 
-Policy policy() {
-  Policy policy;
+AccessPolicy policy() {
+  AccessPolicy policy;
   policy.roles = {
       {"student", {"lookup"}, false}, {"teacher", {"lookup", "report"}, false}, {"officer", {"*"}, true}};
   policy.tenants = {{"addis", {"marks_*", "staging"}, {{1, 40}, {77, 77}}},
@@ -28,7 +28,7 @@
 
 Identity caller(std::string role, std::string tenant = "addis") {
   Identity identity;
-  identity.by = Credential::kToken;
+  identity.credential_kind = CredentialKind::kToken;
   identity.subject = "s-1";
   identity.tenant = std::move(tenant);
   identity.roles = {std::move(role)};
@@ -38,8 +38,8 @@
 
 Denial asks(const Identity& identity, const std::string& cls, const std::string& statement,
             const std::string& schema = "") {
-  const auto facts = sql::statement_facts(statement, schema, Dialect::kMysql);
-  return judge_ask(policy(), identity, {cls, cls == "load", &facts}, kNow);
+  const auto facts = sql::analyze_statement(statement, schema, Dialect::kMysql);
+  return authorize(policy(), identity, {cls, cls == "load", &facts}, kNow);
 }
 
 }  // namespace
@@ -47,39 +47,42 @@
 TEST_CASE("access: a student reads his tenant's lookups, and nothing else") {
   const auto student = caller("student");
   CHECK(asks(student, "lookup", "SELECT a FROM marks_17.pupils") == Denial::kNone);
-  CHECK(asks(student, "report", "SELECT a FROM marks_17.pupils") == Denial::kClass);
-  CHECK(asks(student, "load", "INSERT INTO marks_17.pupils VALUES (1)") == Denial::kClass);
+  CHECK(asks(student, "report", "SELECT a FROM marks_17.pupils") == Denial::kClassNotAllowed);
+  CHECK(asks(student, "load", "INSERT INTO marks_17.pupils VALUES (1)") == Denial::kClassNotAllowed);
   // What the statement does decides, not what its sender calls it.
-  CHECK(asks(student, "lookup", "INSERT INTO marks_17.pupils VALUES (1)") == Denial::kWriteAsRead);
+  CHECK(asks(student, "lookup", "INSERT INTO marks_17.pupils VALUES (1)") == Denial::kWriteInReadClass);
   CHECK(asks(student, "lookup", "SELECT a FROM marks_17.pupils; DELETE FROM marks_17.pupils") ==
-        Denial::kWriteAsRead);
-  CHECK(asks(student, "lookup", "SELECT a FROM marks_41.pupils") == Denial::kSchema);
-  CHECK(asks(student, "lookup", "SELECT a FROM pupils") == Denial::kTables);
+        Denial::kWriteInReadClass);
+  CHECK(asks(student, "lookup", "SELECT a FROM marks_41.pupils") == Denial::kSchemaNotAllowed);
+  CHECK(asks(student, "lookup", "SELECT a FROM pupils") == Denial::kUnresolvedTables);
   CHECK(asks(student, "lookup", "SELECT a FROM pupils", "marks_17") == Denial::kNone);
-  CHECK(asks(student, "lookup", "SELECT a FROM pupils", "marks_41") == Denial::kSchema);
+  CHECK(asks(student, "lookup", "SELECT a FROM pupils", "marks_41") == Denial::kSchemaNotAllowed);
   CHECK(asks(student, "lookup", "SELECT 1") == Denial::kNone);
 }
 
 TEST_CASE("access: only officers load, and only their own tenant's data") {
   CHECK(asks(caller("officer"), "load", "INSERT INTO marks_17.pupils VALUES (1)") == Denial::kNone);
-  CHECK(asks(caller("officer"), "lookup", "INSERT INTO marks_17.pupils VALUES (1)") == Denial::kWriteAsRead);
-  CHECK(asks(caller("officer"), "load", "INSERT INTO marks_41.pupils VALUES (1)") == Denial::kSchema);
+  CHECK(asks(caller("officer"), "lookup", "INSERT INTO marks_17.pupils VALUES (1)") ==
+        Denial::kWriteInReadClass);
+  CHECK(asks(caller("officer"), "load", "INSERT INTO marks_41.pupils VALUES (1)") ==
+        Denial::kSchemaNotAllowed);
   CHECK(asks(caller("officer"), "load", "INSERT INTO staging.raw SELECT * FROM marks_41.pupils") ==
-        Denial::kSchema);
-  CHECK(asks(caller("officer"), "load", "CALL marks_17.everything()") == Denial::kTables);
-  CHECK(asks(caller("teacher"), "load", "INSERT INTO marks_17.pupils VALUES (1)") == Denial::kClass);
+        Denial::kSchemaNotAllowed);
+  CHECK(asks(caller("officer"), "load", "CALL marks_17.everything()") == Denial::kUnresolvedTables);
+  CHECK(asks(caller("teacher"), "load", "INSERT INTO marks_17.pupils VALUES (1)") ==
+        Denial::kClassNotAllowed);
   // Two roles do not add up to a right that neither has.
   auto both = caller("student");
   both.roles = {"student", "teacher"};
-  CHECK(asks(both, "load", "INSERT INTO marks_17.pupils VALUES (1)") == Denial::kClass);
+  CHECK(asks(both, "load", "INSERT INTO marks_17.pupils VALUES (1)") == Denial::kClassNotAllowed);
 }
 
 TEST_CASE("access: an identity is judged anew each time") {
   auto one = caller("student");
   one.not_after = kNow;
   CHECK(asks(one, "lookup", "SELECT 1") == Denial::kExpired);
-  CHECK(asks(caller("janitor"), "lookup", "SELECT 1") == Denial::kNoRole);
-  CHECK(asks(caller("student", "mekelle"), "lookup", "SELECT 1") == Denial::kTenant);
+  CHECK(asks(caller("janitor"), "lookup", "SELECT 1") == Denial::kNoKnownRole);
+  CHECK(asks(caller("student", "mekelle"), "lookup", "SELECT 1") == Denial::kUnknownTenant);
   CHECK(asks(Identity(), "lookup", "SELECT 1") == Denial::kNoCredentials);
   auto nobody = caller("student");
   nobody.subject.clear();
@@ -88,24 +91,24 @@
 
 TEST_CASE("access: groups bound what a pattern stands for") {
   const Tenant tenant = policy().tenants[0];
-  CHECK(tenant.owns("marks_1"));
-  CHECK(tenant.owns("marks_40"));
-  CHECK(tenant.owns("marks_a_77"));
-  CHECK(tenant.owns("staging"));
+  CHECK(tenant.owns_schema("marks_1"));
+  CHECK(tenant.owns_schema("marks_40"));
+  CHECK(tenant.owns_schema("marks_a_77"));
+  CHECK(tenant.owns_schema("staging"));
   for (const char* other :
        {"marks_0", "marks_41", "marks_", "marks_x", "marks_017", "marks_1x", "marks_+1",
         "marks_99999999999999999999", "Marks_1", "staging2", "stagin", "", "information_schema"}) {
     INFO(other);
-    CHECK_FALSE(tenant.owns(other));
+    CHECK_FALSE(tenant.owns_schema(other));
   }
 }
 
 TEST_CASE("access: each denial has a word of its own and a text") {
   std::vector<std::string_view> words;
   for (int i = static_cast<int>(kFirstDenial); i <= static_cast<int>(kLastDenial); ++i) {
-    const auto word = denial_word(static_cast<Denial>(i));
+    const auto word = reason_code(static_cast<Denial>(i));
     CHECK_FALSE(word.empty());
-    CHECK_FALSE(denial_text(static_cast<Denial>(i)).empty());
+    CHECK_FALSE(reason_message(static_cast<Denial>(i)).empty());
     CHECK(std::find(words.begin(), words.end(), word) == words.end());
     words.push_back(word);
   }
@@ -159,9 +162,9 @@
       {"SELECT 1.5 + .5 FROM DUAL", {}},
       {"SELECT 'it''s', 'O\\'Brien' FROM x_1.t", {"x_1"}}};
   for (const auto& [statement, schemas] : cases) {
-    const auto facts = sql::statement_facts(statement, "", Dialect::kMysql);
-    INFO(statement << " -- " << facts.why);
-    CHECK(facts.tables_known);
+    const auto facts = sql::analyze_statement(statement, "", Dialect::kMysql);
+    INFO(statement << " -- " << facts.unresolved_reason);
+    CHECK(facts.tables_resolved);
     CHECK(facts.schemas == schemas);
   }
 }
@@ -219,45 +222,45 @@
                                 "SELECT a FROM x_1.t WHERE a = 1 UNION SELECT b FROM",
                                 "TABLE",
                                 "SELECT * FROM x_1.t@link"}) {
-    const auto facts = sql::statement_facts(statement, "x_1", Dialect::kMysql);
+    const auto facts = sql::analyze_statement(statement, "x_1", Dialect::kMysql);
     INFO(statement);
-    CHECK_FALSE(facts.tables_known);
-    CHECK_FALSE(facts.why.empty());
+    CHECK_FALSE(facts.tables_resolved);
+    CHECK_FALSE(facts.unresolved_reason.empty());
   }
   const std::string deep(5000, '(');
-  CHECK_FALSE(sql::statement_facts("SELECT " + deep, "", Dialect::kMysql).tables_known);
-  CHECK_FALSE(sql::statement_facts("SELECT a FROM " + deep, "", Dialect::kMysql).tables_known);
-  CHECK_FALSE(sql::statement_facts(deep, "", Dialect::kMysql).tables_known);
+  CHECK_FALSE(sql::analyze_statement("SELECT " + deep, "", Dialect::kMysql).tables_resolved);
+  CHECK_FALSE(sql::analyze_statement("SELECT a FROM " + deep, "", Dialect::kMysql).tables_resolved);
+  CHECK_FALSE(sql::analyze_statement(deep, "", Dialect::kMysql).tables_resolved);
   // Of an unknown engine also what only other dialects read otherwise.
   for (const char* statement :
        {"SELECT 'a\\' FROM y_2.t -- '", "SELECT $$ ' $$ FROM y_2.t -- '", "SELECT 1 --1 FROM y_2.t",
         "SELECT 1 # FROM y_2.t", "SELECT a FROM x_1.t WHERE [b]"}) {
     INFO(statement);
-    CHECK_FALSE(sql::statement_facts(statement, "x_1", Dialect::kAny).tables_known);
-    CHECK(sql::statement_facts(statement, "x_1", Dialect::kAny).effect == StatementEffect::kWrites);
+    CHECK_FALSE(sql::analyze_statement(statement, "x_1", Dialect::kAny).tables_resolved);
+    CHECK(sql::analyze_statement(statement, "x_1", Dialect::kAny).effect == StatementEffect::kWrites);
   }
 }
 
 TEST_CASE("token: the key is chosen by its id, and it says which algorithm is taken") {
-  const std::vector<KeyFacts> keys{{"old", Algorithm::kEs256, {}, kNow - 1s, "p1"},
-                                   {"now", Algorithm::kEs256, kNow - 10s, kNow + 10s, "p2"},
-                                   {"rsa", Algorithm::kRs256, {}, {}, "p3"},
-                                   {"next", Algorithm::kEdDsa, kNow + 10s, {}, "p4"}};
+  const std::vector<KeyMetadata> keys{{"old", Algorithm::kEs256, {}, kNow - 1s, "p1"},
+                                      {"now", Algorithm::kEs256, kNow - 10s, kNow + 10s, "p2"},
+                                      {"rsa", Algorithm::kRs256, {}, {}, "p3"},
+                                      {"next", Algorithm::kEdDsa, kNow + 10s, {}, "p4"}};
   const auto choose = [&](TokenHeader header, Duration leeway = 0s) {
-    return choose_key(header, keys, kNow, leeway).denial;
+    return select_key(header, keys, kNow, leeway).denial;
   };
   CHECK(choose({"ES256", "now", "JWT"}) == Denial::kNone);
   CHECK(choose({"RS256", "rsa", ""}) == Denial::kNone);
-  CHECK(choose({"ES256", "rsa", ""}) == Denial::kAlgorithm);
-  CHECK(choose({"none", "now", ""}) == Denial::kAlgorithm);
-  CHECK(choose({"HS256", "rsa", ""}) == Denial::kAlgorithm);
-  CHECK(choose({"es256", "now", ""}) == Denial::kAlgorithm);
+  CHECK(choose({"ES256", "rsa", ""}) == Denial::kAlgorithmNotAccepted);
+  CHECK(choose({"none", "now", ""}) == Denial::kAlgorithmNotAccepted);
+  CHECK(choose({"HS256", "rsa", ""}) == Denial::kAlgorithmNotAccepted);
+  CHECK(choose({"es256", "now", ""}) == Denial::kAlgorithmNotAccepted);
   CHECK(choose({"ES256", "", ""}) == Denial::kUnknownKey);
   CHECK(choose({"ES256", "old", ""}) == Denial::kUnknownKey);
   CHECK(choose({"ES256", "old", ""}, 2s) == Denial::kNone);
   CHECK(choose({"EdDSA", "next", ""}) == Denial::kUnknownKey);
   CHECK(choose({"EdDSA", "next", ""}, 11s) == Denial::kNone);
-  CHECK(choose({"ES256", "now", "", true, false}) == Denial::kCritical);
+  CHECK(choose({"ES256", "now", "", true, false}) == Denial::kCriticalExtension);
   CHECK(choose({"ES256", "now", "", false, true}) == Denial::kUnknownKey);
 }
 
@@ -286,44 +289,45 @@
   const auto judge = [](auto change) {
     TokenClaims one = claims();
     change(one);
-    return judge_claims(one, rules(), {{"j-bad"}, {"s-bad"}}, kNow);
+    return validate_claims(one, rules(), {{"j-bad"}, {"s-bad"}}, kNow);
   };
   CHECK(judge([](auto&) {}) == Denial::kNone);
-  CHECK(judge([](auto& c) { c.issuer = "https://id/"; }) == Denial::kIssuer);
-  CHECK(judge([](auto& c) { c.issuer.clear(); }) == Denial::kIssuer);
-  CHECK(judge([](auto& c) { c.audience = {"other"}; }) == Denial::kAudience);
-  CHECK(judge([](auto& c) { c.audience.clear(); }) == Denial::kAudience);
+  CHECK(judge([](auto& c) { c.issuer = "https://id/"; }) == Denial::kUntrustedIssuer);
+  CHECK(judge([](auto& c) { c.issuer.clear(); }) == Denial::kUntrustedIssuer);
+  CHECK(judge([](auto& c) { c.audience = {"other"}; }) == Denial::kWrongAudience);
+  CHECK(judge([](auto& c) { c.audience.clear(); }) == Denial::kWrongAudience);
   CHECK(judge([](auto& c) { c.expires.reset(); }) == Denial::kNoExpiry);
   CHECK(judge([](auto& c) { c.expires = 1e300; }) == Denial::kNoExpiry);
   CHECK(judge([](auto& c) { c.expires = -1; }) == Denial::kNoExpiry);
   CHECK(judge([&](auto& c) { c.expires = now - 4; }) == Denial::kNone);
   CHECK(judge([&](auto& c) { c.expires = now - 5; }) == Denial::kExpired);
   CHECK(judge([&](auto& c) { c.not_before = now + 4; }) == Denial::kNone);
-  CHECK(judge([&](auto& c) { c.not_before = now + 6; }) == Denial::kNotYet);
-  CHECK(judge([](auto& c) { c.not_before = 1e300; }) == Denial::kNotYet);
-  CHECK(judge([&](auto& c) { c.issued_at = now + 6; }) == Denial::kNotYet);
+  CHECK(judge([&](auto& c) { c.not_before = now + 6; }) == Denial::kNotYetValid);
+  CHECK(judge([](auto& c) { c.not_before = 1e300; }) == Denial::kNotYetValid);
+  CHECK(judge([&](auto& c) { c.issued_at = now + 6; }) == Denial::kNotYetValid);
   CHECK(judge([](auto& c) { c.subject.clear(); }) == Denial::kNoSubject);
   CHECK(judge([](auto& c) { c.id = "j-bad"; }) == Denial::kRevoked);
   CHECK(judge([](auto& c) { c.subject = "s-bad"; }) == Denial::kRevoked);
   TokenRules bounded = rules();
-  bounded.longest_life = 100s;
-  CHECK(judge_claims(claims(), bounded, {}, kNow) == Denial::kNoExpiry);
-  bounded.longest_life = 121s;
-  CHECK(judge_claims(claims(), bounded, {}, kNow) == Denial::kNone);
+  bounded.max_lifetime = 100s;
+  CHECK(validate_claims(claims(), bounded, {}, kNow) == Denial::kNoExpiry);
+  bounded.max_lifetime = 121s;
+  CHECK(validate_claims(claims(), bounded, {}, kNow) == Denial::kNone);
   // A token is good no longer than its key.
-  const auto identity = identity_of(claims(), rules(), {"k", Algorithm::kEs256, {}, kNow + 10s, "p"});
+  const auto identity =
+      identity_from_claims(claims(), rules(), {"k", Algorithm::kEs256, {}, kNow + 10s, "p"});
   CHECK(*identity.not_after == kNow + 15s);
 }
 
 TEST_CASE("token cache: it holds what is good, within its bounds, and forgets what is over") {
   TokenCache cache({3, 1u << 20, 16, 5s}, 42);
   const auto entry = [](Duration life, const std::string& key = "k") {
-    auto one = std::make_shared<Proven>();
+    auto one = std::make_shared<VerifiedCredential>();
     one->claims = claims();
     one->identity = caller("student");
     one->identity.not_after = kNow + life;
     one->key_id = key;
-    one->key_print = "p-" + key;
+    one->key_fingerprint = "p-" + key;
     return one;
   };
   cache.put("a", entry(10s));
@@ -339,12 +343,12 @@
   CHECK(cache.size() == 2);
   cache.put("e", entry(30s, "other"));
   // A key that is gone takes its tokens along, and one that came back changed under its id as well.
-  CHECK(cache.keep_only(
+  CHECK(cache.revalidate(
             {{"k", Algorithm::kEs256, {}, {}, "p-k"}, {"other", Algorithm::kEs256, {}, {}, "changed"}},
             rules(), {}, kNow) == 1);
   CHECK(cache.find("c", kNow));
   CHECK_FALSE(cache.find("e", kNow));
-  CHECK(cache.keep_only({{"k", Algorithm::kEs256, {}, {}, "p-k"}}, rules(), {{"j-1"}, {}}, kNow) == 2);
+  CHECK(cache.revalidate({{"k", Algorithm::kEs256, {}, {}, "p-k"}}, rules(), {{"j-1"}, {}}, kNow) == 2);
   CHECK(cache.size() == 0);
   CHECK(cache.bytes() == 0);
   // Never more bytes than allowed, whatever the tokens' sizes.
@@ -354,40 +358,41 @@
     REQUIRE(small.bytes() <= 10'000);
   }
   CHECK(small.size() > 0);
-  small.put_bad("bad", kNow);
-  CHECK(small.is_bad("bad", kNow + 4s));
-  CHECK_FALSE(small.is_bad("bad", kNow + 5s));
-  CHECK_FALSE(small.is_bad("good", kNow));
-  small.put_bad("bad", kNow);
-  small.keep_only({}, rules(), {}, kNow);
-  CHECK_FALSE(small.is_bad("bad", kNow));
+  small.put_invalid("bad", kNow);
+  CHECK(small.is_known_invalid("bad", kNow + 4s));
+  CHECK_FALSE(small.is_known_invalid("bad", kNow + 5s));
+  CHECK_FALSE(small.is_known_invalid("good", kNow));
+  small.put_invalid("bad", kNow);
+  small.revalidate({}, rules(), {}, kNow);
+  CHECK_FALSE(small.is_known_invalid("bad", kNow));
 }
 
 TEST_CASE("check queue: a flood of bad tokens leaves proven and fresh sources their turn") {
   CheckQueue::Limits limits;
   CheckQueue queue(limits);
   Time now = kNow;
-  CHECK(queue.admit(1, 1, now) == CheckQueue::Admission::kNow);
-  CHECK_FALSE(queue.spent(1, 100us, true, now));
+  CHECK(queue.admit(1, 1, now) == CheckQueue::Admission::kRunNow);
+  CHECK_FALSE(queue.record_check(1, 100us, true, now));
   // 200 sources send a bad token each, far beyond the budget.
   std::uint64_t id = 100;
   for (CheckQueue::SourceId source = 1000; source < 1200; ++source) {
-    if (queue.admit(id, source, now) == CheckQueue::Admission::kNow) queue.spent(source, 500us, false, now);
+    if (queue.admit(id, source, now) == CheckQueue::Admission::kRunNow)
+      queue.record_check(source, 500us, false, now);
     ++id;
   }
-  CHECK(queue.waiting() > 100);
+  CHECK(queue.waiting_count() > 100);
   // One that is proven needs no turn among them.
-  CHECK(queue.admit(2, 1, now) == CheckQueue::Admission::kNow);
-  queue.spent(1, 100us, true, now);
+  CHECK(queue.admit(2, 1, now) == CheckQueue::Admission::kRunNow);
+  queue.record_check(1, 100us, true, now);
   // A flood of one fresh source does not put another behind all of it.
   for (int i = 0; i < 20; ++i) queue.admit(id++, 5000, now);
   queue.admit(7, 6000, now);
   std::vector<CheckQueue::CheckId> order;
-  while (order.size() < 200 && queue.waiting() > 0) {
+  while (order.size() < 200 && queue.waiting_count() > 0) {
     now += 5ms;
-    while (const auto next = queue.next(now)) {
+    while (const auto next = queue.take_next(now)) {
       order.push_back(*next);
-      queue.spent(*next == 7 ? 6000 : 1000 + (*next - 100), 500us, false, now);
+      queue.record_check(*next == 7 ? 6000 : 1000 + (*next - 100), 500us, false, now);
     }
     if (std::find(order.begin(), order.end(), 7u) != order.end()) break;
   }
@@ -405,62 +410,62 @@
   for (int ms = 0; ms < 2000; ++ms, now += 1ms) {
     for (int i = 0; i < 10; ++i, ++id) {
       // 10,000 a second, each from a new source.
-      if (queue.admit(id, id, now) != CheckQueue::Admission::kNow) continue;
-      queue.spent(id, 100us, false, now);
+      if (queue.admit(id, id, now) != CheckQueue::Admission::kRunNow) continue;
+      queue.record_check(id, 100us, false, now);
       spent += 100us;
     }
-    while (const auto next = queue.next(now)) {
-      queue.spent(*next, 100us, false, now);
+    while (const auto next = queue.take_next(now)) {
+      queue.record_check(*next, 100us, false, now);
       spent += 100us;
     }
-    for (const auto late : queue.overdue(now)) (void)late;
-    REQUIRE(queue.waiting() <= limits.most_waiting + 1);
+    for (const auto late : queue.take_overdue(now)) (void)late;
+    REQUIRE(queue.waiting_count() <= limits.max_waiting + 1);
   }
-  CHECK(spent <= 2000ms * limits.share + limits.burst + 100us);
-  CHECK(spent >= 2000ms * limits.share * 0.9);
+  CHECK(spent <= 2000ms * limits.cpu_share + limits.burst + 100us);
+  CHECK(spent >= 2000ms * limits.cpu_share * 0.9);
 }
 
 TEST_CASE("check queue: who waits too long is told, who is gone is forgotten, bad sources are closed") {
   CheckQueue queue(CheckQueue::Limits{});
-  CHECK(queue.admit(1, 1, kNow) == CheckQueue::Admission::kNow);
-  queue.spent(1, 10s, false, kNow);  // deep in debt
+  CHECK(queue.admit(1, 1, kNow) == CheckQueue::Admission::kRunNow);
+  queue.record_check(1, 10s, false, kNow);  // deep in debt
   CHECK(queue.admit(2, 2, kNow) == CheckQueue::Admission::kWait);
   CHECK(queue.admit(3, 3, kNow + 500ms) == CheckQueue::Admission::kWait);
-  CHECK(*queue.wake_at(kNow) == kNow + 1s);
-  CHECK(queue.overdue(kNow + 999ms).empty());
-  CHECK(queue.overdue(kNow + 1s) == std::vector<CheckQueue::CheckId>{2});
-  queue.forget(3);
-  CHECK(queue.waiting() == 0);
-  CHECK_FALSE(queue.wake_at(kNow));
-  CHECK_FALSE(queue.next(kNow + 200s));
-  CHECK_FALSE(queue.spent(9, 1us, false, kNow));
-  CHECK_FALSE(queue.spent(9, 1us, false, kNow));
-  CHECK(queue.spent(9, 1us, false, kNow));
-  CHECK_FALSE(queue.spent(9, 1us, true, kNow));
-  queue.spent(1, 10s, false, kNow + 200s);  // in debt again, and longer than these wait
-  queue.spent(9, 10s, true, kNow + 200s);
+  CHECK(*queue.next_wake_time(kNow) == kNow + 1s);
+  CHECK(queue.take_overdue(kNow + 999ms).empty());
+  CHECK(queue.take_overdue(kNow + 1s) == std::vector<CheckQueue::CheckId>{2});
+  queue.remove_source(3);
+  CHECK(queue.waiting_count() == 0);
+  CHECK_FALSE(queue.next_wake_time(kNow));
+  CHECK_FALSE(queue.take_next(kNow + 200s));
+  CHECK_FALSE(queue.record_check(9, 1us, false, kNow));
+  CHECK_FALSE(queue.record_check(9, 1us, false, kNow));
+  CHECK(queue.record_check(9, 1us, false, kNow));
+  CHECK_FALSE(queue.record_check(9, 1us, true, kNow));
+  queue.record_check(1, 10s, false, kNow + 200s);  // in debt again, and longer than these wait
+  queue.record_check(9, 10s, true, kNow + 200s);
   for (std::uint64_t id = 10; id < 42; ++id) CHECK(queue.admit(id, 7, kNow) == CheckQueue::Admission::kWait);
-  CHECK(queue.admit(50, 7, kNow) == CheckQueue::Admission::kRefused);
-  CHECK(queue.advice() >= 50ms);
-  queue.withdraw(10);
+  CHECK(queue.admit(50, 7, kNow) == CheckQueue::Admission::kRejected);
+  CHECK(queue.retry_after() >= 50ms);
+  queue.cancel(10);
   CHECK(queue.admit(50, 7, kNow) == CheckQueue::Admission::kWait);
 }
 
 TEST_CASE("revocation: a list that is missing or too old fails closed, after its grace") {
   const CrlTimes crl{kNow - 60s, kNow};
-  const auto judge = [&](Time now) { return judge_crl(crl, now, 30s, 5s); };
-  CHECK(judge(kNow - 1s) == CrlStanding::kFresh);
-  CHECK(judge(kNow) == CrlStanding::kInGrace);
-  CHECK(judge(kNow + 29s) == CrlStanding::kInGrace);
-  CHECK(judge(kNow + 30s) == CrlStanding::kTooOld);
-  CHECK(judge(kNow - 66s) == CrlStanding::kFromFuture);
-  CHECK(judge(kNow - 65s) == CrlStanding::kFresh);
-  CHECK(judge_crl(std::nullopt, kNow, 30s, 5s) == CrlStanding::kMissing);
-  CHECK(judge_crl(CrlTimes{kNow - 60s, {}}, kNow + 1000h, 30s, 5s) == CrlStanding::kFresh);
-  CHECK(fails_closed(CrlStanding::kTooOld));
-  CHECK(fails_closed(CrlStanding::kMissing));
-  CHECK(fails_closed(CrlStanding::kFromFuture));
-  CHECK_FALSE(fails_closed(CrlStanding::kInGrace));
+  const auto judge = [&](Time now) { return revocation_status(crl, now, 30s, 5s); };
+  CHECK(judge(kNow - 1s) == RevocationStatus::kFresh);
+  CHECK(judge(kNow) == RevocationStatus::kInGracePeriod);
+  CHECK(judge(kNow + 29s) == RevocationStatus::kInGracePeriod);
+  CHECK(judge(kNow + 30s) == RevocationStatus::kExpired);
+  CHECK(judge(kNow - 66s) == RevocationStatus::kNotYetValid);
+  CHECK(judge(kNow - 65s) == RevocationStatus::kFresh);
+  CHECK(revocation_status(std::nullopt, kNow, 30s, 5s) == RevocationStatus::kMissing);
+  CHECK(revocation_status(CrlTimes{kNow - 60s, {}}, kNow + 1000h, 30s, 5s) == RevocationStatus::kFresh);
+  CHECK(fails_closed(RevocationStatus::kExpired));
+  CHECK(fails_closed(RevocationStatus::kMissing));
+  CHECK(fails_closed(RevocationStatus::kNotYetValid));
+  CHECK_FALSE(fails_closed(RevocationStatus::kInGracePeriod));
   CHECK(may_replace(crl, {kNow - 60s, {}}));
   CHECK_FALSE(may_replace(crl, {kNow - 61s, {}}));
   CHECK(may_replace(std::nullopt, {kNow, {}}));
--- a/tests/dispatch/agent.cpp
+++ b/tests/dispatch/agent.cpp
@@ -48,7 +48,7 @@
       ::execl(ROOKPROXY_AGENT, "rookproxy-agent", "--file", (folder_ + "/agent.toml").c_str(), nullptr);
       ::_exit(99);
     }
-    const auto until = std::chrono::steady_clock::now() + test::kPatience;
+    const auto until = std::chrono::steady_clock::now() + test::kWaitLimit;
     while (ctl("status").code == 3 && std::chrono::steady_clock::now() < until) ::usleep(10'000);
   }
   ~Agent() {
@@ -66,7 +66,7 @@
     return nlohmann::json::parse(ctl("--json status " + name).out)["instances"][0];
   }
   bool until(const std::string& name, const std::string& key, const nlohmann::json& least) const {
-    const auto end = std::chrono::steady_clock::now() + test::kPatience;
+    const auto end = std::chrono::steady_clock::now() + test::kWaitLimit;
     while (std::chrono::steady_clock::now() < end) {
       const auto value = status(name)[key];
       if (value == least || (value.is_number() && value >= least)) return true;
@@ -113,7 +113,7 @@
 
 TEST_CASE("agent: shows figures, and upgrades with a successor or not at all") {
   // Guards against an upgrade that takes the running process away for one that never becomes ready.
-  const std::string folder = test::new_folder(), file = folder + "/dispatcher.toml";
+  const std::string folder = test::make_temporary_directory(), file = folder + "/dispatcher.toml";
   const auto write = [&](const std::string& listen) {
     std::ofstream(file)
         << "name = \"n1\"\nlisten = \"" << listen << "\"\nshared_folder = \"" << folder
@@ -128,7 +128,7 @@
   const std::string command = std::string("\"") + ROOKPROXY_BINARY + "\", \"--file\", \"" + file + "\"";
   Agent agent(instance("n1", command) + "listen = [\"" + net + ".1:0\"]\nops = [\"" + net + ".1:3399\", \"" +
               net + ".2:3399\"]\n" + instance("plain", R"("sleep", "1000")"));
-  const auto end = std::chrono::steady_clock::now() + test::kPatience;
+  const auto end = std::chrono::steady_clock::now() + test::kWaitLimit;
   while (agent.ctl("figures n1").code != 0 && std::chrono::steady_clock::now() < end) ::usleep(10'000);
   CHECK(agent.ctl("figures n1").out.find("n1 svc.passed.lookup=0\n") != std::string::npos);
   CHECK(agent.ctl("figures").code == 5);  // nobody knows where 'plain' would answer
@@ -186,9 +186,9 @@
   CHECK(agent.status("n1")["state"] == "running");  // one wrong name: none is acted on
   for (const std::string bad :
        {"", "{", "[1]", "{\"do\":7}", "{\"do\":\"status\",\"names\":3}", "\xff\xfe"}) {
-    test::Peer peer(connect_unix(agent.socket()));
+    test::TestConnection peer(connect_unix(agent.socket()));
     peer.send(bad + "\n");
-    REQUIRE(peer.has(1));
+    REQUIRE(peer.wait_for_bytes(1));
     CHECK(peer.buffer().find("\"ok\":false") != std::string::npos);
   }
   const Run second = run(std::string(ROOKPROXY_AGENT) + " --file " + agent.folder() + "/agent.toml");
--- a/tests/dispatch/closes.cpp
+++ b/tests/dispatch/closes.cpp
@@ -32,11 +32,11 @@
 namespace {
 
 // A loop in its own thread. It waits for nothing but what the test makes happen.
-class Host final : private Watcher {
+class Host final : private EventHandler {
  public:
   Host() : wake_(::eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
     loop.watch(wake_.get(), *this);
-    loop.each_turn([this] {
+    loop.on_iteration_end([this] {
       ++turns;
       if (each_turn) each_turn();
     });
@@ -65,7 +65,7 @@
     });
     thread_.join();
   }
-  bool until(const std::function<bool()>& holds, std::chrono::milliseconds within = kPatience) {
+  bool until(const std::function<bool()>& holds, std::chrono::milliseconds within = kWaitLimit) {
     const auto end = std::chrono::steady_clock::now() + within;
     while (std::chrono::steady_clock::now() < end) {
       if (run(holds)) return true;
@@ -74,7 +74,7 @@
     return false;
   }
 
-  Loop loop;
+  EventLoop loop;
   std::function<void()> each_turn;
   std::atomic<int> turns{0};
 
@@ -94,13 +94,13 @@
       task();
     }
   }
-  Fd wake_;
+  FileDescriptor wake_;
   std::mutex mutex_;
   std::deque<std::function<void()>> tasks_;
   std::thread thread_;
 };
 
-struct Heard final : StreamUser {
+struct Heard final : StreamHandler {
   std::string got;
   std::vector<std::string> ends;
   std::size_t on_bytes(std::string_view bytes) override {
@@ -115,10 +115,10 @@
   std::string bytes;
   int fault = 0;
 };
-Rest read_to_end(const Fd& fd) {
+Rest read_to_end(const FileDescriptor& fd) {
   Rest rest;
   char bytes[64 * 1024];
-  while (readable(fd, kPatience)) {
+  while (wait_until_readable(fd, kWaitLimit)) {
     const ssize_t got = ::recv(fd.get(), bytes, sizeof bytes, 0);
     if (got == 0) return rest;
     if (got < 0) {
@@ -134,14 +134,14 @@
 // One stream of ours and the peer at its other end.
 struct Pair {
   Host host;
-  Fd listener = listen_anywhere();
-  Peer peer = Peer::connect(local_port(listener));
+  FileDescriptor listener = listen_on_free_port();
+  TestConnection peer = TestConnection::connect(local_port(listener));
   Heard heard;
   std::unique_ptr<Stream> stream;
   Pair() {
-    REQUIRE(readable(listener, kPatience));
+    REQUIRE(wait_until_readable(listener, kWaitLimit));
     host.run([this] {
-      stream = std::make_unique<Stream>(host.loop, accept_from(listener), heard, false, 1 << 20);
+      stream = std::make_unique<Stream>(host.loop, accept_connection(listener), heard, false, 1 << 20);
     });
   }
   ~Pair() {
@@ -155,12 +155,12 @@
   // Guards against a close that resets the connection and takes with it what was just written.
   Pair pair;
   const std::string answer(16u << 20, 'a');  // more than kernels hold, so that some is queued
-  pair.host.run([&] { pair.stream->hold_reading(true); });
+  pair.host.run([&] { pair.stream->set_read_paused(true); });
   pair.peer.send(std::string(100'000, 'q'));
   pair.host.run([&] {
     pair.stream->write(answer);
-    CHECK(pair.stream->queued() > 0);
-    pair.stream->end_in_order(kPatience);
+    CHECK(pair.stream->queued_bytes() > 0);
+    pair.stream->close_gracefully(kWaitLimit);
     pair.stream->write("too late");
   });
   pair.peer.send("behind the end");
@@ -180,7 +180,7 @@
   pair.host.run([&] {
     pair.stream->write(answer);
     ::shutdown(pair.peer.fd().get(), SHUT_WR);
-    pair.stream->end_in_order(kPatience);
+    pair.stream->close_gracefully(kWaitLimit);
   });
   const Rest rest = read_to_end(pair.peer.fd());
   CHECK(rest.fault == 0);
@@ -198,8 +198,8 @@
     const int turns = pair.host.turns;
     std::promise<void> over;
     pair.host.run([&] {
-      pair.stream->end_in_order(200ms);
-      pair.host.loop.at(pair.host.loop.now() + 300ms, [&] { over.set_value(); });
+      pair.stream->close_gracefully(200ms);
+      pair.host.loop.run_at(pair.host.loop.now() + 300ms, [&] { over.set_value(); });
     });
     over.get_future().get();
     CHECK(std::chrono::steady_clock::now() - begun >= 200ms);
@@ -213,25 +213,25 @@
 namespace {
 
 // A front with its core, and links that only write down what they are told.
-struct FrontBench final : EngineLinks {
-  explicit FrontBench(FramesFront::Limits limits = {})
-      : log(text, Level::kDebug, "h", "a"),
+struct FrontBench final : EngineTransport {
+  explicit FrontBench(FramesFrontend::Limits limits = {})
+      : log(text, LogLevel::kDebug, "h", "a"),
         core(host.loop, log, figures, read_config(read_json()).settings, {"z"}, {}) {
     host.run([&] {
-      core.use(*this);
-      host.each_turn = [this] { core.settle(); };
-      core.learn_members(
+      core.set_transport(*this);
+      host.each_turn = [this] { core.process_events(); };
+      core.update_endpoints(
           {{"a", {0x7f000001, 1}, lemonshift::EngineState::kServing, "z", "m", 0, 1, std::nullopt}}, false);
-      core.settle();
-      frames = std::make_unique<FramesFront>(host.loop, log, core, listen_anywhere(), limits);
-      frames->accept_clients(true);
+      core.process_events();
+      frames = std::make_unique<FramesFrontend>(host.loop, log, core, listen_on_free_port(), limits);
+      frames->set_accepting(true);
       MysqlFrontConfig config;
       config.users = {{"school", "secret"}};
       config.read_class = "lookup";
       config.load_class = "load";
-      config.read_deadline = config.load_deadline = kPatience;
-      mysql = std::make_unique<MysqlFront>(host.loop, log, core, listen_anywhere(), config, 1);
-      mysql->accept_clients(true);
+      config.read_timeout = config.load_timeout = kWaitLimit;
+      mysql = std::make_unique<MysqlFrontend>(host.loop, log, core, listen_on_free_port(), config, 1);
+      mysql->set_accepting(true);
     });
   }
   ~FrontBench() {
@@ -242,33 +242,33 @@
     });
   }
   static nlohmann::json read_json() {
-    nlohmann::json document = base_config();
+    nlohmann::json document = default_dispatcher_config();
     document["nameserver"] = "127.0.0.1:1";  // never asked
     document["settings"]["permissions"]["second_copies"] = false;
     return document;
   }
 
-  Peer client() { return Peer::connect(frames->port()); }
-  Peer mysql_client() {
-    Peer peer = Peer::connect(mysql->port());
-    const auto greeting = take_mysql(peer);
+  TestConnection client() { return TestConnection::connect(frames->port()); }
+  TestConnection mysql_client() {
+    TestConnection peer = TestConnection::connect(mysql->port());
+    const auto greeting = read_mysql_message(peer);
     REQUIRE(greeting);
-    const auto read = mysql::read_greeting(greeting->payload);
+    const auto read = mysql::parse_greeting(greeting->payload);
     mysql::Login login;
     login.capabilities = mysql::kCapabilities & ~mysql::kConnectAttrs & ~mysql::kConnectWithDb;
     login.user = "school";
     login.plugin = read.plugin;
-    login.proof = *mysql::proof_for(read.plugin, "secret", read.nonce);
+    login.auth_response = *mysql::make_auth_response(read.plugin, "secret", read.nonce);
     std::uint8_t sequence = 1;
-    peer.send(mysql::packets(mysql::login_payload(login), sequence));
-    auto answer = take_mysql(peer);
-    if (answer && answer->payload == "\x01\x03") answer = take_mysql(peer);
+    peer.send(mysql::split_into_packets(mysql::login_payload(login), sequence));
+    auto answer = read_mysql_message(peer);
+    if (answer && answer->payload == "\x01\x03") answer = read_mysql_message(peer);
     REQUIRE((answer && answer->payload.starts_with('\0')));
     return peer;
   }
   static std::string query(const std::string& text) {
     std::uint8_t sequence = 0;
-    return mysql::packets("\x03" + text, sequence);
+    return mysql::split_into_packets("\x03" + text, sequence);
   }
   std::string request(std::uint32_t stream, const std::string& statement = "SELECT 1") {
     char call[17];
@@ -278,35 +278,35 @@
          {std::pair<std::string, std::string>{"op", "lookup"}, {"ttl", "3000"}, {"call", call}}) {
       payload += static_cast<char>(name.size()) + name + '\0' + static_cast<char>(value.size()) + value;
     }
-    return frames::make_frame(frames::kRequest, stream, payload + statement);
+    return frames::encode_frame(frames::kRequest, stream, payload + statement);
   }
   bool sent(std::size_t count) {
     return host.until([&] { return orders.size() >= count; });
   }
   void serve(std::size_t order, const std::string& body) {
-    host.run([&] { core.attempt_ended(orders.at(order).key, {Outcome::kServed, std::nullopt, body}); });
+    host.run([&] { core.on_attempt_ended(orders.at(order).key, {Outcome::kServed, std::nullopt, body}); });
   }
 
-  void send(const Order& order) override { orders.push_back(order); }
-  bool take_back(AttemptKey) override { return false; }  // whatever is sent here has begun
-  bool withdraw(AttemptKey key) override {
+  void send(const AttemptRequest& order) override { orders.push_back(order); }
+  bool cancel_if_unsent(AttemptKey) override { return false; }  // whatever is sent here has begun
+  bool cancel(AttemptKey key) override {
     withdrawn.push_back(key);
     return true;
   }
-  void set_rank(AttemptKey, int) override {}
+  void set_priority(AttemptKey, int) override {}
   void probe(EngineId) override {}
-  void engine_at(EngineId, const Endpoint&) override {}
-  void engine_closed(EngineId) override {}
+  void set_engine_address(EngineId, const SocketAddress&) override {}
+  void stop_new_attempts(EngineId) override {}
 
   std::ostringstream text;
   Host host;
-  Log log;
-  Figures figures;
+  Logger log;
+  Metrics figures;
   Dispatcher core;
-  std::unique_ptr<FramesFront> frames;
-  std::unique_ptr<MysqlFront> mysql;
+  std::unique_ptr<FramesFrontend> frames;
+  std::unique_ptr<MysqlFrontend> mysql;
   unsigned calls = 0;
-  std::vector<Order> orders;
+  std::vector<AttemptRequest> orders;
   std::vector<AttemptKey> withdrawn;
 };
 
@@ -315,8 +315,8 @@
   std::map<std::uint32_t, int> codes;
   frames::Frame frame;
   std::size_t used = 0;
-  while (frames::parse_frame(bytes, frame, used) == frames::Parse::kOne) {
-    if (frame.type == frames::kAnswer) codes[frame.stream] = frame.payload[0];
+  while (frames::parse_frame(bytes, frame, used) == frames::ParseStatus::kComplete) {
+    if (frame.type == frames::kResponse) codes[frame.stream_id] = frame.payload[0];
     bytes.remove_prefix(used);
   }
   CHECK(bytes.empty());
@@ -327,15 +327,15 @@
 
 TEST_CASE("frames: all connections end in order, each once what is open has its answer") {
   FrontBench bench;
-  Peer busy = bench.client(), idle = bench.client(), silent = bench.client();
+  TestConnection busy = bench.client(), idle = bench.client(), silent = bench.client();
   busy.send(bench.request(1));
   REQUIRE(bench.sent(1));
   idle.send(bench.request(1));
   REQUIRE(bench.sent(2));
   bench.serve(1, "one");
-  REQUIRE(idle.has(1));
-  REQUIRE(bench.host.until([&] { return bench.core.open_requests() == 1; }));
-  bench.host.run([&] { bench.frames->end_all(kPatience); });
+  REQUIRE(idle.wait_for_bytes(1));
+  REQUIRE(bench.host.until([&] { return bench.core.open_request_count() == 1; }));
+  bench.host.run([&] { bench.frames->close_all_gracefully(kWaitLimit); });
   // Behind our end nothing is sent on, and it resets nothing.
   idle.send(bench.request(2));
   const Rest rest = read_to_end(idle.fd());
@@ -344,12 +344,12 @@
   CHECK(read_to_end(silent.fd()).fault == 0);
   // What comes while an answer is owed is refused, and the answer comes.
   busy.send(bench.request(2));
-  REQUIRE(busy.has(1));
+  REQUIRE(busy.wait_for_bytes(1));
   bench.serve(0, "late");
   const Rest last = read_to_end(busy.fd());
   CHECK(last.fault == 0);
   CHECK(codes_of(busy.buffer() + last.bytes) ==
-        std::map<std::uint32_t, int>{{1, frames::kServed}, {2, frames::kRefused}});
+        std::map<std::uint32_t, int>{{1, frames::kServed}, {2, frames::kRejected}});
   CHECK(bench.host.run([&] { return bench.frames->has_connections(); }));
   idle.close(), silent.close(), busy.close();
   CHECK(bench.host.until([&] { return !bench.frames->has_connections(); }));
@@ -359,14 +359,14 @@
 TEST_CASE("frames: a request that lies unread when all connections end is served") {
   // Guards against an end before the last look: its client wrote to a connection that was open.
   FrontBench bench;
-  Peer client = bench.client();
+  TestConnection client = bench.client();
   client.send(bench.request(1));
   REQUIRE(bench.sent(1));
   bench.serve(0, "one");
-  REQUIRE(client.has(1));
+  REQUIRE(client.wait_for_bytes(1));
   bench.host.run([&] {
     client.send(bench.request(2));  // in the kernel before the loop's next turn
-    bench.frames->end_all(kPatience);
+    bench.frames->close_all_gracefully(kWaitLimit);
   });
   REQUIRE(bench.sent(2));
   bench.serve(1, "two");
@@ -378,10 +378,10 @@
 
 TEST_CASE("frames: who never ends its side is closed at the bound") {
   FrontBench bench;
-  Peer client = bench.client();
+  TestConnection client = bench.client();
   client.send(bench.request(1));
   REQUIRE(bench.sent(1));
-  bench.host.run([&] { bench.frames->end_all(50ms); });
+  bench.host.run([&] { bench.frames->close_all_gracefully(50ms); });
   bench.serve(0, "one");
   CHECK(bench.host.until([&] { return !bench.frames->has_connections(); }));
   CHECK(read_to_end(client.fd()).fault == 0);
@@ -389,17 +389,18 @@
 
 TEST_CASE("mysql: all connections end in order, each once its command has its answer") {
   FrontBench bench;
-  Peer busy = bench.mysql_client(), idle = bench.mysql_client(), silent = Peer::connect(bench.mysql->port());
-  REQUIRE(take_mysql(silent));
+  TestConnection busy = bench.mysql_client(), idle = bench.mysql_client(),
+                 silent = TestConnection::connect(bench.mysql->port());
+  REQUIRE(read_mysql_message(silent));
   busy.send(FrontBench::query("SELECT 1"));
   REQUIRE(bench.sent(1));
-  bench.host.run([&] { bench.mysql->end_all(kPatience); });
+  bench.host.run([&] { bench.mysql->close_all_gracefully(kWaitLimit); });
   idle.send(FrontBench::query("SELECT 2"));
   busy.send(FrontBench::query("SELECT 3"));
   CHECK(read_to_end(idle.fd()).fault == 0);
   CHECK(read_to_end(silent.fd()).fault == 0);
   std::uint8_t sequence = 1;
-  const std::string answer = mysql::packets(mysql::ok_payload(0, 0, mysql::kAutocommit), sequence);
+  const std::string answer = mysql::split_into_packets(mysql::ok_payload(0, 0, mysql::kAutocommit), sequence);
   bench.serve(0, answer);
   const Rest rest = read_to_end(busy.fd());
   CHECK(rest.fault == 0);
@@ -415,15 +416,15 @@
 // The steps of a request's life at which its client may go, each brought about by the test.
 struct Going {
   const char* how;
-  std::function<void(FrontBench&, Peer&)> go;
+  std::function<void(FrontBench&, TestConnection&)> go;
 };
 // The ways to go while the front reads nothing: the end must be seen all the same, and at once.
 const std::vector<Going>& ways_to_go() {
   static const std::vector<Going> ways{
-      {"ends its side", [](FrontBench&, Peer& peer) { ::shutdown(peer.fd().get(), SHUT_WR); }},
-      {"closes", [](FrontBench&, Peer& peer) { peer.close(); }},
+      {"ends its side", [](FrontBench&, TestConnection& peer) { ::shutdown(peer.fd().get(), SHUT_WR); }},
+      {"closes", [](FrontBench&, TestConnection& peer) { peer.close(); }},
       {"resets",
-       [](FrontBench&, Peer& peer) {
+       [](FrontBench&, TestConnection& peer) {
          const linger none{1, 0};
          ::setsockopt(peer.fd().get(), SOL_SOCKET, SO_LINGER, &none, sizeof none);
          peer.close();
@@ -438,10 +439,10 @@
   // Guards against attempts for nobody: the end lay unseen while the client's answers were not taken.
   for (const auto& [how, go] : ways_to_go()) {
     INFO(how);
-    FramesFront::Limits limits;
-    limits.most_queued = 64 * 1024;
+    FramesFrontend::Limits limits;
+    limits.max_unread_bytes_per_connection = 64 * 1024;
     FrontBench bench(limits);
-    Peer client = bench.client();
+    TestConnection client = bench.client();
     // Answers until the kernel takes no more, so that reading is held; then one more is open.
     std::uint32_t stream = 0;
     client.send(bench.request(++stream));
@@ -452,17 +453,17 @@
       client.send(bench.request(++stream));
       REQUIRE(bench.sent(stream));
       bench.serve(stream - 2, body);
-      REQUIRE(bench.host.until([&] { return bench.core.open_requests() == 1; }));
+      REQUIRE(bench.host.until([&] { return bench.core.open_request_count() == 1; }));
     }
     std::uint32_t last = stream;
     for (int more = 0; more < 3; ++more) client.send(bench.request(++stream));
     REQUIRE(bench.sent(stream));
     for (; last < stream; ++last) bench.serve(last - 1, body);
-    REQUIRE(bench.host.until([&] { return bench.core.open_requests() == 1; }));
+    REQUIRE(bench.host.until([&] { return bench.core.open_request_count() == 1; }));
     client.send(bench.request(++stream));  // lies unread, and must stay so
     go(bench, client);
     // Well before its deadline, which is 3 s off.
-    CHECK(bench.host.until([&] { return bench.core.open_requests() == 0; }, 1500ms));
+    CHECK(bench.host.until([&] { return bench.core.open_request_count() == 0; }, 1500ms));
     CHECK(bench.host.run([&] { return bench.withdrawn.size(); }) == 1);
     CHECK(bench.host.run([&] { return bench.orders.size(); }) == stream - 1);
   }
@@ -472,12 +473,12 @@
   for (const auto& [how, go] : ways_to_go()) {
     INFO(how);
     FrontBench bench;
-    Peer client = bench.mysql_client();
+    TestConnection client = bench.mysql_client();
     client.send(FrontBench::query("SELECT 1"));
     REQUIRE(bench.sent(1));
     client.send(FrontBench::query("SELECT 2") + FrontBench::query(std::string(50'000, 'x')));
     go(bench, client);
-    CHECK(bench.host.until([&] { return bench.core.open_requests() == 0; }));
+    CHECK(bench.host.until([&] { return bench.core.open_request_count() == 0; }));
     CHECK(bench.host.run([&] { return bench.withdrawn.size(); }) == 1);
     CHECK(bench.host.run([&] { return bench.orders.size(); }) == 1);
   }
@@ -485,7 +486,7 @@
 
 TEST_CASE("fronts: what came in one piece with its client's end is not sent on") {
   FrontBench bench;
-  Peer of_frames = bench.client(), of_mysql = bench.mysql_client();
+  TestConnection of_frames = bench.client(), of_mysql = bench.mysql_client();
   REQUIRE(bench.host.until([&] { return bench.frames->has_connections(); }));
   bench.host.run([&] {
     of_frames.send(bench.request(1) + bench.request(2));
@@ -496,20 +497,20 @@
   CHECK(
       bench.host.until([&] { return !bench.frames->has_connections() && !bench.mysql->has_connections(); }));
   CHECK(bench.orders.empty());
-  CHECK(bench.core.open_requests() == 0);
+  CHECK(bench.core.open_request_count() == 0);
 }
 
 TEST_CASE("frames: an abandoned stream is called off on a broken connection, too") {
   // Guards against attempts for somebody who has gone, for as long as another stream keeps the connection.
   FrontBench bench;
-  Peer client = bench.client();
+  TestConnection client = bench.client();
   client.send(bench.request(1) + bench.request(2));
   REQUIRE(bench.sent(2));
-  client.send(frames::make_frame(77, 3, "") + frames::make_frame(frames::kAbandon, 2, ""));
-  CHECK(bench.host.until([&] { return bench.core.open_requests() == 1; }));
+  client.send(frames::encode_frame(77, 3, "") + frames::encode_frame(frames::kCancel, 2, ""));
+  CHECK(bench.host.until([&] { return bench.core.open_request_count() == 1; }));
   CHECK(bench.host.run([&] { return bench.withdrawn.size(); }) == 1);
   CHECK(bench.host.run([&] { return bench.withdrawn.at(0) == bench.orders.at(1).key; }));
-  client.send(frames::make_frame(frames::kAbandon, 1, ""));
+  client.send(frames::encode_frame(frames::kCancel, 1, ""));
   const Rest rest = read_to_end(client.fd());
   CHECK(rest.fault == 0);
   CHECK(codes_of(rest.bytes) == std::map<std::uint32_t, int>{{0, frames::kFailed}});
@@ -517,29 +518,29 @@
 
 TEST_CASE("frames: the end of a client is noticed where its frames can't be told apart") {
   FrontBench bench;
-  Peer client = bench.client();
+  TestConnection client = bench.client();
   client.send(bench.request(1));
   REQUIRE(bench.sent(1));
   client.send(std::string(4, '\xff') + std::string(100'000, 'x'));
-  REQUIRE(client.has(1));
+  REQUIRE(client.wait_for_bytes(1));
   client.close();
-  CHECK(bench.host.until([&] { return bench.core.open_requests() == 0; }));
+  CHECK(bench.host.until([&] { return bench.core.open_request_count() == 0; }));
   CHECK(bench.host.run([&] { return bench.withdrawn.size(); }) == 1);
 }
 
 TEST_CASE("frames: an idle connection ends in order, and not over a request that lies unread") {
-  FramesFront::Limits limits;
-  limits.idle = 100ms;
+  FramesFrontend::Limits limits;
+  limits.idle_timeout = 100ms;
   FrontBench bench(limits);
-  Peer client = bench.client();
+  TestConnection client = bench.client();
   client.send(bench.request(1));
   REQUIRE(bench.sent(1));
   bench.serve(0, "one");
-  REQUIRE(client.has(1));
+  REQUIRE(client.wait_for_bytes(1));
   // The loop stands still over the time at which the connection is idle, and the request comes meanwhile.
   bench.host.run([&] {
     std::this_thread::sleep_for(150ms);
-    bench.host.loop.at(bench.host.loop.now() + 1ms, [&] { client.send(bench.request(2)); });
+    bench.host.loop.run_at(bench.host.loop.now() + 1ms, [&] { client.send(bench.request(2)); });
   });
   REQUIRE(bench.sent(2));
   bench.serve(1, "two");
@@ -554,56 +555,56 @@
 
 TEST_CASE("frames: who gives way to others is served first, and ends in order") {
   // Guards against a reset over an answer just written, and against more connections than there may be.
-  FramesFront::Limits limits;
-  limits.most_connections = 8;
+  FramesFrontend::Limits limits;
+  limits.max_connections = 8;
   FrontBench bench(limits);
-  std::vector<Peer> clients;
+  std::vector<TestConnection> clients;
   for (int i = 0; i < 7; ++i) {
     clients.push_back(bench.client());
     clients.back().send(bench.request(1));
     REQUIRE(bench.sent(clients.size()));
     bench.serve(clients.size() - 1, "one");
-    REQUIRE(clients.back().has(1));
+    REQUIRE(clients.back().wait_for_bytes(1));
   }
   std::this_thread::sleep_for(30ms);  // nobody is pushed out before what came with it could be read
-  std::vector<Peer> late;
+  std::vector<TestConnection> late;
   bench.host.run([&] {
     for (int i = 0; i < 2; ++i) late.push_back(bench.client());
     clients[0].send(bench.request(2));  // comes in the turn in which others come
   });
   REQUIRE(bench.sent(8));
   bench.serve(7, "two");
-  for (Peer& one : late) one.send(bench.request(1));
+  for (TestConnection& one : late) one.send(bench.request(1));
   REQUIRE(bench.sent(10));
-  REQUIRE(clients[0].more());
+  REQUIRE(clients[0].read_more());
   const Rest first = read_to_end(clients[1].fd());
   CHECK(first.fault == 0);
   CHECK(codes_of(clients[1].buffer() + first.bytes) == std::map<std::uint32_t, int>{{1, frames::kServed}});
   bench.serve(8, "late"), bench.serve(9, "late");
-  for (Peer& one : late) CHECK(one.has(1));
+  for (TestConnection& one : late) CHECK(one.wait_for_bytes(1));
 }
 
 TEST_CASE("mysql: an idle connection ends in order, and so does one that says goodbye") {
   FrontBench bench;
-  Peer client = bench.mysql_client();
+  TestConnection client = bench.mysql_client();
   client.send(FrontBench::query("SELECT 1"));
   REQUIRE(bench.sent(1));
   std::uint8_t sequence = 1;
-  const std::string answer = mysql::packets(mysql::ok_payload(0, 0, mysql::kAutocommit), sequence);
+  const std::string answer = mysql::split_into_packets(mysql::ok_payload(0, 0, mysql::kAutocommit), sequence);
   bench.serve(0, answer);
   sequence = 0;
-  client.send(mysql::packets("\x01", sequence) + std::string(100'000, 'x'));
+  client.send(mysql::split_into_packets("\x01", sequence) + std::string(100'000, 'x'));
   const Rest rest = read_to_end(client.fd());
   CHECK(rest.fault == 0);
   CHECK(rest.bytes == answer);
 }
 
 TEST_CASE("net: small writes leave at once on every TCP socket") {
-  const Fd listener = listen_anywhere();
-  const Fd dialled = connect_tcp({0x7f000001, local_port(listener)});
-  REQUIRE(readable(listener, kPatience));
-  const Fd accepted = accept_from(listener);
-  for (const Fd* fd : {&dialled, &accepted}) {
+  const FileDescriptor listener = listen_on_free_port();
+  const FileDescriptor dialled = connect_tcp({0x7f000001, local_port(listener)});
+  REQUIRE(wait_until_readable(listener, kWaitLimit));
+  const FileDescriptor accepted = accept_connection(listener);
+  for (const FileDescriptor* fd : {&dialled, &accepted}) {
     int on = 0;
     socklen_t size = sizeof on;
     REQUIRE(::getsockopt(fd->get(), IPPROTO_TCP, TCP_NODELAY, &on, &size) == 0);
@@ -627,58 +628,58 @@
 TEST_CASE("frames: a flood behind a broken frame is bounded while it comes, and gone with its clients") {
   // Guards against a buffer for each such connection: they stay as long as something is open on them. Of
   // large frames that have begun there are most_unfinished bytes, in good connections and broken ones.
-  FramesFront::Limits limits;
-  limits.most_unfinished = 1u << 20;
+  FramesFrontend::Limits limits;
+  limits.max_partial_frame_bytes = 1u << 20;
   FrontBench bench(limits);
-  std::vector<Peer> crowd;
-  const std::string large = frames::make_frame(frames::kRequest, 9, std::string(260'000, 'x'));
+  std::vector<TestConnection> crowd;
+  const std::string large = frames::encode_frame(frames::kRequest, 9, std::string(260'000, 'x'));
   const std::size_t before = held_bytes();
   for (std::uint32_t i = 0; i < 30; ++i) {
     crowd.push_back(bench.client());
-    crowd.back().send(bench.request(1) + frames::make_frame(77, 3, ""));
-    REQUIRE(crowd.back().has(1));  // it was told of the broken frame
+    crowd.back().send(bench.request(1) + frames::encode_frame(77, 3, ""));
+    REQUIRE(crowd.back().wait_for_bytes(1));  // it was told of the broken frame
     crowd.back().send(std::string_view(large).substr(0, large.size() - 1));
   }
   // Others are served meanwhile. In each turn that this takes, 64 kB of each flood are read.
-  Peer good = bench.client();
+  TestConnection good = bench.client();
   for (int turn = 0; turn < 10; ++turn) {
-    good.send(frames::make_frame(frames::kIsReady, 1, std::string(1, '\0')));
-    REQUIRE(good.has(1));
+    good.send(frames::encode_frame(frames::kReadinessQuery, 1, std::string(1, '\0')));
+    REQUIRE(good.wait_for_bytes(1));
     good.buffer().clear();
   }
-  CHECK(bench.host.run([&] { return bench.core.open_requests(); }) == 30);
+  CHECK(bench.host.run([&] { return bench.core.open_request_count(); }) == 30);
   CHECK(held_bytes() - before < (4u << 20));  // 7.8 MB were sent
   crowd.clear();
-  CHECK(bench.host.until([&] { return bench.core.open_requests() == 0; }));
+  CHECK(bench.host.until([&] { return bench.core.open_request_count() == 0; }));
 }
 
 TEST_CASE("mysql: large commands that have begun share a budget, and little comes before a log-in") {
   FrontBench bench;
-  bench.host.run([&] { bench.mysql->resize(100, 1u << 20, 1u << 20); });
+  bench.host.run([&] { bench.mysql->set_resource_limits(100, 1u << 20, 1u << 20); });
   const auto begin = [](std::size_t length, std::uint8_t sequence) {
     std::string head;
-    mysql::put_number(head, length, 3);
+    mysql::append_integer(head, length, 3);
     return head + static_cast<char>(sequence);
   };
-  const auto error_of = [](Peer& peer) {
-    const auto message = take_mysql(peer);
-    return message && message->payload.starts_with('\xff') ? mysql::read_error(message->payload).code : 0;
+  const auto error_of = [](TestConnection& peer) {
+    const auto message = read_mysql_message(peer);
+    return message && message->payload.starts_with('\xff') ? mysql::parse_error(message->payload).code : 0;
   };
-  Peer stranger = Peer::connect(bench.mysql->port());
-  REQUIRE(take_mysql(stranger));
+  TestConnection stranger = TestConnection::connect(bench.mysql->port());
+  REQUIRE(read_mysql_message(stranger));
   stranger.send(begin(100'000, 1));
   CHECK(error_of(stranger) == mysql::kPacketTooLarge);
-  Peer first = bench.mysql_client(), second = bench.mysql_client(), third = bench.mysql_client();
+  TestConnection first = bench.mysql_client(), second = bench.mysql_client(), third = bench.mysql_client();
   first.send(begin(900'000, 0));
-  CHECK(bench.host.until([&] { return bench.mysql->is_receiving_large(); }));
+  CHECK(bench.host.until([&] { return bench.mysql->is_receiving_large_command(); }));
   second.send(begin(900'000, 0));
   CHECK(error_of(second) == mysql::kOutOfResources);
   third.send(FrontBench::query("SELECT 1"));  // small ones pass
   REQUIRE(bench.sent(1));
   first.close();
-  CHECK(bench.host.until([&] { return !bench.mysql->is_receiving_large(); }));
+  CHECK(bench.host.until([&] { return !bench.mysql->is_receiving_large_command(); }));
   third.close();
-  Peer fourth = bench.mysql_client();
+  TestConnection fourth = bench.mysql_client();
   fourth.send(FrontBench::query("SELECT '" + std::string(900'000, 'x') + "'"));
   CHECK(bench.sent(2));
 }
--- a/tests/dispatch/cold_fleet.cpp
+++ b/tests/dispatch/cold_fleet.cpp
@@ -19,7 +19,7 @@
 constexpr std::size_t kProcesses = 20;
 constexpr double kFrom = 0.3, kMultiple = 3, kSpan = 1, kCores = 8, kBusy = 0.85;
 
-json engine(const std::string& id, const LinesEngine& at, std::int64_t started_ms) {
+json engine(const std::string& id, const AutoReplyLineEngine& at, std::int64_t started_ms) {
   return {{"id", id},
           {"host_port", "127.0.0.1:" + std::to_string(at.port())},
           {"locality", "z"},
@@ -40,13 +40,13 @@
     payload += static_cast<char>(value.size()) + value;
   }
   // Groups of tables have their homes all over the engines.
-  return frames::make_frame(frames::kRequest, stream,
-                            payload + "SELECT x FROM sales_" + std::to_string(stream % 40) + ".orders");
+  return frames::encode_frame(frames::kRequest, stream,
+                              payload + "SELECT x FROM sales_" + std::to_string(stream % 40) + ".orders");
 }
 
 class Fleet {
  public:
-  Fleet() : config_(base_config()) {
+  Fleet() : config_(default_dispatcher_config()) {
     json members = json::array({engine("warm-1", warm_[0], 0), engine("warm-2", warm_[1], 0)});
     const auto now = std::chrono::system_clock::now().time_since_epoch();
     members.push_back(
@@ -59,7 +59,7 @@
                                           {"cold", 15'000'000},
                                           {"fall_multiple", kMultiple},
                                           {"overload_for", static_cast<std::int64_t>(kSpan * 1e6)}});
-    cold_.keep_statements();
+    cold_.record_statements();
   }
   ~Fleet() {
     processes_.clear();
@@ -78,10 +78,10 @@
       processes_.emplace_back();
       processes_.back().start(folder, folder + "/log" + std::to_string(starts_));
     }
-    for (const Process& one : processes_) {
-      one.wait_for("ready to serve");
-      clients_.push_back(Peer::connect(
-          static_cast<std::uint16_t>(std::stoi(one.wait_for("start [rookproxy@32473 port=\"")))));
+    for (const DispatcherProcess& one : processes_) {
+      one.wait_for_log("ready to serve");
+      clients_.push_back(TestConnection::connect(
+          static_cast<std::uint16_t>(std::stoi(one.wait_for_log("start [rookproxy@32473 port=\"")))));
     }
   }
   // Each client asks for so much at a time and waits for all of it, until the span is over.
@@ -91,14 +91,14 @@
       for (std::size_t i = 0; i < clients_.size(); ++i) {
         for (std::uint32_t n = 0; n < at_a_time; ++n) clients_[i].send(request(n + 1, ++calls_, work_ms));
       }
-      for (Peer& client : clients_) {
+      for (TestConnection& client : clients_) {
         for (std::uint32_t n = 0; n < at_a_time; ++n) answer(client);
       }
     }
   }
   // The most that reached the cold engine within a span.
   std::size_t most_in_a_span() {
-    const auto times = cold_.arrivals();
+    const auto times = cold_.arrival_times();
     std::size_t most = 0;
     for (std::size_t first = 0, last = 0; last < times.size(); ++last) {
       while (times[last] - times[first] >= std::chrono::duration<double>(kSpan)) ++first;
@@ -110,20 +110,20 @@
   int refused() const { return refused_; }
 
  private:
-  void answer(Peer& client) {
+  void answer(TestConnection& client) {
     frames::Frame frame;
     std::size_t used = 0;
-    while (frames::parse_frame(client.buffer(), frame, used) != frames::Parse::kOne) {
-      require(client.more(), "no answer");
+    while (frames::parse_frame(client.buffer(), frame, used) != frames::ParseStatus::kComplete) {
+      require(client.read_more(), "no answer");
     }
     ++(frame.payload[0] == frames::kServed ? served_ : refused_);
     client.take(used);
   }
-  std::string root_ = new_folder();
+  std::string root_ = make_temporary_directory();
   json config_;
-  LinesEngine warm_[2], cold_;
-  std::vector<Process> processes_;
-  std::vector<Peer> clients_;
+  AutoReplyLineEngine warm_[2], cold_;
+  std::vector<DispatcherProcess> processes_;
+  std::vector<TestConnection> clients_;
   std::uint64_t calls_ = 0;
   int starts_ = 0, served_ = 0, refused_ = 0;
 };
--- a/tests/dispatch/confine.cpp
+++ b/tests/dispatch/confine.cpp
@@ -24,7 +24,7 @@
 sock_filter end(std::uint32_t verdict) { return BPF_STMT(BPF_RET | BPF_K, verdict); }
 }  // namespace
 
-bool confine() {
+bool apply_system_call_filter() {
   constexpr std::size_t kNumber = offsetof(seccomp_data, nr), kFirst = offsetof(seccomp_data, args);
   std::vector<sock_filter> rules = {load(kNumber)};
   for (const long call : {SYS_execveat, SYS_io_uring_setup, SYS_io_uring_enter, SYS_io_uring_register,
--- a/tests/dispatch/deployments.cpp
+++ b/tests/dispatch/deployments.cpp
@@ -20,14 +20,14 @@
 
 using namespace rookproxy;
 using namespace std::chrono_literals;
-using test::play;
+using test::run_scenario;
 
 TEST_CASE("org: a tenant within its quota goes before one that is beyond its own") {
   // Guards against tenants that the module never hears of: all would be within quota and go by their age. One
   // core and work of 2 s each: most of the eager one's requests have to wait.
   std::string spend;  // what the eager one has saved up of its quota, 5 requests, is within it
   for (int i = 0; i < 6; ++i) spend += "send a data parts=1 done\\n\nabsorb a 100\n";
-  play(R"(
+  run_scenario(R"(
     engines a
     set /settings/domain/cpu_of_kind [1]
     set /settings/domain/ram_of_kind_mb [1024]
@@ -39,8 +39,8 @@
     send c ready 1
     expect c ready 0
     absorb a 300
-    )" +
-       spend + R"(
+    )" + spend +
+               R"(
     client m
     send m fields 1 op=lookup,call=new,ttl=9000,work=2000,org=modest SELECT 'modest'
     send m ready 2
@@ -54,7 +54,7 @@
 TEST_CASE("org: unusable tenants fail by name, and a request without one is served") {
   // Guards against a request lost, or a crash, for trouble with its tenant alone.
   const std::string overlong(300, 'x');
-  play(R"(
+  run_scenario(R"(
     engines a
     set /settings/parties [{"name":"acme","quota_rps":9,"fraction":0.5}]
     start
@@ -62,7 +62,7 @@
     send c fields 1 op=lookup,call=new,ttl=3000,org=stranger SELECT 1
     expect c failed 1 field org: unknown tenant
     send c fields 2 op=lookup,call=new,ttl=3000,org=)" +
-       overlong + R"( SELECT 2
+               overlong + R"( SELECT 2
     expect c failed 2 field org: longer than a name may be
     expect nolog xxxxx
     expect nolog stranger
@@ -88,13 +88,13 @@
 
 TEST_CASE("org: settings without tenants take no notice of it") {
   const std::string overlong(300, 'x');
-  play(R"(
+  run_scenario(R"(
     engines a
     set /settings/parties []
     start
     client c
     send c fields 1 op=lookup,call=new,ttl=3000,org=)" +
-       overlong + R"( SELECT 1
+               overlong + R"( SELECT 1
     expect a REQ SELECT 1
     send a data parts=1 one\n
     expect c served 1 one\n
@@ -102,7 +102,7 @@
 }
 
 TEST_CASE("org: what a caller has proven wins, and the field is not looked at") {
-  play(R"(
+  run_scenario(R"(
     engines a
     access
     set /settings/parties [{"name":"acme","quota_rps":9,"fraction":0.5}]
@@ -123,7 +123,7 @@
 }
 
 TEST_CASE("org: tenants change in service, and former names are good until clients go by the new ones") {
-  play(R"(
+  run_scenario(R"(
     engines a
     set /settings/parties [{"name":"old","quota_rps":9,"fraction":0.5}]
     start
@@ -157,16 +157,16 @@
       "target":1,"deadline":5}],"permissions":{"max_attempts":2},"parties":[{"name":"Ein, zwei","quota_rps":1}]}})"));
   REQUIRE(config.settings.tenants.size() == 1);
   CHECK(config.settings.tenants[0].name == "Ein, zwei");
-  Figures figures;
+  Metrics figures;
   figures.by_tenant["a b\nsvc.c=1"]["q"].served = 2;
-  CHECK(figures_text(figures, {}).find("svc.tenant.a_b_svc.c_1.passed.q=2\n") != std::string::npos);
+  CHECK(format_metrics(figures, {}).find("svc.tenant.a_b_svc.c_1.passed.q=2\n") != std::string::npos);
 }
 
 TEST_CASE("org: a dropped tenant keeps its quota until the new settings bind alone") {
   lemonshift::Settings former, fresh;
   former.tenants = {{"kept", 1, 0.5}, {"gone", 2, 0.5}};
   fresh.tenants = {{"new", 3, 0.5}, {"kept", 4, 0.5}};
-  const auto both = stricter(former, fresh).tenants;
+  const auto both = merge_stricter(former, fresh).tenants;
   REQUIRE(both.size() == 3);
   CHECK(both[1].quota_per_second == 4);
   CHECK(both[2].name == "gone");
@@ -186,24 +186,24 @@
 }  // namespace
 
 TEST_CASE("peers: the shapes that say the same are read the same") {
-  const Endpoint first{0x0a000001, 7000}, second{0x0a000002, 7001};
+  const SocketAddress first{0x0a000001, 7000}, second{0x0a000002, 7001};
   for (const char* peers :
        {R"(["10.0.0.1:7000","10.0.0.2:7001"])", R"({"0":"10.0.0.1:7000","1":"10.0.0.2:7001"})",
         R"([{"name":"0","address":"10.0.0.1:7000"},{"id":1,"host_port":"10.0.0.2:7001"}])",
         R"([{"addr":"10.0.0.1:7000"},"10.0.0.2:7001"])"}) {
     INFO(peers);
     const Config config = read_config(with_peers(std::string(R"({"peers":)") + peers + "}"));
-    CHECK(config.peers_fault.empty());
+    CHECK(config.peers_error.empty());
     REQUIRE(config.peers);
-    CHECK(config.peers->listen == Endpoint{0x0a000009, 7000});
+    CHECK(config.peers->listen == SocketAddress{0x0a000009, 7000});
     CHECK(config.peers->peers == decltype(config.peers->peers){{"0", first}, {"1", second}});
-    CHECK_FALSE(config.peers->all);
+    CHECK_FALSE(config.peers->broadcast_address);
   }
   const Config named = read_config(
       with_peers(R"({"peers":{"n10":"10.0.0.1:7000","n2":"10.0.0.2:7001"},"peers_all":"10.0.0.3:7"})"));
   REQUIRE(named.peers);
   CHECK(named.peers->peers.front().first == "n2");
-  CHECK(named.peers->all == Endpoint{0x0a000003, 7});
+  CHECK(named.peers->broadcast_address == SocketAddress{0x0a000003, 7});
 }
 
 TEST_CASE("peers: what can't be used is named by its key and stops nobody") {
@@ -234,17 +234,17 @@
     for (const auto& [patch, fault] : faults) {
       INFO(patch);
       const Config config = read_config(with_peers(patch, may_tell));
-      CHECK(config.peers_fault.starts_with(fault));
+      CHECK(config.peers_error.starts_with(fault));
       CHECK_FALSE(config.peers);
     }
   }
   for (const char* nobody : {R"({})", R"({"peers":[]})", R"({"peers":{},"peer_listen":null})"}) {
     INFO(nobody);
-    CHECK(read_config(with_peers(nobody)).peers_fault.empty());
+    CHECK(read_config(with_peers(nobody)).peers_error.empty());
     CHECK_FALSE(read_config(with_peers(nobody)).peers);
   }
   const Config forbidden = read_config(with_peers(R"({"peers":["10.0.0.1:7"]})", false));
-  CHECK(forbidden.peers_fault.empty());
+  CHECK(forbidden.peers_error.empty());
   CHECK_FALSE(forbidden.peers);
 }
 
@@ -257,18 +257,19 @@
     return config;
   };
   const Config running = loaded(R"({"peers":["10.0.0.1:7"]})");
-  CHECK(peers_after(running, loaded("{}")) == running.peers);
-  CHECK(peers_after(running, loaded(R"({"peers":7})")) == running.peers);
-  CHECK_FALSE(peers_after(running, loaded(R"({"peers":[]})")));
-  CHECK_FALSE(peers_after(running, loaded("{}", false)));
-  const auto moved = peers_after(running, loaded(R"({"peers":["10.0.0.2:7"],"peer_listen":"10.0.0.9:8"})"));
+  CHECK(peers_after_reload(running, loaded("{}")) == running.peers);
+  CHECK(peers_after_reload(running, loaded(R"({"peers":7})")) == running.peers);
+  CHECK_FALSE(peers_after_reload(running, loaded(R"({"peers":[]})")));
+  CHECK_FALSE(peers_after_reload(running, loaded("{}", false)));
+  const auto moved =
+      peers_after_reload(running, loaded(R"({"peers":["10.0.0.2:7"],"peer_listen":"10.0.0.9:8"})"));
   REQUIRE(moved);
   CHECK(moved->listen == running.peers->listen);
-  CHECK(moved->peers.front().second == Endpoint{0x0a000002, 7});
+  CHECK(moved->peers.front().second == SocketAddress{0x0a000002, 7});
 }
 
 TEST_CASE("peers: a running dispatcher says what is wrong with them and serves, and rereads without them") {
-  play(R"(
+  run_scenario(R"(
     engines a
     set /settings/permissions/may_tell false
     set /peers "telex"
@@ -293,7 +294,8 @@
 }
 
 TEST_CASE("peers: --check names what is wrong with them") {
-  const std::string folder = test::new_folder(), file = folder + "/peers.toml", out = folder + "/out";
+  const std::string folder = test::make_temporary_directory(), file = folder + "/peers.toml",
+                    out = folder + "/out";
   std::ifstream example(ROOKPROXY_ROOT "/deploy/mysql.toml");
   std::ofstream(file) << "peers = [\"nowhere\"]\n" << example.rdbuf();
   const int status =
@@ -312,46 +314,47 @@
        {Case{200ms, 1s, 750ms}, Case{200ms, 2s, 1750ms}, Case{20ms, 1s, 948ms}, Case{0ms, 1s, 970ms},
         Case{1s, 1s, 0ms}, Case{200ms, 0s, 0ms}}) {
     INFO(poll.count() << " " << grace.count());
-    const Duration margin = decide::drain_margin(decide::PollSchedule(poll).longest_pause());
-    CHECK(decide::last_send(Time(5s), grace, margin) == Time(5s + last));
+    const Duration margin = decide::drain_margin(decide::PollSchedule(poll).max_pause());
+    CHECK(decide::latest_drain_start(Time(5s), grace, margin) == Time(5s + last));
   }
 }
 
 namespace {
 
-struct Core final : EngineLinks {
+struct Core final : EngineTransport {
   explicit Core(lemonshift::Settings settings)
-      : log(text, Level::kDebug, "h", "a"), core(loop, log, figures, settings, {"addis-dc1"}, {}) {
-    core.use(*this);
-    loop.each_turn([this] { core.settle(); });
+      : log(text, LogLevel::kDebug, "h", "a"), core(loop, log, figures, settings, {"addis-dc1"}, {}) {
+    core.set_transport(*this);
+    loop.on_iteration_end([this] { core.process_events(); });
   }
   void list(lemonshift::EngineState a, std::optional<Time> told = std::nullopt) {
-    core.learn_members({{"a", {0x7f000001, 1}, a, "addis-dc1", "engine-a", 0, 1, std::nullopt}}, false, told);
-    core.settle();
+    core.update_endpoints({{"a", {0x7f000001, 1}, a, "addis-dc1", "engine-a", 0, 1, std::nullopt}}, false,
+                          told);
+    core.process_events();
   }
   void run_to(Time end) {
-    loop.at(end, [this] { loop.stop(); });
+    loop.run_at(end, [this] { loop.stop(); });
     loop.run();
   }
-  void send(const Order&) override {}
-  bool withdraw(AttemptKey) override { return false; }
-  bool take_back(AttemptKey) override { return false; }
-  void set_rank(AttemptKey, int) override {}
+  void send(const AttemptRequest&) override {}
+  bool cancel(AttemptKey) override { return false; }
+  bool cancel_if_unsent(AttemptKey) override { return false; }
+  void set_priority(AttemptKey, int) override {}
   void probe(EngineId) override {}
-  void engine_at(EngineId, const Endpoint&) override {}
-  void engine_closed(EngineId) override { closed.push_back(loop.now()); }
+  void set_engine_address(EngineId, const SocketAddress&) override {}
+  void stop_new_attempts(EngineId) override { closed.push_back(loop.now()); }
 
   std::ostringstream text;
-  Loop loop;
-  Log log;
-  Figures figures;
+  EventLoop loop;
+  Logger log;
+  Metrics figures;
   Dispatcher core;
   std::vector<Time> closed;
 };
 
 lemonshift::Settings settings_with_grace(Duration grace) {
   auto settings = read_config(read_toml(ROOKPROXY_ROOT "/deploy/mysql.toml")).settings;
-  settings.drain_grace = to_module(grace);
+  settings.drain_grace_period = to_routing_duration(grace);
   return settings;
 }
 
@@ -388,37 +391,37 @@
   Core bench(settings_with_grace(60s));
   bench.list(lemonshift::EngineState::kServing);
   bench.list(lemonshift::EngineState::kDraining);
-  bench.core.change(settings_with_grace(300ms), {"addis-dc1"}, {});
+  bench.core.change_settings(settings_with_grace(300ms), {"addis-dc1"}, {});
   bench.run_to(bench.loop.now() + 2s);
   CHECK_FALSE(bench.closed.empty());
 }
 
 TEST_CASE("drains: a request between two connections does not dial an engine that has been closed") {
   // Guards against a first byte after the grace, over a connection that is made then.
-  struct Ends final : LinkEvents {
+  struct Ends final : EngineTransportCallbacks {
     std::vector<Outcome> outcomes;
     bool closed = false;  // the core's word
-    bool may_begin(AttemptKey) override { return !closed; }
-    void attempt_ended(AttemptKey, AttemptEnd end) override { outcomes.push_back(end.outcome); }
-    void attempt_noted(AttemptKey, lemonshift::NoteKind, double) override {}
-    void probe_ended(EngineId, Outcome, std::optional<LoadReport>) override {}
+    bool may_start(AttemptKey) override { return !closed; }
+    void on_attempt_ended(AttemptKey, AttemptResult end) override { outcomes.push_back(end.outcome); }
+    void on_attempt_note(AttemptKey, lemonshift::AttemptUpdateKind, double) override {}
+    void on_probe_ended(EngineId, Outcome, std::optional<LoadReport>) override {}
   } ends;
   std::ostringstream text;
-  Loop loop;
-  Log log(text, Level::kDebug, "h", "a");
-  Figures figures;
-  LinesPool pool(loop, log, ends, figures, {});
-  const Fd listener = test::listen_anywhere();
-  pool.engine_at(0, {0x7f000001, local_port(listener)});
+  EventLoop loop;
+  Logger log(text, LogLevel::kDebug, "h", "a");
+  Metrics figures;
+  LineProtocolPool pool(loop, log, ends, figures, {});
+  const FileDescriptor listener = test::listen_on_free_port();
+  pool.set_engine_address(0, {0x7f000001, local_port(listener)});
   auto query = std::make_shared<Query>();
   query->id = "1";
   query->class_name = "q";
   bool was_reset = false;
-  std::optional<test::Peer> engine;
+  std::optional<test::TestConnection> engine;
   std::function<void()> look = [&] {
-    if (!engine && test::readable(listener, 0ms)) engine.emplace(accept_from(listener));
-    if (engine && engine->more(1ms) && ends.outcomes.empty()) engine->send("1 data parts=1 0\r\n\r\n");
-    if (ends.outcomes.empty()) return static_cast<void>(loop.at(loop.now() + 1ms, look));
+    if (!engine && test::wait_until_readable(listener, 0ms)) engine.emplace(accept_connection(listener));
+    if (engine && engine->read_more(1ms) && ends.outcomes.empty()) engine->send("1 data parts=1 0\r\n\r\n");
+    if (ends.outcomes.empty()) return static_cast<void>(loop.run_at(loop.now() + 1ms, look));
     const linger at_once{1, 0};
     ::setsockopt(engine->fd().get(), SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
     engine->close();
@@ -427,18 +430,18 @@
     pool.send({{2, 0}, 0, next, loop.now() + 1s, {}, 1});
     loop.defer([&] {
       ends.closed = true;
-      pool.engine_closed(0);
+      pool.stop_new_attempts(0);
     });
     was_reset = true;
-    loop.at(loop.now() + 100ms, [&] { loop.stop(); });
+    loop.run_at(loop.now() + 100ms, [&] { loop.stop(); });
   };
   pool.send({{1, 0}, 0, query, loop.now() + 1s, {}, 1});
-  loop.at(loop.now(), look);
+  loop.run_at(loop.now(), look);
   loop.run();
   REQUIRE(was_reset);
   REQUIRE(ends.outcomes.size() == 2);
   CHECK(ends.outcomes[1] == Outcome::kNotSent);  // no word against the engine
-  CHECK_FALSE(test::readable(listener, 0ms));
+  CHECK_FALSE(test::wait_until_readable(listener, 0ms));
 }
 
 TEST_CASE(
@@ -461,19 +464,19 @@
     expect c ready 0
     directory a=draining b=up
     let a)";
-  play(begin + "500000" + until_it_waits + R"(
+  run_scenario(begin + "500000" + until_it_waits + R"(
     expect b REQ
     send b data parts=1 ok\n
     expect c served 1 ok\n
     expect a nothing 1000)");
-  play(begin + "5000000" + until_it_waits + R"(
+  run_scenario(begin + "5000000" + until_it_waits + R"(
     expect a REQ
     send a data parts=1 ok\n
     expect c served 1 ok\n)");
 }
 
 TEST_CASE("refusals for lack of room say no longer than clients are ready to stay away") {
-  play(R"(
+  run_scenario(R"(
     engines a
     set /settings/permissions/max_retry_after 300000
     start
@@ -482,13 +485,14 @@
     send c request 1 lookup 3000 SELECT 2
     expect c pushback 1 300)");
   // 0: clients heed no advice, which is no reason not to start.
-  CHECK(read_config(with_peers(R"({"settings":{"permissions":{"max_retry_after":0}}})")).refusal_pause == 1s);
+  CHECK(read_config(with_peers(R"({"settings":{"permissions":{"max_retry_after":0}}})"))
+            .rejection_retry_after == 1s);
 }
 
 TEST_CASE("a keyed class's key against repeats goes on to engines with every attempt") {
   // Guards against a request that is not as its client sent it: an engine that is given no key knows no
   // repeat. A safe class has none, and a key that could break the line to the engine is told by name.
-  play(R"(
+  run_scenario(R"(
     engines a
     set /settings/grades/1/effect "token"
     set /settings/grades/1/group "all"
--- a/tests/dispatch/descriptors.cpp
+++ b/tests/dispatch/descriptors.cpp
@@ -18,25 +18,25 @@
 
 TEST_CASE("descriptors: all shares together stay within the limit, and clients have their third") {
   for (std::size_t limit = 32; limit <= 4096; ++limit) {
-    const auto shares = decide::descriptor_shares(limit);
-    const std::size_t sum = shares.own + shares.operators + shares.clients + shares.engines;
+    const auto shares = decide::descriptor_budget(limit);
+    const std::size_t sum = shares.reserved + shares.admin + shares.clients + shares.engines;
     // At least what a dispatcher of frames, operators and a directory holds: 0 to 2, epoll, signals, two
     // listeners with their reserves, two sockets to the directory.
-    const bool fits = sum <= limit && shares.own >= 12 && shares.operators >= 2 && shares.engines >= 9;
+    const bool fits = sum <= limit && shares.reserved >= 12 && shares.admin >= 2 && shares.engines >= 9;
     const bool third = shares.clients > limit / 3 || (limit < 64 && shares.clients >= 9);
     if (!fits || !third) FAIL_CHECK("a limit of " << limit);
   }
-  CHECK(decide::descriptor_shares(1024).clients == 409);
-  CHECK(decide::descriptor_shares(1024).engines == 409);
-  CHECK(decide::descriptor_shares(8).clients >= 1);  // a process with too few still lets somebody in
-  CHECK(decide::descriptor_shares(8).engines >= 1);
+  CHECK(decide::descriptor_budget(1024).clients == 409);
+  CHECK(decide::descriptor_budget(1024).engines == 409);
+  CHECK(decide::descriptor_budget(8).clients >= 1);  // a process with too few still lets somebody in
+  CHECK(decide::descriptor_budget(8).engines >= 1);
 }
 
 TEST_CASE("descriptors: idle clients fill theirs, and directory, engines, operators and clients are served") {
   // In the configuration, and as the process's own limit with more in the configuration.
   for (const std::string sockets : {"64", "1024"}) {
     INFO(sockets);
-    test::play("engines b\nlines-engines a\nset /limits/sockets " + sockets + R"(
+    test::run_scenario("engines b\nlines-engines a\nset /limits/sockets " + sockets + R"(
     descriptors 64
     move directory silent
     start
@@ -61,36 +61,37 @@
 }
 
 struct Comers {
-  std::vector<Fd> fds;
+  std::vector<FileDescriptor> fds;
   void come(std::uint16_t port, std::size_t count) {
     for (std::size_t i = 0; i < count; ++i) fds.push_back(connect_tcp({0x7f000001, port}));
   }
   std::size_t told() const {
     std::size_t ended = 0;
     char byte = 0;
-    for (const Fd& fd : fds) ended += ::recv(fd.get(), &byte, 1, MSG_DONTWAIT) == 0 ? 1 : 0;
+    for (const FileDescriptor& fd : fds) ended += ::recv(fd.get(), &byte, 1, MSG_DONTWAIT) == 0 ? 1 : 0;
     return ended;
   }
 };
 
 TEST_CASE("descriptors: an acceptor without any tells who comes, also after its reserve was taken") {
-  Loop loop;
-  std::vector<Fd> taken;
-  Acceptor acceptor(loop, test::listen_anywhere(), [&](Fd fd) { taken.push_back(std::move(fd)); });
+  EventLoop loop;
+  std::vector<FileDescriptor> taken;
+  Acceptor acceptor(loop, test::listen_on_free_port(),
+                    [&](FileDescriptor fd) { taken.push_back(std::move(fd)); });
   Comers first, comers;
   std::size_t turns = 0, turns_without = 0;
   bool late = false, lost = false;
-  std::optional<test::AllDescriptorsTaken> all_taken;
+  std::optional<test::DescriptorExhaustion> all_taken;
   std::optional<test::DescriptorLimit> none;  // not even in place of the reserve, which is lost so
   first.come(acceptor.port(), 1);
-  loop.each_turn([&] {
+  loop.on_iteration_end([&] {
     ++turns;
     if (!all_taken && taken.size() == 1) {
       comers.come(acceptor.port(), 100);
       all_taken.emplace();
       none.emplace(3);
       turns = 0;
-      loop.at(loop.now() + 200ms, [&] {
+      loop.run_at(loop.now() + 200ms, [&] {
         lost = comers.told() == 0 && taken.size() == 1;
         turns_without = turns;
         none.reset();
@@ -98,7 +99,7 @@
     }
     if (lost && comers.told() == 100) loop.stop();
   });
-  loop.at(loop.now() + test::kPatience, [&] {
+  loop.run_at(loop.now() + test::kWaitLimit, [&] {
     late = true;
     loop.stop();
   });
--- a/tests/dispatch/descriptors.h
+++ b/tests/dispatch/descriptors.h
@@ -28,16 +28,16 @@
 };
 
 // While it lives, a descriptor is to be had in place of one that is closed alone.
-class AllDescriptorsTaken {
+class DescriptorExhaustion {
  public:
-  AllDescriptorsTaken() {
-    for (Fd one = another(); one; one = another()) taken_.push_back(std::move(one));
+  DescriptorExhaustion() {
+    for (FileDescriptor one = another(); one; one = another()) taken_.push_back(std::move(one));
   }
 
  private:
-  static Fd another() { return Fd(::open("/dev/null", O_RDONLY | O_CLOEXEC)); }
+  static FileDescriptor another() { return FileDescriptor(::open("/dev/null", O_RDONLY | O_CLOEXEC)); }
   DescriptorLimit limit_{256};
-  std::vector<Fd> taken_;
+  std::vector<FileDescriptor> taken_;
 };
 
 }  // namespace rookproxy::test
--- a/tests/dispatch/fleet_membership.cpp
+++ b/tests/dispatch/fleet_membership.cpp
@@ -16,26 +16,27 @@
 struct Letter {
   MemberId to = 0;
   Incarnation incarnation = 0;
-  Body body;
-  std::vector<Rumour> rumours;
+  MessageBody body;
+  std::vector<GossipUpdate> rumours;
 };
 
 // What carries the messages of one Membership.
 struct Node {
   Membership members;
-  std::vector<Membership::Change> changes{};
+  std::vector<Membership::MemberChange> changes{};
 
-  std::vector<Letter> carry(Membership::Step step) {
+  std::vector<Letter> carry(Membership::Result step) {
     std::vector<Letter> letters;
-    for (Outgoing& out : step.send) {
-      letters.push_back({out.to, members.incarnation(), std::move(out.body), members.rumours(out.to, 100)});
+    for (OutgoingMessage& out : step.messages) {
+      letters.push_back(
+          {out.to, members.incarnation(), std::move(out.body), members.gossip_for(out.to, 100)});
     }
     changes.insert(changes.end(), step.changes.begin(), step.changes.end());
     return letters;
   }
   std::vector<Letter> tick(Time now) { return carry(members.tick(now)); }
   std::vector<Letter> on(Time now, MemberId from, const Letter& letter) {
-    return carry(members.on(now, from, letter.incarnation, letter.body, letter.rumours));
+    return carry(members.receive(now, from, letter.incarnation, letter.body, letter.rumours));
   }
   Time next_due() const { return members.next_due(); }
   long moved_to(State state) const {
@@ -50,7 +51,7 @@
 MembershipSettings settings_of(std::size_t self, std::size_t members) {
   MembershipSettings settings;
   settings.self = static_cast<MemberId>(self);
-  settings.members = members;
+  settings.member_count = members;
   return settings;
 }
 
@@ -91,7 +92,7 @@
 long gone_said(World& world) {
   long all = 0;
   for (std::size_t a = 0; a < world.size(); ++a)
-    all += world.node(a) ? world.node(a)->moved_to(State::kGone) : 0;
+    all += world.node(a) ? world.node(a)->moved_to(State::kFailed) : 0;
   return all;
 }
 double periods(std::optional<Duration> span) {
@@ -131,8 +132,8 @@
     CHECK(gone_said(world) == 0);
     CHECK(all_current(world));
     for (std::size_t a = 0; a < world.size(); ++a) {
-      const auto& figures = world.node(a)->members.figures();
-      CHECK(figures.wakes + figures.held_back + figures.strangers == 0);
+      const auto& figures = world.node(a)->members.metrics();
+      CHECK(figures.stalls + figures.rate_limited + figures.unknown_members == 0);
       (world.size() > 3 ? probes : probes_of_three) += figures.probes;
       (world.size() > 3 ? suspicions : suspicions_of_three) += figures.suspicions;
     }
@@ -146,7 +147,7 @@
 TEST_CASE("membership: a killed member is gone everywhere, a restarted one alive everywhere") {
   over({{3, 24}, {9, 24}, {100, 3}, {300, 1}}, kRough, [](World& world, std::size_t seed) {
     const std::size_t victim = seed % world.size();
-    const auto span = settings_of(0, world.size()).span();
+    const auto span = settings_of(0, world.size()).suspicion_timeout();
     const auto others = [&](std::size_t member) { return member != victim; };
 
     // Down for half the span: nobody says that it is gone.
@@ -159,7 +160,7 @@
 
     world.kill(victim);
     const auto gone =
-        world.run_until([&] { return all_hold(world, others, only(victim), State::kGone); }, 120s);
+        world.run_until([&] { return all_hold(world, others, only(victim), State::kFailed); }, 120s);
     CHECK(periods(gone) <= periods(span) + 10);
     CHECK(gone_said(world) == static_cast<long>(world.size()) - 1);  // and of nobody else
 
@@ -180,10 +181,10 @@
     world.cut(0, 1);
     world.run(60s);
     for (std::size_t a = 0; a < world.size(); ++a) {
-      CHECK(world.node(a)->moved_to(State::kGone) == 0);
-      CHECK(world.node(a)->members.figures().suspicions == 0);
+      CHECK(world.node(a)->moved_to(State::kFailed) == 0);
+      CHECK(world.node(a)->members.metrics().suspicions == 0);
     }
-    if (world.size() <= 9) CHECK(world.node(0)->members.figures().indirect > 0);
+    if (world.size() <= 9) CHECK(world.node(0)->members.metrics().indirect_probes > 0);
   });
 }
 
@@ -196,7 +197,8 @@
       // Who is alone with a hundred probes them one by one.
       CHECK(world.run_until(
           [&] {
-            return all_hold(world, left, right, State::kGone) && all_hold(world, right, left, State::kGone);
+            return all_hold(world, left, right, State::kFailed) &&
+                   all_hold(world, right, left, State::kFailed);
           },
           200s));
       CHECK(gone_said(world) == 2 * static_cast<long>(lesser * (world.size() - lesser)));  // and nobody else
@@ -220,11 +222,11 @@
     CHECK_FALSE(woken.is_current(world.now()));  // though no tick has told it yet
     world.run(200ms);
     CHECK(current == false);
-    CHECK(woken.figures().wakes == 1);
+    CHECK(woken.metrics().stalls == 1);
     CHECK(woken.incarnation() > before);
     CHECK(world.run_until([&] { return all_current(world); }, 10s));
     CHECK(world.run_until([&] { return all_hold(world, anyone, anyone, State::kAlive); }, 20s));
-    CHECK(world.node(0)->moved_to(State::kGone) == 0);
+    CHECK(world.node(0)->moved_to(State::kFailed) == 0);
   });
 }
 
@@ -234,7 +236,7 @@
     world.run(9'900ms);
     world.partition([](std::size_t member) { return member < 4; });  // three of the eight
     world.run(3s);
-    CHECK(world.node(0)->members.figures().wakes == 1);
+    CHECK(world.node(0)->members.metrics().stalls == 1);
     CHECK_FALSE(world.node(0)->members.is_current(world.now()));
     world.heal();
     CHECK(world.run_until([&] { return world.node(0)->members.is_current(world.now()); }, 2s));
@@ -285,25 +287,25 @@
 struct Hand {
   Time now{std::chrono::seconds(1'700'000'000)};
   Membership members;
-  Membership::Step last{};
+  Membership::Result last{};
 
   explicit Hand(std::size_t count = 4, Incarnation own = kOwn)
       : members(settings_of(0, count), own, 1, now) {}
-  void hear(MemberId from, Incarnation incarnation, const Body& body = Lease{},
-            const std::vector<Rumour>& rumours = {}) {
-    last = members.on(now, from, incarnation, body, rumours);
+  void hear(MemberId from, Incarnation incarnation, const MessageBody& body = Lease{},
+            const std::vector<GossipUpdate>& rumours = {}) {
+    last = members.receive(now, from, incarnation, body, rumours);
   }
-  void learn(Rumour rumour) { hear(3, kOther, Lease{}, {rumour}); }
+  void learn(GossipUpdate rumour) { hear(3, kOther, Lease{}, {rumour}); }
   // Ticks as due; who is pinged answers if `answers`.
   void pass(Duration span, const Pick& answers = nobody) {
     const Time end = now + span;
     while (members.next_due() <= end) {
       now = members.next_due();
       last = members.tick(now);
-      const auto sent = last.send;
-      for (const Outgoing& out : sent) {
+      const auto sent = last.messages;
+      for (const OutgoingMessage& out : sent) {
         const auto* ping = std::get_if<Ping>(&out.body);
-        if (ping && answers(out.to)) members.on(now, out.to, kOther, Ack{ping->number, out.to}, {});
+        if (ping && answers(out.to)) members.receive(now, out.to, kOther, Ack{ping->number, out.to}, {});
       }
     }
     now = end;
@@ -311,7 +313,7 @@
   template <class Kind>
   std::vector<std::pair<MemberId, Kind>> sent() const {
     std::vector<std::pair<MemberId, Kind>> all;
-    for (const Outgoing& out : last.send) {
+    for (const OutgoingMessage& out : last.messages) {
       if (const auto* kind = std::get_if<Kind>(&out.body)) all.push_back({out.to, *kind});
     }
     return all;
@@ -321,38 +323,38 @@
 TEST_CASE("membership: what moves a member, by state and incarnation") {
   using Held = std::optional<State>;
   const Held unknown;
-  const auto word = [](Incarnation incarnation, State state) { return Rumour{1, incarnation, state}; };
+  const auto word = [](Incarnation incarnation, State state) { return GossipUpdate{1, incarnation, state}; };
   struct Row {
-    Held held;      // of 1, at kOther
-    Rumour rumour;  // from 3; about 3: a message of 1's own with that incarnation
+    Held held;            // of 1, at kOther
+    GossipUpdate rumour;  // from 3; about 3: a message of 1's own with that incarnation
     Held next;
   };
-  const auto own = [](Incarnation incarnation) { return Rumour{3, incarnation, State::kAlive}; };
+  const auto own = [](Incarnation incarnation) { return GossipUpdate{3, incarnation, State::kAlive}; };
   const Row rows[] = {
       {unknown, word(1, State::kAlive), State::kAlive},
       {unknown, word(1, State::kSuspect), State::kSuspect},
-      {unknown, word(1, State::kGone), State::kGone},
+      {unknown, word(1, State::kFailed), State::kFailed},
       {unknown, own(1), State::kAlive},
       {State::kAlive, word(kOther - 1, State::kSuspect), State::kAlive},
-      {State::kAlive, word(kOther - 1, State::kGone), State::kAlive},
+      {State::kAlive, word(kOther - 1, State::kFailed), State::kAlive},
       {State::kAlive, word(kOther, State::kSuspect), State::kSuspect},
-      {State::kAlive, word(kOther, State::kGone), State::kGone},
-      {State::kAlive, word(kOther + 1, State::kGone), State::kGone},
+      {State::kAlive, word(kOther, State::kFailed), State::kFailed},
+      {State::kAlive, word(kOther + 1, State::kFailed), State::kFailed},
       {State::kSuspect, word(kOther - 1, State::kAlive), State::kSuspect},
       {State::kSuspect, word(kOther, State::kAlive), State::kSuspect},
       {State::kSuspect, word(kOther + 1, State::kAlive), State::kAlive},
       {State::kSuspect, own(kOther), State::kSuspect},
       {State::kSuspect, own(kOther + 1), State::kAlive},
-      {State::kSuspect, word(kOther - 1, State::kGone), State::kSuspect},
-      {State::kSuspect, word(kOther, State::kGone), State::kGone},
-      {State::kGone, word(kOther, State::kAlive), State::kGone},
-      {State::kGone, word(kOther, State::kSuspect), State::kGone},
-      {State::kGone, own(kOther), State::kGone},
-      {State::kGone, own(kOther + 1), State::kAlive},
-      {State::kGone, word(kOther + 1, State::kAlive), State::kAlive},
-      {State::kGone, word(kOther + 1, State::kSuspect), State::kSuspect},
-      {State::kGone, word(kOther + 1, State::kGone), State::kGone},
-      {State::kGone, word(kOther - 1, State::kAlive), State::kGone},
+      {State::kSuspect, word(kOther - 1, State::kFailed), State::kSuspect},
+      {State::kSuspect, word(kOther, State::kFailed), State::kFailed},
+      {State::kFailed, word(kOther, State::kAlive), State::kFailed},
+      {State::kFailed, word(kOther, State::kSuspect), State::kFailed},
+      {State::kFailed, own(kOther), State::kFailed},
+      {State::kFailed, own(kOther + 1), State::kAlive},
+      {State::kFailed, word(kOther + 1, State::kAlive), State::kAlive},
+      {State::kFailed, word(kOther + 1, State::kSuspect), State::kSuspect},
+      {State::kFailed, word(kOther + 1, State::kFailed), State::kFailed},
+      {State::kFailed, word(kOther - 1, State::kAlive), State::kFailed},
   };
   for (std::size_t i = 0; i < std::size(rows); ++i) {
     CAPTURE(i);
@@ -372,11 +374,11 @@
                                        [](auto& each) { return each.member == 1; });
     CHECK(about_1 == (moved ? 1 : 0));
     const bool older = rumour.member == 1 && rows[i].held && rumour.incarnation < kOther;
-    CHECK(hand.members.figures().ignored == (older ? 1 : 0));
+    CHECK(hand.members.metrics().ignored_updates == (older ? 1 : 0));
     const auto held = hand.members.state_of(1);
     const bool counts = held == State::kAlive || held == State::kSuspect;
     CHECK(hand.members.alive_count() == (rumour.member == 3 && !rows[i].held ? 2u : counts ? 3u : 2u));
-    CHECK(hand.members.alive().size() == hand.members.alive_count());
+    CHECK(hand.members.alive_members().size() == hand.members.alive_count());
   }
 }
 
@@ -386,8 +388,8 @@
     State state;
     Incarnation next;
   };
-  for (const Row& row : {Row{kOwn, State::kSuspect, kOwn + 1}, Row{kOwn, State::kGone, kOwn + 1},
-                         Row{kOwn, State::kAlive, kOwn}, Row{kOwn - 1, State::kGone, kOwn},
+  for (const Row& row : {Row{kOwn, State::kSuspect, kOwn + 1}, Row{kOwn, State::kFailed, kOwn + 1},
+                         Row{kOwn, State::kAlive, kOwn}, Row{kOwn - 1, State::kFailed, kOwn},
                          // its predecessor's clock was ahead
                          Row{kOwn + 500, State::kAlive, kOwn + 501}}) {
     CAPTURE(row.incarnation, row.state);
@@ -395,7 +397,7 @@
     hand.hear(1, kOther, Ping{7}, {{0, row.incarnation, row.state}});
     CHECK(hand.members.incarnation() == row.next);
     CHECK(hand.members.state_of(0) == State::kAlive);
-    CHECK(hand.members.figures().refutations == (row.next > kOwn ? 1 : 0));
+    CHECK(hand.members.metrics().refutations == (row.next > kOwn ? 1 : 0));
     CHECK(hand.sent<Ack>() == std::vector<std::pair<MemberId, Ack>>{{1, Ack{7, 0}}});
   }
 }
@@ -409,7 +411,7 @@
   std::optional<Time> asked, suspect, gone;
   while (!gone) {
     hand.pass(hand.members.next_due() - hand.now, dead);
-    const auto helpers = hand.sent<PingFor>();
+    const auto helpers = hand.sent<PingRequest>();
     if (!helpers.empty() && !asked) {
       asked = hand.now;
       CHECK(helpers.size() == 2);  // 2 and 3: all there are
@@ -417,20 +419,20 @@
       CHECK(hand.sent<Ping>().size() == 1);
     }
     if (!suspect && hand.members.state_of(1) == State::kSuspect) suspect = hand.now;
-    if (hand.members.state_of(1) == State::kGone) gone = hand.now;
+    if (hand.members.state_of(1) == State::kFailed) gone = hand.now;
   }
   const auto settings = settings_of(0, 4);
-  CHECK(*suspect - *asked == kPeriod - settings.direct);
-  CHECK(*gone - *suspect == settings.span());
+  CHECK(*suspect - *asked == kPeriod - settings.ping_timeout);
+  CHECK(*gone - *suspect == settings.suspicion_timeout());
   // What is held against it is told to itself first.
-  CHECK(hand.members.rumours(1, 8).at(0) == Rumour{1, kOther, State::kGone});
+  CHECK(hand.members.gossip_for(1, 8).at(0) == GossipUpdate{1, kOther, State::kFailed});
   // It is forgotten in the end, but what was said before its end still moves nothing.
-  hand.pass(settings.forget + kPeriod, dead);
+  hand.pass(settings.failed_member_retention + kPeriod, dead);
   CHECK_FALSE(hand.members.state_of(1));
   hand.learn({1, kOther, State::kAlive});
   hand.hear(1, kOther);
   CHECK_FALSE(hand.members.state_of(1));
-  CHECK(hand.members.rumours(1, 8).at(0) == Rumour{1, kOther, State::kGone});
+  CHECK(hand.members.gossip_for(1, 8).at(0) == GossipUpdate{1, kOther, State::kFailed});
   hand.hear(1, kOther + 1);
   CHECK(hand.members.state_of(1) == State::kAlive);
 }
@@ -438,37 +440,37 @@
 TEST_CASE("membership: who is heard of anew has new time") {
   Hand hand;
   hand.hear(1, kOther);
-  while (hand.members.figures().probes == 0) hand.pass(hand.members.next_due() - hand.now);
+  while (hand.members.metrics().probes == 0) hand.pass(hand.members.next_due() - hand.now);
   hand.learn({1, kOther + 1, State::kAlive});
   hand.pass(kPeriod);
   CHECK(hand.members.state_of(1) == State::kAlive);
-  CHECK(hand.members.figures().suspicions == 0);
+  CHECK(hand.members.metrics().suspicions == 0);
 
-  const auto span = settings_of(0, 4).span();
+  const auto span = settings_of(0, 4).suspicion_timeout();
   hand.learn({1, kOther + 2, State::kSuspect});
   hand.pass(span - 1ms);
   hand.learn({1, kOther + 3, State::kSuspect});
   hand.pass(span - 1ms);
   CHECK(hand.members.state_of(1) == State::kSuspect);
   hand.pass(1ms);
-  CHECK(hand.members.state_of(1) == State::kGone);
+  CHECK(hand.members.state_of(1) == State::kFailed);
 
   hand.hear(1, kOther + 4);
   hand.hear(1, kOther);  // started with a clock behind its predecessor's: told, it takes a higher one
-  CHECK(hand.members.rumours(1, 8).at(0) == Rumour{1, kOther + 4, State::kAlive});
+  CHECK(hand.members.gossip_for(1, 8).at(0) == GossipUpdate{1, kOther + 4, State::kAlive});
 }
 
 TEST_CASE("membership: an answer through another counts, and so it is passed on") {
   Hand hand;
   for (MemberId member : {1, 2, 3}) hand.hear(member, kOther);
   const auto dead = [](std::size_t member) { return member != 1; };
-  while (hand.sent<PingFor>().empty()) hand.pass(hand.members.next_due() - hand.now, dead);
-  const auto [helper, ask] = hand.sent<PingFor>().at(0);
+  while (hand.sent<PingRequest>().empty()) hand.pass(hand.members.next_due() - hand.now, dead);
+  const auto [helper, ask] = hand.sent<PingRequest>().at(0);
   hand.hear(helper, kOther, Ack{ask.number, 1});
-  hand.pass(kPeriod - settings_of(0, 4).direct, dead);
-  CHECK(hand.members.figures().suspicions == 0);
+  hand.pass(kPeriod - settings_of(0, 4).ping_timeout, dead);
+  CHECK(hand.members.metrics().suspicions == 0);
 
-  hand.hear(2, kOther, PingFor{77, 3});
+  hand.hear(2, kOther, PingRequest{77, 3});
   const auto pings = hand.sent<Ping>();
   REQUIRE(pings.size() == 1);
   CHECK(pings[0].first == 3);
@@ -476,7 +478,7 @@
   CHECK(hand.sent<Ack>() == std::vector<std::pair<MemberId, Ack>>{{2, Ack{77, 3}}});
   hand.hear(3, kOther, Ack{pings[0].second.number, 3});  // doubled
   CHECK(hand.sent<Ack>().empty());
-  hand.hear(2, kOther, PingFor{78, 0});  // about itself
+  hand.hear(2, kOther, PingRequest{78, 0});  // about itself
   CHECK(hand.sent<Ack>() == std::vector<std::pair<MemberId, Ack>>{{2, Ack{78, 0}}});
 }
 
@@ -486,15 +488,15 @@
     first.insert(Membership(settings_of(0, 9), 1, seed, Time{}).next_due());
   CHECK(first.size() > 15);  // nor do those that start together ping together
   Hand hand(9);
-  const auto alone = settings_of(0, 9).alone_after;
+  const auto alone = settings_of(0, 9).isolation_timeout;
   hand.pass(alone - 1ms);
   CHECK_FALSE(hand.members.is_current(hand.now));
   hand.pass(kPeriod);
   CHECK(hand.members.is_current(hand.now));
   hand.pass(600s);
   for (MemberId member = 1; member < 9; ++member) CHECK_FALSE(hand.members.state_of(member));
-  CHECK(hand.members.alive() == std::vector<MemberId>{0});
-  CHECK(hand.members.figures().suspicions == 0);
+  CHECK(hand.members.alive_members() == std::vector<MemberId>{0});
+  CHECK(hand.members.metrics().suspicions == 0);
 }
 
 TEST_CASE("membership: only answers to pings since the waking make it current") {
@@ -509,10 +511,10 @@
   hand.learn({1, kOther, State::kSuspect});
   hand.now += 10s;
   hand.hear(old[0].first, kOther, Ack{old[0].second.number, old[0].first});  // had lain in the socket
-  CHECK(hand.members.figures().wakes == 1);
+  CHECK(hand.members.metrics().stalls == 1);
   CHECK(hand.members.incarnation() == kOwn + 1);
   CHECK(hand.members.state_of(1) == State::kAlive);
-  CHECK(hand.members.rumours(2, 8).empty());  // it has no news
+  CHECK(hand.members.gossip_for(2, 8).empty());  // it has no news
   hand.pass(3 * kPeriod);
   CHECK_FALSE(hand.members.is_current(hand.now));
   hand.pass(kPeriod, anyone);
@@ -521,7 +523,7 @@
   hand.now -= 1h;
   CHECK_FALSE(hand.members.is_current(hand.now));
   hand.last = hand.members.tick(hand.now);
-  CHECK(hand.members.figures().wakes == 2);
+  CHECK(hand.members.metrics().stalls == 2);
   CHECK(hand.members.next_due() <= hand.now + kPeriod);
 }
 
@@ -529,37 +531,37 @@
   Hand hand;
   for (MemberId member : {1, 2, 3}) hand.hear(member, kOther);
   std::vector<std::pair<MemberId, Ping>> pings;
-  const auto probes = [&] { return hand.members.figures().probes; };
+  const auto probes = [&] { return hand.members.metrics().probes; };
   while (probes() == 0) hand.pass(hand.members.next_due() - hand.now);
   pings = hand.sent<Ping>();
   hand.now += 1200ms;  // the answers are there, but the timers are looked at first
   hand.last = hand.members.tick(hand.now);
-  CHECK(hand.members.figures().wakes == 0);
-  CHECK(hand.members.figures().indirect == 0);
+  CHECK(hand.members.metrics().stalls == 0);
+  CHECK(hand.members.metrics().indirect_probes == 0);
   for (const auto& [to, ping] : pings) hand.hear(to, kOther, Ack{ping.number, to});
   hand.pass(kPeriod - 1ms, anyone);
-  CHECK(hand.members.figures().suspicions == 0);
+  CHECK(hand.members.metrics().suspicions == 0);
 }
 
 TEST_CASE("membership: news is told so many times, the least told first, within the room") {
   Hand hand(100);
-  for (MemberId member = 1; member <= 20; ++member) hand.learn({member, 5, State::kGone});
+  for (MemberId member = 1; member <= 20; ++member) hand.learn({member, 5, State::kFailed});
   std::vector<int> told(100);
   for (int i = 0; i < 300; ++i) {
-    const auto rumours = hand.members.rumours(50, 4);
+    const auto rumours = hand.members.gossip_for(50, 4);
     CHECK(rumours.size() <= 4);
-    for (const Rumour& rumour : rumours) ++told[rumour.member];
+    for (const GossipUpdate& rumour : rumours) ++told[rumour.member];
     const auto [least, most] = std::minmax_element(told.begin() + 1, told.begin() + 21);
     if (i < 50) CHECK(*most - *least <= 1);
   }
   for (MemberId member = 1; member <= 20; ++member) CHECK(told[member] == 20);  // 3 log2 101
-  CHECK(hand.members.rumours(50, 0).empty());
+  CHECK(hand.members.gossip_for(50, 0).empty());
   // Of ordinary messages so many; a newcomer is told all that there is room for, once.
   for (MemberId member = 21; member <= 40; ++member) hand.learn({member, 5, State::kAlive});
-  CHECK(hand.members.rumours(50, 100).size() == 8);
+  CHECK(hand.members.gossip_for(50, 100).size() == 8);
   hand.hear(60, 5);
-  CHECK(hand.members.rumours(60, 15).size() == 15);
-  CHECK(hand.members.rumours(60, 15).size() == 8);
+  CHECK(hand.members.gossip_for(60, 15).size() == 15);
+  CHECK(hand.members.gossip_for(60, 15).size() == 8);
 }
 
 TEST_CASE("membership: bad input moves nothing and is counted") {
@@ -567,53 +569,54 @@
   hand.hear(4, kOther, Ping{1});  // not configured
   hand.hear(0, kOther, Ping{1});  // itself
   hand.hear(65'535, kOther, Ping{1});
-  CHECK(hand.members.figures().strangers == 3);
-  CHECK(hand.last.send.empty());
-  hand.hear(1, kOther, PingFor{1, 900});
-  hand.hear(1, kOther, Ack{1, 900}, {{900, 1, State::kGone}});
-  CHECK(hand.members.figures().strangers == 5);
-  CHECK(hand.last.send.empty());
+  CHECK(hand.members.metrics().unknown_members == 3);
+  CHECK(hand.last.messages.empty());
+  hand.hear(1, kOther, PingRequest{1, 900});
+  hand.hear(1, kOther, Ack{1, 900}, {{900, 1, State::kFailed}});
+  CHECK(hand.members.metrics().unknown_members == 5);
+  CHECK(hand.last.messages.empty());
   // Incarnations that leave no room to refute.
-  hand.hear(1, kOther, Ping{1}, {{0, ~Incarnation(0), State::kGone}, {2, ~Incarnation(0), State::kGone}});
+  hand.hear(1, kOther, Ping{1}, {{0, ~Incarnation(0), State::kFailed}, {2, ~Incarnation(0), State::kFailed}});
   hand.hear(2, ~Incarnation(0), Ping{1});
   hand.hear(2, 0, Ping{1});
-  CHECK(hand.members.figures().ignored == 4);
+  CHECK(hand.members.metrics().ignored_updates == 4);
   CHECK(hand.members.incarnation() == kOwn);
   CHECK_FALSE(hand.members.state_of(2));
   // A flood is answered within the budget, and pings for others are few whatever it is.
   auto generous = settings_of(0, 4);
-  generous.messages = 1'000'000;
+  generous.max_messages_per_second = 1'000'000;
   Membership open(generous, kOwn, 1, hand.now);
   std::size_t pings = 0;
-  for (int i = 0; i < 1000; ++i) pings += open.on(hand.now, 1, kOther, PingFor{1, 2}, {}).send.size();
+  for (int i = 0; i < 1000; ++i)
+    pings += open.receive(hand.now, 1, kOther, PingRequest{1, 2}, {}).messages.size();
   CHECK(pings == 64);
   Hand flooded;
   std::size_t answers = 0;
   for (int i = 0; i < 10'000; ++i) {
-    flooded.hear(1, kOther, i % 2 ? Body{Ping{1}} : Body{PingFor{1, 2}});
-    answers += flooded.last.send.size();
+    flooded.hear(1, kOther, i % 2 ? MessageBody{Ping{1}} : MessageBody{PingRequest{1, 2}});
+    answers += flooded.last.messages.size();
   }
   CHECK(answers == 64);
-  CHECK(flooded.members.figures().held_back > 9'000);
+  CHECK(flooded.members.metrics().rate_limited > 9'000);
   flooded.pass(kPeriod);
   flooded.hear(1, kOther, Ping{1});
-  CHECK(flooded.last.send.size() == 1);
+  CHECK(flooded.last.messages.size() == 1);
 }
 
 TEST_CASE("membership: settings that can't be are named") {
   const std::pair<const char*, void (*)(MembershipSettings&)> rows[] = {
-      {"members", [](auto& of) { of.members = kMostMembers + 1; }},
+      {"members", [](auto& of) { of.member_count = kMaxMembers + 1; }},
       {"self", [](auto& of) { of.self = 4; }},
-      {"period", [](auto& of) { of.period = 0us; }},
-      {"direct", [](auto& of) { of.direct = of.period; }},
-      {"proxies", [](auto& of) { of.proxies = -1; }},
-      {"suspicion", [](auto& of) { of.suspicion = 0; }},
-      {"forget", [](auto& of) { of.forget = 1s; }},
-      {"wake_after", [](auto& of) { of.wake_after = 1ms; }},
-      {"alone_after", [](auto& of) { of.alone_after = 1ms; }},
-      {"rumours", [](auto& of) { of.rumours = 0; }},
-      {"messages", [](auto& of) { of.messages = 1; }},
-      {"hurry", [](auto& of) { of.hurry = 17; }},
+      {"period", [](auto& of) { of.probe_interval = 0us; }},
+      {"direct", [](auto& of) { of.ping_timeout = of.probe_interval; }},
+      {"proxies", [](auto& of) { of.indirect_ping_count = -1; }},
+      {"suspicion", [](auto& of) { of.suspicion_multiplier = 0; }},
+      {"forget", [](auto& of) { of.failed_member_retention = 1s; }},
+      {"wake_after", [](auto& of) { of.stall_threshold = 1ms; }},
+      {"alone_after", [](auto& of) { of.isolation_timeout = 1ms; }},
+      {"rumours", [](auto& of) { of.gossip_updates_per_message = 0; }},
+      {"messages", [](auto& of) { of.max_messages_per_second = 1; }},
+      {"hurry", [](auto& of) { of.fast_probe_count = 17; }},
   };
   CHECK(settings_of(0, 4).fault().empty());
   for (const auto& [name, spoil] : rows) {
--- a/tests/dispatch/fleet_model.cpp
+++ b/tests/dispatch/fleet_model.cpp
@@ -41,7 +41,7 @@
 struct Envelope {
   MemberId from, to;
   Incarnation life;
-  Body body;
+  MessageBody body;
   bool operator==(const Envelope&) const = default;
 };
 
@@ -77,23 +77,23 @@
   explicit Search(Bounds bounds) : bounds_(bounds) {
     seen_.reserve(1 << 22);
     // A whole cold start with nothing lost comes first: all vote, and know the settings.
-    std::array<std::unique_ptr<Agreement>, kMembers> members;
+    std::array<std::unique_ptr<Consensus>, kMembers> members;
     for (MemberId i = 0; i < kMembers; ++i)
-      members[i] = std::make_unique<Agreement>(settings(i, 0), FleetPlan{}, kStart);
+      members[i] = std::make_unique<Consensus>(settings(i, 0), ClusterConfig{}, kStart);
     Time now = kStart;
     for (int step = 0; step < 100; ++step, now += Duration(1)) {
       std::vector<Envelope> mail;
-      const auto take = [&](MemberId from, const std::vector<Outgoing>& out) {
+      const auto take = [&](MemberId from, const std::vector<OutgoingMessage>& out) {
         for (const auto& one : out) mail.push_back({from, one.to, 0, one.body});
       };
-      for (MemberId i = 0; i < kMembers; ++i) take(i, members[i]->on_time(now));
+      for (MemberId i = 0; i < kMembers; ++i) take(i, members[i]->on_timer(now));
       for (std::size_t k = 0; k < mail.size(); ++k) {
         const auto one = mail[k];
         take(one.to, members[one.to]->receive(now, one.from, one.life, one.body));
       }
     }
     for (MemberId i = 0; i < kMembers; ++i) {
-      REQUIRE(members[i]->votes());
+      REQUIRE(members[i]->is_voting());
       first_.local[i] = intern(std::move(members[i]));
     }
     first_.timers = bounds.timers;
@@ -135,21 +135,22 @@
     bool possible;
   };
 
-  Agreement::Settings settings(MemberId self, Incarnation life) const {
-    Agreement::Settings s;
+  Consensus::Settings settings(MemberId self, Incarnation life) const {
+    Consensus::Settings s;
     s.self = self;
-    s.members = kMembers;
-    s.life = life;
-    s.round_span = s.ask_every = s.most_ask_every = s.backoff = s.most_backoff = Duration(1);
-    s.epoch_span = Duration(0);
-    s.cold_wait = s.ask_span = Duration(5);
-    s.takeover_pause = Duration(1);
-    s.renew_every = s.lease_span = s.propose_span = Duration(1'000'000'000'000);
-    s.wait_after_restart = bounds_.wait_after_restart;
+    s.member_count = kMembers;
+    s.process_incarnation = life;
+    s.proposal_timeout = s.recovery_query_interval = s.max_recovery_query_interval = s.initial_backoff =
+        s.max_backoff = Duration(1);
+    s.min_epoch_interval = Duration(0);
+    s.bootstrap_delay = s.query_timeout = Duration(5);
+    s.takeover_delay = Duration(1);
+    s.lease_renewal_interval = s.lease_duration = s.request_timeout = Duration(1'000'000'000'000);
+    s.recover_after_restart = bounds_.wait_after_restart;
     return s;
   }
 
-  std::uint32_t intern(std::unique_ptr<Agreement> member) {
+  std::uint32_t intern(std::unique_ptr<Consensus> member) {
     const auto [at, fresh] =
         local_ids_.emplace(member->encode(kFar), static_cast<std::uint32_t>(locals_.size()));
     if (fresh) {
@@ -173,24 +174,24 @@
     auto& known = results_[local];
     if (known.size() <= event) known.resize(event + 32);
     if (known[event]) return *known[event];
-    auto member = std::make_unique<Agreement>(*locals_[local]);
-    std::vector<Outgoing> out;
+    auto member = std::make_unique<Consensus>(*locals_[local]);
+    std::vector<OutgoingMessage> out;
     bool possible = true;
     if (event == kTimer) {
-      possible = member->due() < member->last_time() + kFar;
-      if (possible) out = member->on_time(member->due());
+      possible = member->next_due() < member->last_event_time() + kFar;
+      if (possible) out = member->on_timer(member->next_due());
     } else if (event == kPropose) {
-      FleetPlan plan;
+      ClusterConfig plan;
       plan.epoch = member->epoch() + 1;
       plan.fingerprint = 10U + i;
       possible = plan.epoch == (i == 0 ? 1 : bounds_.second) &&
-                 member->propose(member->last_time(), plan, out) == ProposeAnswer::kTaken;
+                 member->propose(member->last_event_time(), plan, out) == ProposeResult::kStarted;
     } else if (event == kRestart) {
-      member = std::make_unique<Agreement>(settings(i, ++life), FleetPlan{}, member->last_time());
-      out = member->on_time(member->due());
+      member = std::make_unique<Consensus>(settings(i, ++life), ClusterConfig{}, member->last_event_time());
+      out = member->on_timer(member->next_due());
     } else {
       const auto& one = envelopes_[event - kMessages];
-      out = member->receive(member->last_time(), one.from, one.life, one.body);
+      out = member->receive(member->last_event_time(), one.from, one.life, one.body);
     }
     auto made = std::make_unique<Result>();
     made->possible = possible;
@@ -238,8 +239,8 @@
   // it.
   bool useless(const State& state, std::uint32_t id) {
     const auto& one = envelopes_[id];
-    if (!std::holds_alternative<Promise>(one.body) && !std::holds_alternative<Refusal>(one.body) &&
-        !std::holds_alternative<Accepted>(one.body) && !std::holds_alternative<Tell>(one.body) &&
+    if (!std::holds_alternative<Promise>(one.body) && !std::holds_alternative<Nack>(one.body) &&
+        !std::holds_alternative<Accepted>(one.body) && !std::holds_alternative<RecoveryReply>(one.body) &&
         !(state.restarts == 0 && std::holds_alternative<Chosen>(one.body))) {
       return false;
     }
@@ -249,12 +250,14 @@
   }
 
   // The invariants, at what has changed.
-  void note(const Agreement& before, const Agreement& after, MemberId i, State& state) {
-    if (after.voted_in_life() != 0) state.voted[i] |= 1U << after.voted_in_life();
+  void note(const Consensus& before, const Consensus& after, MemberId i, State& state) {
+    if (after.highest_voted_epoch_of_process() != 0)
+      state.voted[i] |= 1U << after.highest_voted_epoch_of_process();
     if (!bounds_.plans_only && (state.voted[i] & state.voted_before[i]) != 0)
       fault_ = "voted in two lives in one epoch";
-    if (after.accepted() && (before.accepted() != after.accepted() || before.epoch() != after.epoch())) {
-      const Vote vote{after.epoch() + 1, after.accepted()->round, after.accepted()->member,
+    if (after.accepted_ballot() &&
+        (before.accepted_ballot() != after.accepted_ballot() || before.epoch() != after.epoch())) {
+      const Vote vote{after.epoch() + 1, after.accepted_ballot()->round, after.accepted_ballot()->member,
                       after.accepted_plan()->fingerprint, 1U << i};
       // In order, so that the way to a state leaves no trace in it.
       const auto less = [](const Vote& a, const Vote& b) {
@@ -284,10 +287,11 @@
     if (after.epoch() != 0 && chosen.at(after.epoch()) != after.plan().fingerprint) {
       fault_ = "a plan is known that was not chosen";
     }
-    if (after.figures().contradictions != 0) fault_ = "two plans known of one epoch";
+    if (after.metrics().conflicting_plans != 0) fault_ = "two plans known of one epoch";
     if (after.epoch() < before.epoch() && state.life[i] == 0) fault_ = "an epoch went back";
     if (after.epoch() == 2) reached_.insert("epoch 2");
-    if (state.life[i] != 0 && after.voted_in_life() != 0) reached_.insert("a vote in a second life");
+    if (state.life[i] != 0 && after.highest_voted_epoch_of_process() != 0)
+      reached_.insert("a vote in a second life");
     if (state.votes[2].by != 0 && state.votes[2].epoch == 1) reached_.insert("three ballots accepted");
   }
 
@@ -302,7 +306,7 @@
   std::size_t transitions_ = 0;
   std::string fault_;
   std::set<std::string> reached_;
-  std::vector<std::unique_ptr<Agreement>> locals_;
+  std::vector<std::unique_ptr<Consensus>> locals_;
   std::unordered_map<std::string, std::uint32_t> local_ids_;
   std::vector<Envelope> envelopes_;
   std::map<std::tuple<MemberId, MemberId, std::size_t>, std::vector<std::uint32_t>> envelope_ids_;
--- a/tests/dispatch/fleet_processes.cpp
+++ b/tests/dispatch/fleet_processes.cpp
@@ -34,7 +34,7 @@
 }
 
 json fleet_config(std::size_t members, std::size_t self, const std::vector<std::string>& peers) {
-  json config = base_config();
+  json config = default_dispatcher_config();
   config["seed"] = "5";  // the same everywhere, as operators have it
   config["engines"] =
       json::array({{{"id", "e"}, {"host_port", "127.0.0.1:9"}, {"locality", "z"}, {"flavor", "m"}}});
@@ -50,9 +50,9 @@
  public:
   explicit Fleet(std::size_t members, std::uint64_t seed = 1) : relay_(seed), members_(members) {
     for (std::size_t i = 0; i < members; ++i) {
-      doors_.push_back(relay_.with([&](Relay& relay) {
-        relay.is_at(node(i), *parse_endpoint(own_address(i)));
-        return relay.stand_for(node(i)).text();
+      doors_.push_back(relay_.run_on_thread([&](FaultInjectingNetwork& relay) {
+        relay.set_real_address(node(i), *parse_socket_address(own_address(i)));
+        return relay.proxy_address_of(node(i)).to_string();
       }));
     }
     for (std::size_t i = 0; i < members; ++i) {
@@ -71,40 +71,42 @@
   }
   template <class Act>
   void net(Act act) {
-    relay_.with([&](Relay& relay) { act(relay); });
+    relay_.run_on_thread([&](FaultInjectingNetwork& relay) { act(relay); });
+  }
+  static FaultInjectingNetwork::Node node(std::size_t i) {
+    return static_cast<FaultInjectingNetwork::Node>(i);
   }
-  static Relay::Node node(std::size_t i) { return static_cast<Relay::Node>(i); }
   // Nothing passes between this member and the others, as far as the ways go.
   void cut(std::size_t member, bool out, bool in, bool is_cut = true) {
-    net([&](Relay& relay) {
+    net([&](FaultInjectingNetwork& relay) {
       for (std::size_t i = 0; i < members_.size(); ++i) {
-        RelayRule rule;
-        rule.cut = is_cut;
+        LinkRule rule;
+        rule.is_partitioned = is_cut;
         if (i != member && out) relay.set_rule(node(member), node(i), rule);
         if (i != member && in) relay.set_rule(node(i), node(member), rule);
       }
     });
   }
   const std::string& folder(std::size_t i) const { return members_[i].folder; }
-  Process& process(std::size_t i) { return members_[i].process; }
+  DispatcherProcess& process(std::size_t i) { return members_[i].process; }
   void zones(std::size_t i, const std::vector<std::string>& names) {
     json config = fleet_config(members_.size(), i, doors_);
     config["settings"]["localities"] = names;
     std::ofstream(members_[i].folder + "/config.json") << config.dump();
   }
-  void start(std::size_t i, Process& process) {
+  void start(std::size_t i, DispatcherProcess& process) {
     const std::string& folder = members_[i].folder;
     process.start(folder, folder + "/log" + std::to_string(++members_[i].starts), {}, false,
                   folder + "/fleet.toml");
-    process.wait_for("ready to serve");
+    process.wait_for_log("ready to serve");
   }
-  void start(std::size_t i) { start(i, process(i) = Process()); }
+  void start(std::size_t i) { start(i, process(i) = DispatcherProcess()); }
   void start() {
     for (std::size_t i = 0; i < members_.size(); ++i) start(i);
   }
 
   std::uint64_t figure(std::size_t i, const std::string& name) {
-    const std::string all = call_operators(process(i), "METRICS"), before = "\nsvc.fleet." + name + "=";
+    const std::string all = call_admin(process(i), "METRICS"), before = "\nsvc.fleet." + name + "=";
     const auto at = all.find(before);
     return at == std::string::npos ? 0 : std::stoull(all.substr(at + before.size()));
   }
@@ -115,13 +117,13 @@
   }
   template <class Holds>
   void wait(const std::string& what, Holds holds) {
-    const auto until = std::chrono::steady_clock::now() + 2 * kPatience;
+    const auto until = std::chrono::steady_clock::now() + 2 * kWaitLimit;
     while (!holds()) {
       if (std::chrono::steady_clock::now() > until) {
         std::string text = "never: " + what + "\n";
         for (std::size_t i = 0; i < members_.size(); ++i)
-          text += process(i).log() + call_operators(process(i), "METRICS") + "\n";
-        fail(text);
+          text += process(i).log() + call_admin(process(i), "METRICS") + "\n";
+        fail_test(text);
       }
       std::this_thread::sleep_for(20ms);
     }
@@ -147,11 +149,11 @@
  private:
   struct Member {
     std::string folder;
-    Process process;
+    DispatcherProcess process;
     int starts = 0;
   };
-  std::string root_ = new_folder();
-  RelayThread relay_;
+  std::string root_ = make_temporary_directory();
+  FaultInjectingNetworkThread relay_;
   std::vector<std::string> doors_;
   std::vector<Member> members_;
 };
@@ -179,11 +181,12 @@
                          Row{"each datagram twice", 3, 0, 1, 0, false}, Row{"two apart", 3, 0, 0, 0, true}}) {
     CAPTURE(row.name);
     Fleet fleet(row.members, 7);
-    fleet.net([&](Relay& relay) {
-      RelayRule rule;
-      rule.drop = row.drop, rule.twice = row.twice, rule.swap = row.swap;
-      relay.set_usual(rule);
-      if (row.apart) relay.cut(0, 1);
+    fleet.net([&](FaultInjectingNetwork& relay) {
+      LinkRule rule;
+      rule.loss_probability = row.drop, rule.duplicate_probability = row.twice,
+      rule.reorder_probability = row.swap;
+      relay.set_default_rule(rule);
+      if (row.apart) relay.set_partitioned(0, 1);
     });
     fleet.start();
     fleet.wait_whole();
@@ -207,7 +210,7 @@
     fleet.wait(2, "standing", 1);
     for (std::size_t i : {0u, 1u}) {
       fleet.zones(i, {"z", "y"});
-      fleet.process(i).signal(SIGHUP);
+      fleet.process(i).send_signal(SIGHUP);
     }
     for (std::size_t i : {0u, 1u}) {
       fleet.wait(i, "reads_plan", 1);
@@ -217,7 +220,7 @@
     CHECK(fleet.figure(2, "standing") != 2);
     if (row.in) CHECK(fleet.figure(2, "epoch") == epoch);
     fleet.zones(2, {"z", "y"});
-    fleet.process(2).signal(SIGHUP);
+    fleet.process(2).send_signal(SIGHUP);
     fleet.cut(2, true, true, false);
     fleet.wait_whole();
     CHECK(fleet.figure(2, "epoch") > epoch);
@@ -229,11 +232,11 @@
   fleet.start();
   fleet.wait_whole();
   const auto wakes = fleet.figure(1, "wakes");
-  fleet.process(1).signal(SIGSTOP);
+  fleet.process(1).send_signal(SIGSTOP);
   for (std::size_t i : {0u, 2u}) fleet.wait(i, "alive", 2);
   std::this_thread::sleep_for(3s);  // longer than any lease that it had
   fleet.cut(1, true, true);
-  fleet.process(1).signal(SIGCONT);
+  fleet.process(1).send_signal(SIGCONT);
   fleet.wait("it has noticed", [&] { return fleet.figure(1, "wakes") > wakes; });
   all_along(1500ms, [&] { return fleet.figure(1, "standing") != 2; });
   for (std::size_t i : {0u, 2u}) fleet.wait(i, "standing", 2);
@@ -246,14 +249,14 @@
   fleet.start();
   fleet.wait_whole();
   // An epoch that is not the settings', so that one that forgets it would be seen.
-  for (std::size_t i = 0; i < 3; ++i) fleet.zones(i, {"z", "y"}), fleet.process(i).signal(SIGHUP);
+  for (std::size_t i = 0; i < 3; ++i) fleet.zones(i, {"z", "y"}), fleet.process(i).send_signal(SIGHUP);
   fleet.wait("a plan with the new zones", [&] { return fleet.figure(0, "epoch") >= 1; });
   fleet.wait_whole();
   for (const std::size_t member : {2u, 0u, 1u}) {
     CAPTURE(member);
     const auto epoch = fleet.figure(member, "epoch");
-    fleet.process(member).signal(SIGKILL);
-    fleet.process(member).exit_code();
+    fleet.process(member).send_signal(SIGKILL);
+    fleet.process(member).wait_for_exit();
     fleet.cut(member, true, true);
     fleet.start(member);
     all_along(700ms, [&] { return fleet.figure(member, "votes") == 0; });
@@ -274,7 +277,7 @@
   fleet.cut(0, true, true);
   fleet.wait(0, "majority", 0);
   fleet.zones(0, {"z", "y"});
-  fleet.process(0).signal(SIGHUP);
+  fleet.process(0).send_signal(SIGHUP);
   fleet.wait(0, "reads_plan", 0);
   fleet.cut(0, true, true, false);
   for (std::size_t i = 0; i < 3; ++i) fleet.wait(i, "reads_plan", i == 0);
@@ -282,13 +285,13 @@
   fleet.wait(0, "standing", 2);
   fleet.wait(1, "standing", 1);
   CHECK(fleet.process(1).log().find("localities=\"z\"") != std::string::npos);
-  for (std::size_t i : {1u, 2u}) fleet.zones(i, {"z", "y"}), fleet.process(i).signal(SIGHUP);
+  for (std::size_t i : {1u, 2u}) fleet.zones(i, {"z", "y"}), fleet.process(i).send_signal(SIGHUP);
   fleet.wait_whole();
   CHECK(fleet.everywhere("epoch") == Values(3, epoch + 1));
 
   SECTION("two with different ones don't outbid each other for ever") {
-    fleet.zones(0, {"z", "a"}), fleet.process(0).signal(SIGHUP);
-    fleet.zones(1, {"z", "b"}), fleet.process(1).signal(SIGHUP);
+    fleet.zones(0, {"z", "a"}), fleet.process(0).send_signal(SIGHUP);
+    fleet.zones(1, {"z", "b"}), fleet.process(1).send_signal(SIGHUP);
     fleet.wait("both had their turn", [&] {
       const Values reads = fleet.everywhere("reads_plan"), epochs = fleet.everywhere("epoch");
       return reads[0] + reads[1] == 1 && reads[2] == 0 && epochs == Values(3, epochs[0]) &&
@@ -310,7 +313,7 @@
   fleet.wait("each side knows its own", [&] { return fleet.everywhere("alive") == Values{2, 2, 1}; });
   CHECK(fleet.figure(2, "standing") != 2);
   write_key(fleet.folder(2) + "/key", kKeyText);
-  fleet.process(2).signal(SIGHUP);
+  fleet.process(2).send_signal(SIGHUP);
   fleet.wait_whole();
 }
 
@@ -325,11 +328,11 @@
       write_key(fleet.folder(i) + "/former", second);
       std::ofstream(fleet.folder(i) + "/fleet.toml")
           << "[fleet]\nkey = \"key\"\nformer_key = \"former\"\nperiod_ms = 100\nlease_ms = 1000\n";
-      const std::string before = call_operators(fleet.process(i), "METRICS");
+      const std::string before = call_admin(fleet.process(i), "METRICS");
       const auto loads = before.substr(before.find("svc.loads="));
-      fleet.process(i).signal(SIGHUP);
+      fleet.process(i).send_signal(SIGHUP);
       fleet.wait("it is taken", [&] {
-        return call_operators(fleet.process(i), "METRICS").find(loads.substr(0, loads.find('\n') + 1)) ==
+        return call_admin(fleet.process(i), "METRICS").find(loads.substr(0, loads.find('\n') + 1)) ==
                std::string::npos;
       });
     }
@@ -344,8 +347,8 @@
   fleet.wait_whole();
   write_key(fleet.folder(0) + "/key", "short");
   fleet.zones(0, {"z", "y"});
-  fleet.process(0).signal(SIGHUP);
-  fleet.process(0).wait_for("the former settings stay: fleet.key");
+  fleet.process(0).send_signal(SIGHUP);
+  fleet.process(0).wait_for_log("the former settings stay: fleet.key");
   const auto received = fleet.figure(0, "received");
   fleet.wait("it hears on", [&] { return fleet.figure(0, "received") > received + 20; });
   CHECK(fleet.figure(0, "reads_plan") == 1);
@@ -356,12 +359,12 @@
 TEST_CASE("fleet processes: started with other zones, a dispatcher makes no plan of them by itself") {
   Fleet fleet(3);
   fleet.start();
-  for (std::size_t i = 0; i < 3; ++i) fleet.zones(i, {"z", "y"}), fleet.process(i).signal(SIGHUP);
+  for (std::size_t i = 0; i < 3; ++i) fleet.zones(i, {"z", "y"}), fleet.process(i).send_signal(SIGHUP);
   fleet.wait("a plan", [&] { return fleet.figure(2, "epoch") >= 1; });
   fleet.wait_whole();
   const Values epochs = fleet.everywhere("epoch");
-  fleet.process(2).signal(SIGKILL);
-  fleet.process(2).exit_code();
+  fleet.process(2).send_signal(SIGKILL);
+  fleet.process(2).wait_for_exit();
   fleet.zones(2, {"z"});
   fleet.start(2);
   fleet.wait("it has the plan", [&] { return fleet.figure(2, "epoch") >= epochs[0]; });
@@ -374,23 +377,23 @@
   Fleet fleet(3);
   fleet.start();
   fleet.wait_whole();
-  Process old = std::move(fleet.process(2));
+  DispatcherProcess old = std::move(fleet.process(2));
   fleet.start(2);
-  fleet.process(2).wait_for("peer_listen can't be bound yet");
+  fleet.process(2).wait_for_log("peer_listen can't be bound yet");
   CHECK(fleet.figure(2, "standing") == 0);
-  old.signal(SIGTERM);
-  CHECK(old.exit_code() == 0);
+  old.send_signal(SIGTERM);
+  CHECK(old.wait_for_exit() == 0);
   fleet.wait_whole();
   // And without one: the others go on.
-  fleet.process(2).signal(SIGTERM);
-  CHECK(fleet.process(2).exit_code() == 0);
+  fleet.process(2).send_signal(SIGTERM);
+  CHECK(fleet.process(2).wait_for_exit() == 0);
   for (std::size_t i : {0u, 1u}) fleet.wait(i, "alive", 2), fleet.wait(i, "standing", 2);
   fleet.start(2);
   fleet.wait_whole();
 }
 
 TEST_CASE("fleet processes: --check names the key that is at fault") {
-  const std::string folder = new_folder();
+  const std::string folder = make_temporary_directory();
   write_key(folder + "/good", kKeyText);
   write_key(folder + "/short", "short");
   write_key(folder + "/open", kKeyText, 0604);
--- a/tests/dispatch/lists.cpp
+++ b/tests/dispatch/lists.cpp
@@ -16,10 +16,10 @@
 namespace {
 
 using namespace std::chrono_literals;
-using decide::DirectoryPath;
-using decide::ListOrder;
+using decide::DiscoveryPath;
+using decide::EndpointListVersion;
 
-constexpr Endpoint kAnywhere{0x7f000001, 0};
+constexpr SocketAddress kAnywhere{0x7f000001, 0};
 
 TEST_CASE("directory path: fresh sockets, and what an operator is told, by what was answered") {
   struct Case {
@@ -44,27 +44,27 @@
            Case{"qaqqqqqqqsql", "FFSXA"},
        }) {
     INFO(steps);
-    DirectoryPath path;
+    DiscoveryPath path;
     std::string got;
-    const auto tell = [&](DirectoryPath::News news) {
-      if (news != DirectoryPath::News::kNone) got += names[static_cast<std::size_t>(news)];
+    const auto tell = [&](DiscoveryPath::Event news) {
+      if (news != DiscoveryPath::Event::kNone) got += names[static_cast<std::size_t>(news)];
     };
     for (const char step : steps) {
-      if (step == 'q' && path.wants_fresh()) path.opened(), got += 'F';
-      if (step == 'q') tell(path.asked());
-      if (step == 'r') tell(path.refused());
-      if (step != 'q' && step != 'r') tell(path.answered(step == 'a', step != 's'));
+      if (step == 'q' && path.needs_new_socket()) path.on_socket_opened(), got += 'F';
+      if (step == 'q') tell(path.on_poll_sent());
+      if (step == 'r') tell(path.on_refused());
+      if (step != 'q' && step != 'r') tell(path.on_response(step == 'a', step != 's'));
     }
     CHECK(got == told);
   }
-  DirectoryPath none;  // where no fresh socket is to be had the operator is told all the same
+  DiscoveryPath none;  // where no fresh socket is to be had the operator is told all the same
   std::string got;
-  for (int i = 0; i < 20; ++i) got += names[static_cast<std::size_t>(none.asked())];
+  for (int i = 0; i < 20; ++i) got += names[static_cast<std::size_t>(none.on_poll_sent())];
   CHECK(got == "------S-------------");
 }
 
 TEST_CASE("list order: by serial, and by when it was asked for") {
-  using Place = ListOrder::Place;
+  using Place = EndpointListVersion::Ordering;
   struct Step {
     std::uint32_t serial;
     Duration asked, now;
@@ -79,31 +79,32 @@
            // Overtaken on its way, however late.
            Case{5, {{6, 2s, 3s, Place::kNewer}, {5, 1s, 4s, Place::kOlder}, {5, 3s, 30s, Place::kOlder}}},
            // The numbers wrap round.
-           Case{0xffffffff, {{0, 1s, 1s, Place::kNewer}, {0xffffffff, 2s, 2s, Place::kWentBack}}},
+           Case{0xffffffff, {{0, 1s, 1s, Place::kNewer}, {0xffffffff, 2s, 2s, Place::kSuspectedRestart}}},
            Case{0, {{0x7fffffff, 1s, 1s, Place::kNewer}, {0x80000000, 2s, 2s, Place::kNewer}}},
            // A server that lags now and then is never believed,
            Case{9,
-                {{8, 1s, 1s, Place::kWentBack},
+                {{8, 1s, 1s, Place::kSuspectedRestart},
                  {8, 7s, 7s, Place::kOlder},
                  {9, 7s, 7s, Place::kSame},
-                 {8, 9s, 9s, Place::kWentBack},
+                 {8, 9s, 9s, Place::kSuspectedRestart},
                  {8, 15s, 15s, Place::kOlder}}},
            // one that starts anew is, once no newer list can be on its way,
            Case{9,
-                {{2, 1s, 1s, Place::kWentBack},
+                {{2, 1s, 1s, Place::kSuspectedRestart},
                  {3, 7999ms, 7999ms, Place::kOlder},
-                 {3, 8s, 8s, Place::kStartedAnew},
+                 {3, 8s, 8s, Place::kServerRestarted},
                  {3, 9s, 9s, Place::kSame},
                  {4, 9s, 9s, Place::kNewer}}},
            // and its former numbers are newer ones again.
-           Case{
-               9,
-               {{2, 1s, 1s, Place::kWentBack}, {2, 8s, 8s, Place::kStartedAnew}, {9, 8s, 9s, Place::kNewer}}},
+           Case{9,
+                {{2, 1s, 1s, Place::kSuspectedRestart},
+                 {2, 8s, 8s, Place::kServerRestarted},
+                 {9, 8s, 9s, Place::kNewer}}},
        }) {
-    ListOrder order(first, Time(0s));
+    EndpointListVersion order(first, Time(0s));
     for (const auto& step : steps) {
       INFO(step.serial << " at " << step.now.count());
-      CHECK(order.place(step.serial, Time(step.asked), Time(step.now)) == step.place);
+      CHECK(order.classify(step.serial, Time(step.asked), Time(step.now)) == step.place);
     }
   }
 }
@@ -116,21 +117,21 @@
   for (const auto& [unheard, told] :
        {Case{std::nullopt, 10s}, Case{Time(9950ms), 10s}, Case{Time(9780ms), 10s}, Case{Time(9s), 9220ms},
         Case{Time(1s), 1220ms}}) {
-    CHECK(decide::told_since(unheard, 220ms, Time(10s)) == Time(told));
+    CHECK(decide::announced_since(unheard, 220ms, Time(10s)) == Time(told));
   }
 }
 
 // A directory in the test's own loop: each question is answered, held or dropped as the test says.
-struct Server final : Watcher {
+struct Server final : EventHandler {
   struct Question {
     std::string query;
     sockaddr_in from;
     std::uint16_t port() const { return ntohs(from.sin_port); }
   };
-  Server(Loop& its_loop, std::function<void(const Question&)> then)
+  Server(EventLoop& its_loop, std::function<void(const Question&)> then)
       : loop(its_loop), asked(std::move(then)), fd(bind_udp(kAnywhere)), key(loop.watch(fd.get(), *this)) {}
   ~Server() { loop.unwatch(key, fd.get()); }
-  Endpoint at() const { return {kAnywhere.ip, local_port(fd)}; }
+  SocketAddress at() const { return {kAnywhere.ip, local_port(fd)}; }
   void on_ready(std::uint32_t) override {
     char bytes[1024];
     for (;;) {
@@ -151,7 +152,7 @@
   // One engine, whose port is the serial: a list is told apart by it.
   static std::string list(const Question& of, std::uint32_t serial, bool draining = false) {
     const auto state = draining ? lemonshift::EngineState::kDraining : lemonshift::EngineState::kServing;
-    return test::dns_answer(
+    return test::make_dns_response(
         of.query, serial,
         {{"a", {kAnywhere.ip, static_cast<std::uint16_t>(serial)}, state, "z", "m", 0, 1, std::nullopt}});
   }
@@ -162,9 +163,9 @@
     return all;
   }
 
-  Loop& loop;
+  EventLoop& loop;
   std::function<void(const Question&)> asked;
-  Fd fd;
+  FileDescriptor fd;
   SlotKey key;
   std::vector<Question> questions;
 };
@@ -172,18 +173,18 @@
 struct Rig {
   explicit Rig(std::function<void(const Server::Question&)> asked, Duration its_poll = 5ms)
       : poll(its_poll), server(loop, std::move(asked)) {}
-  void start(const Endpoint& at) {
+  void start(const SocketAddress& at) {
     directory.emplace(loop, log, at, "_app._tcp.cluster.lan", poll, 1, 7,
-                      [this](const std::vector<Member>& members) {
+                      [this](const std::vector<EngineEndpoint>& members) {
                         told.push_back(members.at(0).address.port);
-                        when.push_back({directory->told_since(), loop.now()});
+                        when.push_back({directory->list_effective_since(), loop.now()});
                       });
   }
   void run(std::function<bool()> done) {
-    loop.each_turn([this, done] {
+    loop.on_iteration_end([this, done] {
       if (done()) loop.stop();
     });
-    loop.at(loop.now() + test::kPatience, [this] {
+    loop.run_at(loop.now() + test::kWaitLimit, [this] {
       late = true;
       loop.stop();
     });
@@ -198,11 +199,11 @@
   }
 
   Duration poll;
-  Loop loop;
+  EventLoop loop;
   std::ostringstream text;
-  Log log{text, Level::kDebug, "h", "a"};
+  Logger log{text, LogLevel::kDebug, "h", "a"};
   Server server;
-  std::optional<DnsDirectory> directory;
+  std::optional<DnsDiscoveryClient> directory;
   std::vector<std::uint16_t> told;
   struct When {
     Time since, now;
@@ -262,15 +263,15 @@
   Rig* its = nullptr;
   Rig rig([&](const Server::Question& one) { its->server.answer(one, 2); });
   its = &rig;
-  Fd nobody = bind_udp(kAnywhere);
-  const Endpoint at{kAnywhere.ip, local_port(nobody)};
+  FileDescriptor nobody = bind_udp(kAnywhere);
+  const SocketAddress at{kAnywhere.ip, local_port(nobody)};
   nobody.reset();
   rig.start(at);
   bool moved = false;
   rig.run([&] {
     if (!moved && rig.lines("refused: nobody listens there") == 1) {
       moved = true;
-      rig.directory->move_to(rig.server.at(), "_app._tcp.cluster.lan", rig.poll);
+      rig.directory->change_server(rig.server.at(), "_app._tcp.cluster.lan", rig.poll);
     }
     return !rig.told.empty();
   });
@@ -337,7 +338,7 @@
   its = &rig;
   Server elsewhere(rig.loop, [&](const Server::Question& one) { elsewhere.answer(one, 4); });
   rig.start(rig.server.at());
-  std::optional<test::AllDescriptorsTaken> all_taken;
+  std::optional<test::DescriptorExhaustion> all_taken;
   bool none_left = false, moved = false;
   rig.run([&] {
     if (!all_taken && rig.told.size() == 1) {
@@ -346,7 +347,7 @@
     }
     if (!moved && rig.told.size() == 2) {
       moved = true;
-      rig.directory->move_to(elsewhere.at(), "_app._tcp.cluster.lan", rig.poll);
+      rig.directory->change_server(elsewhere.at(), "_app._tcp.cluster.lan", rig.poll);
     }
     if (rig.told.size() < 3 && !rig.late) return false;
     all_taken.reset();  // a check that fails, and a sanitizer's own, need descriptors
--- a/tests/dispatch/orders.cpp
+++ b/tests/dispatch/orders.cpp
@@ -15,18 +15,18 @@
 
 using namespace rookproxy;
 using namespace std::chrono_literals;
-using lemonshift::Effect;
 using lemonshift::EngineState;
-using lemonshift::RepeatScope;
+using lemonshift::Idempotency;
+using lemonshift::IdempotencyScope;
 
 namespace {
 
 // An engine at a word: what reaches it is kept by connection, and it says what the test says.
 struct Engine {
-  Fd listener = test::listen_anywhere();
-  Endpoint address{0x7f000001, local_port(listener)};
-  std::vector<test::Peer> peers;
-  std::vector<Fd> filling;
+  FileDescriptor listener = test::listen_on_free_port();
+  SocketAddress address{0x7f000001, local_port(listener)};
+  std::vector<test::TestConnection> peers;
+  std::vector<FileDescriptor> filling;
   // The kernel drops tries to connect, and the one who tries comes again a second later.
   void fill() {
     ::listen(listener.get(), 0);
@@ -34,13 +34,13 @@
   }
   void let() {
     filling.clear();
-    while (test::readable(listener, 20ms)) accept_from(listener);
+    while (test::wait_until_readable(listener, 20ms)) accept_connection(listener);
     ::listen(listener.get(), 64);
   }
   void look() {
-    while (test::readable(listener, 0ms)) peers.emplace_back(accept_from(listener));
+    while (test::wait_until_readable(listener, 0ms)) peers.emplace_back(accept_connection(listener));
     for (auto& peer : peers) {
-      while (peer.fd() && !peer.ended() && peer.more(0ms)) continue;
+      while (peer.fd() && !peer.has_ended() && peer.read_more(0ms)) continue;
     }
   }
   // The ids of all requests that reached it.
@@ -59,7 +59,7 @@
     const auto all = ids();
     return std::find(all.begin(), all.end(), id) != all.end();
   }
-  test::Peer& peer_of(const std::string& id) {
+  test::TestConnection& peer_of(const std::string& id) {
     for (auto& peer : peers) {
       if (peer.buffer().find("REQ " + id + " ") != std::string::npos) return peer;
     }
@@ -77,48 +77,49 @@
   lemonshift::Settings settings;
   settings.zones = 2;
   settings.max_attempts = 4;
-  settings.drain_grace = to_module(Duration(500ms));
-  settings.kinds = {{"k", 8, 8000}};
-  const auto add = [&](const char* name, Effect effect, std::optional<RepeatScope> scope, Duration window) {
+  settings.drain_grace_period = to_routing_duration(Duration(500ms));
+  settings.machine_types = {{"k", 8, 8000}};
+  const auto add = [&](const char* name, Idempotency effect, std::optional<IdempotencyScope> scope,
+                       Duration window) {
     lemonshift::ClassSettings cls;
-    cls.name = name, cls.effect = effect, cls.repeat_scope = scope;
-    cls.aim = cls.deadline = to_module(Duration(9s));
-    if (scope) cls.repeat_window = to_module(window);
+    cls.name = name, cls.idempotency = effect, cls.idempotency_scope = scope;
+    cls.latency_objective = cls.timeout = to_routing_duration(Duration(9s));
+    if (scope) cls.idempotency_window = to_routing_duration(window);
     settings.classes.push_back(cls);
   };
-  add("safe", Effect::kSafe, std::nullopt, {});
-  add("unsafe", Effect::kUnsafe, std::nullopt, {});
-  add("anywhere", Effect::kKeyed, RepeatScope::kAll, 800ms);
-  add("cell", Effect::kKeyed, RepeatScope::kCell, 800ms);
+  add("safe", Idempotency::kIdempotent, std::nullopt, {});
+  add("unsafe", Idempotency::kNonIdempotent, std::nullopt, {});
+  add("anywhere", Idempotency::kKeyed, IdempotencyScope::kAll, 800ms);
+  add("cell", Idempotency::kKeyed, IdempotencyScope::kCell, 800ms);
   settings.may_cancel = true;
   return settings;
 }
 
 PoolLimits limits() {
   PoolLimits limits;
-  limits.per_connection = limits.spread = 8;
-  limits.dial_timeout = 9s;
-  limits.answer_time = 100ms;
-  limits.page_time = 300ms;
-  limits.silence = Duration(0);
+  limits.max_streams_per_connection = limits.preferred_streams_per_connection = 8;
+  limits.connect_timeout = 9s;
+  limits.response_timeout = 100ms;
+  limits.page_timeout = 300ms;
+  limits.unresponsive_timeout = Duration(0);
   return limits;
 }
 
-struct Bench final : Asker {
+struct Bench final : ResponseHandler {
   explicit Bench(PoolLimits limits = ::limits())
-      : log(text, Level::kDebug, "h", "a"),
+      : log(text, LogLevel::kDebug, "h", "a"),
         core(loop, log, figures, settings(), {"z0", "z1"}, {}),
         pool(loop, log, core, figures, limits) {
-    core.use(pool);
-    loop.each_turn([this] { core.settle(); });
+    core.set_transport(pool);
+    loop.on_iteration_end([this] { core.process_events(); });
   }
   void list(const std::vector<std::pair<Engine*, EngineState>>& engines) {
-    std::vector<Member> members;
+    std::vector<EngineEndpoint> members;
     for (const auto& [engine, state] : engines) {
-      members.push_back({engine->address.text(), engine->address, state, "z0", "k", 0, 1, std::nullopt});
+      members.push_back({engine->address.to_string(), engine->address, state, "z0", "k", 0, 1, std::nullopt});
     }
-    core.learn_members(members, false);
-    core.settle();
+    core.update_endpoints(members, false);
+    core.process_events();
   }
   RequestKey ask(const char* cls, Duration ttl = 8s, std::size_t bytes = 8) {
     auto query = std::make_shared<Query>();
@@ -126,38 +127,38 @@
     query->class_name = cls;
     query->statement.assign(bytes, 'x');
     answers.emplace_back();
-    const RequestKey key = core.accept(
-        {query, *core.class_named(cls), 1, loop.now() + ttl, Duration(1ms), {}, false, ""}, *this, asked);
-    core.settle();
+    const RequestKey key = core.submit(
+        {query, *core.find_class(cls), 1, loop.now() + ttl, Duration(1ms), {}, false, ""}, *this, asked);
+    core.process_events();
     return key;
   }
   std::string last() const { return std::to_string(asked); }
   template <class Holds>
-  bool run_until(Holds holds, Duration patience = Duration(test::kPatience)) {
+  bool run_until(Holds holds, Duration patience = Duration(test::kWaitLimit)) {
     const Time end = loop.now() + patience;
     bool held = false;
     std::function<void()> look = [&] {
       held = holds();
       if (held || loop.now() >= end) return loop.stop();
-      loop.at(loop.now() + 1ms, look);
+      loop.run_at(loop.now() + 1ms, look);
     };
-    loop.at(loop.now(), look);
+    loop.run_at(loop.now(), look);
     loop.run();
     return held;
   }
-  Verdict on_answer(std::uint64_t ticket, Answer answer) override {
+  ResponseStatus on_response(std::uint64_t ticket, Response answer) override {
     answers[ticket - 1] = answer;
-    return answer.verdict;
+    return answer.status;
   }
 
   std::ostringstream text;
-  Loop loop;
-  Log log;
-  Figures figures;
+  EventLoop loop;
+  Logger log;
+  Metrics figures;
   Dispatcher core;
-  LinesPool pool;
+  LineProtocolPool pool;
   std::uint64_t asked = 0;
-  std::vector<std::optional<Answer>> answers;  // by ticket, from 1
+  std::vector<std::optional<Response>> answers;  // by ticket, from 1
 };
 
 constexpr auto kUp = EngineState::kServing, kDrains = EngineState::kDraining;
@@ -165,16 +166,16 @@
 }  // namespace
 
 TEST_CASE("orders: where and until when an attempt may begin, and what may be refused") {
-  using decide::RepeatPlace;
+  using decide::RetryScope;
   const Time now(100s), far(1000s);
-  const decide::Place here{"z0", 1}, next_cell{"z0", 2}, other_zone{"z1", 1};
-  const auto ran = [&](decide::Place to, Duration ago = 1s) {
+  const decide::EngineLocation here{"z0", 1}, next_cell{"z0", 2}, other_zone{"z1", 1};
+  const auto ran = [&](decide::EngineLocation to, Duration ago = 1s) {
     return decide::SentAttempt{now - ago, to, false, true};
   };
   const auto never = decide::SentAttempt{now - 9s, other_zone, false, false};
   const auto out = decide::SentAttempt{now - 1s, here, true, true};
   struct Row {
-    RepeatPlace place;
+    RetryScope place;
     std::optional<Duration> window;
     bool copies;
     std::vector<decide::SentAttempt> others;
@@ -183,15 +184,15 @@
     Time begin_by;
   };
   const std::vector<Row> rows{
-      {RepeatPlace::kAnywhere, {}, false, {}, far, Time::max(), "", far},
-      {RepeatPlace::kAnywhere, {}, false, {ran(other_zone)}, far, Time::max(), "", far},
-      {RepeatPlace::kAnywhere, {}, false, {out}, far, Time::max(), "an attempt is out", far},
-      {RepeatPlace::kAnywhere, {}, true, {out}, far, Time::max(), "", far},
-      {RepeatPlace::kNowhere, {}, true, {out}, far, Time::max(), "it may have run", far},
-      {RepeatPlace::kNowhere, {}, false, {ran(here)}, far, Time::max(), "it may have run", far},
-      {RepeatPlace::kNowhere, {}, false, {never, never}, far, Time::max(), "", far},
-      {RepeatPlace::kZone, 5s, false, {ran(next_cell)}, far, Time::max(), "", now + 4s},
-      {RepeatPlace::kZone,
+      {RetryScope::kAnywhere, {}, false, {}, far, Time::max(), "", far},
+      {RetryScope::kAnywhere, {}, false, {ran(other_zone)}, far, Time::max(), "", far},
+      {RetryScope::kAnywhere, {}, false, {out}, far, Time::max(), "an attempt is out", far},
+      {RetryScope::kAnywhere, {}, true, {out}, far, Time::max(), "", far},
+      {RetryScope::kNowhere, {}, true, {out}, far, Time::max(), "it may have run", far},
+      {RetryScope::kNowhere, {}, false, {ran(here)}, far, Time::max(), "it may have run", far},
+      {RetryScope::kNowhere, {}, false, {never, never}, far, Time::max(), "", far},
+      {RetryScope::kZone, 5s, false, {ran(next_cell)}, far, Time::max(), "", now + 4s},
+      {RetryScope::kZone,
        5s,
        false,
        {ran(other_zone)},
@@ -199,8 +200,8 @@
        Time::max(),
        "it may have run elsewhere",
        now + 4s},
-      {RepeatPlace::kCell, 5s, false, {ran(here)}, far, Time::max(), "", now + 4s},
-      {RepeatPlace::kCell,
+      {RetryScope::kCell, 5s, false, {ran(here)}, far, Time::max(), "", now + 4s},
+      {RetryScope::kCell,
        5s,
        false,
        {ran(next_cell)},
@@ -209,10 +210,10 @@
        "it may have run elsewhere",
        now + 4s},
       // What never ran starts no window, wherever it went. Of several that may have run the first counts.
-      {RepeatPlace::kCell, 5s, false, {never, ran(here)}, far, Time::max(), "", now + 4s},
-      {RepeatPlace::kCell, 5s, false, {ran(here, 4s), ran(here)}, far, Time::max(), "", now + 1s},
-      {RepeatPlace::kCell, 1s, false, {ran(here)}, far, Time::max(), "the window for repeats is over", now},
-      {RepeatPlace::kAnywhere,
+      {RetryScope::kCell, 5s, false, {never, ran(here)}, far, Time::max(), "", now + 4s},
+      {RetryScope::kCell, 5s, false, {ran(here, 4s), ran(here)}, far, Time::max(), "", now + 1s},
+      {RetryScope::kCell, 1s, false, {ran(here)}, far, Time::max(), "the window for repeats is over", now},
+      {RetryScope::kAnywhere,
        1s,
        false,
        {ran(other_zone)},
@@ -220,24 +221,24 @@
        Time::max(),
        "the window for repeats is over",
        now},
-      {RepeatPlace::kCell, 5s, false, {ran(here)}, now + 2s, Time::max(), "", now + 2s},
-      {RepeatPlace::kCell, 5s, false, {ran(here)}, far, now + 3s, "", now + 3s},
-      {RepeatPlace::kAnywhere, {}, false, {}, now, Time::max(), "out of time", now},
-      {RepeatPlace::kAnywhere, {}, false, {}, far, now, "engine drains", now},
-      {RepeatPlace::kAnywhere, {}, false, {}, far, Time::min(), "engine is gone", Time::min()},
+      {RetryScope::kCell, 5s, false, {ran(here)}, now + 2s, Time::max(), "", now + 2s},
+      {RetryScope::kCell, 5s, false, {ran(here)}, far, now + 3s, "", now + 3s},
+      {RetryScope::kAnywhere, {}, false, {}, now, Time::max(), "out of time", now},
+      {RetryScope::kAnywhere, {}, false, {}, far, now, "engine drains", now},
+      {RetryScope::kAnywhere, {}, false, {}, far, Time::min(), "engine is gone", Time::min()},
   };
   for (std::size_t i = 0; i < rows.size(); ++i) {
     INFO("row " << i);
     const Row& row = rows[i];
-    decide::Sending sending({row.place, row.window, row.copies}, here, row.deadline, row.engine_until);
-    for (const auto& other : row.others) sending.beside(other);
-    CHECK(sending.held_back(now) == row.reason);
-    CHECK(sending.begin_by() == row.begin_by);
+    decide::AttemptGuard sending({row.place, row.window, row.copies}, here, row.deadline, row.engine_until);
+    for (const auto& other : row.others) sending.add_other_attempt(other);
+    CHECK(sending.blocked_reason(now) == row.reason);
+    CHECK(sending.latest_start() == row.begin_by);
   }
   for (const auto place :
-       {RepeatPlace::kAnywhere, RepeatPlace::kZone, RepeatPlace::kCell, RepeatPlace::kNowhere}) {
-    CHECK(decide::may_refuse({place, 5s, false}, false));
-    CHECK(decide::may_refuse({place, 5s, false}, true) == (place == RepeatPlace::kAnywhere));
+       {RetryScope::kAnywhere, RetryScope::kZone, RetryScope::kCell, RetryScope::kNowhere}) {
+    CHECK(decide::may_reject({place, 5s, false}, false));
+    CHECK(decide::may_reject({place, 5s, false}, true) == (place == RetryScope::kAnywhere));
   }
 }
 
@@ -251,9 +252,9 @@
     bench.list({{&a, kUp}});
     a.fill();
     const RequestKey gone = bench.ask(cls);
-    bench.core.asker_gone(gone);
-    bench.core.settle();
-    CHECK(bench.core.open_requests() == 0);  // let go at once, not when its dial ends
+    bench.core.cancel_request(gone);
+    bench.core.process_events();
+    CHECK(bench.core.open_request_count() == 0);  // let go at once, not when its dial ends
     bench.ask("safe");
     a.let();
     REQUIRE(bench.run_until([&] { return a.has(bench.last()); }));
@@ -269,8 +270,8 @@
     bench.list({{&a, kUp}});
     bench.ask("safe", 8s, 16u << 20);  // more than the kernel takes
     const std::string first = bench.last();
-    REQUIRE(bench.run_until([&] { return test::readable(a.listener, 0ms); }));
-    bench.core.asker_gone(bench.ask(cls));
+    REQUIRE(bench.run_until([&] { return test::wait_until_readable(a.listener, 0ms); }));
+    bench.core.cancel_request(bench.ask(cls));
     bench.ask("safe");
     const std::string kept = bench.last();
     REQUIRE(bench.run_until([&] { return a.has(kept); }));
@@ -328,8 +329,9 @@
   a.reset("1");
   const Time begun = bench.loop.now();
   REQUIRE(bench.run_until([&] { return bench.answers[0].has_value(); }));
-  CHECK(bench.answers[0]->verdict == Verdict::kFailed);  // it may have run, and a repeat elsewhere may harm
-  CHECK(bench.loop.now() - begun < 4s);                  // of its window of 0.8 s, its dial's 9 s
+  CHECK(bench.answers[0]->status ==
+        ResponseStatus::kFailed);        // it may have run, and a repeat elsewhere may harm
+  CHECK(bench.loop.now() - begun < 4s);  // of its window of 0.8 s, its dial's 9 s
 }
 
 TEST_CASE("orders: an answer that stops or never ends costs its connection, whatever else comes on it") {
@@ -362,16 +364,16 @@
     int steps = 0;
     REQUIRE(bench.run_until([&] {
       a.look();
-      if (bench.answers[0] || a.peer_of("1").ended()) return true;
+      if (bench.answers[0] || a.peer_of("1").has_ended()) return true;
       a.peer_of("1").send(row.goes_on);
       if (row.others_leave && ++steps % 10 == 0) {
-        if (other) bench.core.asker_gone(other);
+        if (other) bench.core.cancel_request(other);
         other = bench.ask("safe");
       }
       return false;
     }));
     REQUIRE(bench.run_until([&] { return bench.answers[0] && bench.answers[1]; }));
-    CHECK(bench.answers[0]->verdict == Verdict::kFailed);
+    CHECK(bench.answers[0]->status == ResponseStatus::kFailed);
     CHECK(bench.loop.now() - begun < 3s);  // due within 0.3 s; the request's own time is 8 s
   }
 }
@@ -393,13 +395,13 @@
   CHECK(bench.answers[0]->body == "abbb");
   a.serve("2");
   REQUIRE(bench.run_until([&] { return bench.answers[1].has_value(); }));
-  CHECK(bench.answers[1]->verdict == Verdict::kServed);
+  CHECK(bench.answers[1]->status == ResponseStatus::kServed);
 }
 
 TEST_CASE("orders: cut after each byte, an answer ends its request, and an unsafe one ran once") {
   const std::string whole = "1 data parts=2 3\r\nok\n\r\n1 page part_no=1 2\r\nk\n\r\n";
   auto quick = limits();
-  quick.answer_time = quick.page_time = 20ms;
+  quick.response_timeout = quick.page_timeout = 20ms;
   for (const bool closes : {false, true}) {
     for (std::size_t cut = 1; cut < whole.size(); ++cut) {
       INFO("after " << cut << (closes ? ", closed" : ", silent"));
@@ -412,7 +414,7 @@
       a.peer_of("1").send(whole.substr(0, cut));
       if (closes) a.peer_of("1").close();
       REQUIRE(bench.run_until([&] { return bench.answers[0].has_value(); }));
-      CHECK(bench.answers[0]->verdict == Verdict::kFailed);
+      CHECK(bench.answers[0]->status == ResponseStatus::kFailed);
       CHECK(b.ids().empty());
     }
   }
@@ -422,7 +424,7 @@
   const auto avoided = [](Bench& bench) { return bench.core.gauges().engines_avoided; };
   SECTION("at the most connections") {
     auto narrow = limits();
-    narrow.most_connections = narrow.per_connection = narrow.spread = 1;
+    narrow.max_connections = narrow.max_streams_per_connection = narrow.preferred_streams_per_connection = 1;
     Engine a;
     Bench bench(narrow);
     bench.list({{&a, kUp}});
@@ -440,12 +442,12 @@
     Engine a, b;
     Bench bench;
     bench.list({{&a, kUp}});
-    std::vector<Fd> all;
+    std::vector<FileDescriptor> all;
     rlimit kept{};
     ::getrlimit(RLIMIT_NOFILE, &kept);
     const rlimit few{128, kept.rlim_max};
     ::setrlimit(RLIMIT_NOFILE, &few);
-    for (Fd one = listen_tcp({0x7f000001, 0}); one; one = listen_tcp({0x7f000001, 0}))
+    for (FileDescriptor one = listen_tcp({0x7f000001, 0}); one; one = listen_tcp({0x7f000001, 0}))
       all.push_back(std::move(one));
     bench.ask("unsafe");
     bench.run_until([] { return false; }, 20ms);
@@ -475,7 +477,7 @@
       REQUIRE(
           bench.run_until([&] { return bench.answers[0].has_value() || b.has("1") || a.ids().size() > 0; }));
       CHECK(bench.answers[0].has_value() == unsafe);
-      if (unsafe) CHECK(bench.answers[0]->verdict == Verdict::kFailed);
+      if (unsafe) CHECK(bench.answers[0]->status == ResponseStatus::kFailed);
     }
     SECTION(std::string("an idle connection reset before it is written to, ") + cls) {
       Engine a;
@@ -502,11 +504,11 @@
       bench.ask(cls);  // the kernel takes it: the engine may have read it before it closed
       REQUIRE(bench.run_until([&] { return bench.answers[1].has_value() || a.ids().size() == 3; }));
       CHECK(bench.answers[1].has_value() == unsafe);
-      if (unsafe) CHECK(bench.answers[1]->verdict == Verdict::kFailed);
+      if (unsafe) CHECK(bench.answers[1]->status == ResponseStatus::kFailed);
     }
     SECTION(std::string("a dial that times out, ") + cls) {
       auto quick = limits();
-      quick.dial_timeout = 50ms;
+      quick.connect_timeout = 50ms;
       Engine a, b;
       Bench bench(quick);
       a.fill();
@@ -531,19 +533,19 @@
   a.peer_of("1").send("1 data parts=1 4\r\nlate\r\n1 failed - 0\r\n\r\n");
   a.serve("2");
   REQUIRE(bench.run_until([&] { return bench.answers[1].has_value(); }));
-  CHECK(bench.answers[1]->verdict == Verdict::kServed);
+  CHECK(bench.answers[1]->status == ResponseStatus::kServed);
   CHECK(bench.figures.by_class["unsafe"].served == 2);
   // The engine goes on at another address: what runs at the former still ends there.
   Engine moved;
-  Member member{a.address.text(), moved.address, kUp, "z0", "k", 0, 1, std::nullopt};
-  bench.core.learn_members({member}, false);
-  bench.core.settle();
+  EngineEndpoint member{a.address.to_string(), moved.address, kUp, "z0", "k", 0, 1, std::nullopt};
+  bench.core.update_endpoints({member}, false);
+  bench.core.process_events();
   moved.fill();
   bench.ask("unsafe");
   a.peer_of("3").send("4 data parts=1 4\r\nelse\r\n");  // an id that waits for a connection elsewhere
   a.serve("3");
   REQUIRE(bench.run_until([&] { return bench.answers[2].has_value(); }));
-  CHECK(bench.answers[2]->verdict == Verdict::kServed);
+  CHECK(bench.answers[2]->status == ResponseStatus::kServed);
   CHECK_FALSE(bench.answers[3]);
 }
 
@@ -552,9 +554,9 @@
   Bench bench;
   bench.list({{&a, kUp}});
   bench.ask("safe", 8s, 16u << 20);  // more than the kernel takes
-  REQUIRE(bench.run_until([&] { return test::readable(a.listener, 0ms); }));
+  REQUIRE(bench.run_until([&] { return test::wait_until_readable(a.listener, 0ms); }));
   bench.ask("unsafe");
-  test::Peer peer(accept_from(a.listener));
+  test::TestConnection peer(accept_connection(a.listener));
   peer.send("2 data parts=1 5\r\nnever\r\n1 news - 0\r\n\r\n");
   a.peers.push_back(std::move(peer));
   REQUIRE(bench.run_until([&] { return a.has("2"); }));
--- a/tests/dispatch/parsers.cpp
+++ b/tests/dispatch/parsers.cpp
@@ -40,16 +40,16 @@
 }  // namespace
 
 TEST_CASE("frames: a frame is taken only when it is whole") {
-  const std::string one = frames::make_frame(frames::kRequest, 0x01020304, "payload");
+  const std::string one = frames::encode_frame(frames::kRequest, 0x01020304, "payload");
   frames::Frame frame;
   std::size_t used = 0;
   for (std::size_t cut = 0; cut < one.size(); ++cut) {
-    CHECK(frames::parse_frame(one.substr(0, cut), frame, used) == frames::Parse::kMore);
+    CHECK(frames::parse_frame(one.substr(0, cut), frame, used) == frames::ParseStatus::kIncomplete);
   }
   const std::string two = one + "next";
-  REQUIRE(frames::parse_frame(two, frame, used) == frames::Parse::kOne);
+  REQUIRE(frames::parse_frame(two, frame, used) == frames::ParseStatus::kComplete);
   CHECK(used == one.size());
-  CHECK(frame.stream == 0x01020304);
+  CHECK(frame.stream_id == 0x01020304);
   CHECK(frame.payload == "payload");
 }
 
@@ -58,10 +58,10 @@
   std::size_t used = 0;
   const auto parse = [&](std::string_view bytes) { return frames::parse_frame(bytes, frame, used); };
   using namespace std::string_view_literals;
-  CHECK(parse("\0\0\0\4\2\0\0\0\1"sv) == frames::Parse::kBroken);
-  CHECK(parse("\xff\xff\xff\xff\2\0\0\0\1"sv) == frames::Parse::kBroken);
-  CHECK(parse("\0\4\0\0\2\0\0\0\1"sv) == frames::Parse::kMore);  // 262,144: the most there may be
-  CHECK(parse("\0\4\0\1\2\0\0\0\1"sv) == frames::Parse::kOversized);
+  CHECK(parse("\0\0\0\4\2\0\0\0\1"sv) == frames::ParseStatus::kMalformed);
+  CHECK(parse("\xff\xff\xff\xff\2\0\0\0\1"sv) == frames::ParseStatus::kMalformed);
+  CHECK(parse("\0\4\0\0\2\0\0\0\1"sv) == frames::ParseStatus::kIncomplete);  // 262,144: the most there may be
+  CHECK(parse("\0\4\0\1\2\0\0\0\1"sv) == frames::ParseStatus::kOversized);
 }
 
 TEST_CASE("frames: fields that overrun, come twice or are cut are refused") {
@@ -84,86 +84,88 @@
 
 TEST_CASE("lines: answers, split at every byte") {
   const std::string one = "9b1f03aa5c7e2d41 data parts=2,use=queue:3;x0:0.5 6\r\na\tb\r\nc\r\n";
-  LineAnswer answer;
+  LineResponse answer;
   std::size_t used = 0;
   for (std::size_t cut = 0; cut < one.size(); ++cut) {
-    CHECK(parse_line_answer(std::string_view(one).substr(0, cut), answer, used) == LineParse::kMore);
+    CHECK(parse_line_response(std::string_view(one).substr(0, cut), answer, used) ==
+          LineParseStatus::kIncomplete);
   }
-  REQUIRE(parse_line_answer(one, answer, used) == LineParse::kOne);
+  REQUIRE(parse_line_response(one, answer, used) == LineParseStatus::kComplete);
   CHECK(answer.body == "a\tb\r\nc");  // a body is counted, not looked through
-  CHECK(line_field(answer.fields, "parts") == "2");
-  const auto report = parse_use(*line_field(answer.fields, "use"));
+  CHECK(find_line_field(answer.fields, "parts") == "2");
+  const auto report = parse_load_report(*find_line_field(answer.fields, "use"));
   REQUIRE(report);
-  CHECK(report->waiting == 3.0);
-  CHECK(report->memory_granted == 0.5);
+  CHECK(report->queries_waiting_for_memory == 3.0);
+  CHECK(report->memory_utilization == 0.5);
 }
 
 TEST_CASE("lines: what is no answer breaks the connection") {
-  LineAnswer answer;
+  LineResponse answer;
   std::size_t used = 0;
   for (const char* bad : {"id data -\r\n", "id data - x\r\n\r\n", "id  - 0\r\n\r\n", "id data - 1\r\nab\r\n",
                           "a b c d e\r\n", "id data - 99999999999999999999\r\n", "id data - 70000\r\n"}) {
     INFO(bad);
-    CHECK(parse_line_answer(bad, answer, used) == LineParse::kBroken);
+    CHECK(parse_line_response(bad, answer, used) == LineParseStatus::kMalformed);
   }
-  CHECK(parse_line_answer(std::string(5000, 'x'), answer, used) == LineParse::kBroken);
-  CHECK_FALSE(parse_use("x0:nan;x1:"));
+  CHECK(parse_line_response(std::string(5000, 'x'), answer, used) == LineParseStatus::kMalformed);
+  CHECK_FALSE(parse_load_report("x0:nan;x1:"));
   batter("id data parts=1,use=x0:1 3\r\nabc\r\n", [&](const std::string& bytes) {
-    if (parse_line_answer(bytes, answer, used) == LineParse::kOne) parse_use(answer.fields);
+    if (parse_line_response(bytes, answer, used) == LineParseStatus::kComplete)
+      parse_load_report(answer.fields);
   });
 }
 
 TEST_CASE("dns: a compressed answer with every record") {
-  Member a, b;
+  EngineEndpoint a, b;
   a.id = "s-00c41f7a";
   a.address = {0x0a010009, 8443};
   a.zone = "east";
-  a.kind = "std";
+  a.machine_type = "std";
   b = a;
   b.id = "s-2";
   b.state = lemonshift::EngineState::kDraining;
   const std::string name = "_app._tcp.cluster.lan";
-  const std::string query = dns_query(77, name);
-  const std::string message = test::dns_answer(query, 9, {a, b});
-  const DnsList list = parse_dns(message, 77, name);
-  REQUIRE(list.fault == DnsFault::kNone);
-  CHECK(list.serial == 9);
-  REQUIRE(list.members.size() == 2);
-  CHECK(list.members[0] == a);
-  CHECK(list.members[1].state == lemonshift::EngineState::kDraining);
+  const std::string query = encode_dns_query(77, name);
+  const std::string message = test::make_dns_response(query, 9, {a, b});
+  const DnsResponse list = parse_dns_response(message, 77, name);
+  REQUIRE(list.error == DnsError::kNone);
+  CHECK(list.version == 9);
+  REQUIRE(list.endpoints.size() == 2);
+  CHECK(list.endpoints[0] == a);
+  CHECK(list.endpoints[1].state == lemonshift::EngineState::kDraining);
 
   SECTION("an answer to another question, or to none, is forged") {
-    CHECK(parse_dns(message, 78, name).fault == DnsFault::kForged);
-    CHECK(parse_dns(message, 77, "_app._tcp.other.lan").fault == DnsFault::kForged);
-    CHECK(parse_dns(query, 77, name).fault == DnsFault::kForged);
+    CHECK(parse_dns_response(message, 78, name).error == DnsError::kMismatched);
+    CHECK(parse_dns_response(message, 77, "_app._tcp.other.lan").error == DnsError::kMismatched);
+    CHECK(parse_dns_response(query, 77, name).error == DnsError::kMismatched);
   }
   SECTION("truncated, refused and cut answers are not believed") {
     std::string changed = message;
     changed[2] = static_cast<char>(changed[2] | 2);
-    CHECK(parse_dns(changed, 77, name).fault == DnsFault::kTruncated);
+    CHECK(parse_dns_response(changed, 77, name).error == DnsError::kTruncated);
     changed = message;
     changed[3] = 2;
-    CHECK(parse_dns(changed, 77, name).fault == DnsFault::kRefused);
+    CHECK(parse_dns_response(changed, 77, name).error == DnsError::kServerError);
     for (std::size_t cut = 0; cut < message.size(); ++cut) {
-      CHECK(parse_dns(std::string_view(message).substr(0, cut), 77, name).fault != DnsFault::kNone);
+      CHECK(parse_dns_response(std::string_view(message).substr(0, cut), 77, name).error != DnsError::kNone);
     }
   }
   SECTION("a list without an address or a serial would remove running engines") {
     std::string changed = message;
     changed[11] = 0;  // no additional records: no addresses
-    CHECK(parse_dns(changed, 77, name).fault == DnsFault::kIncomplete);
+    CHECK(parse_dns_response(changed, 77, name).error == DnsError::kIncomplete);
     changed[9] = 0;  // and no SOA
-    CHECK(parse_dns(changed, 77, name).fault == DnsFault::kIncomplete);
+    CHECK(parse_dns_response(changed, 77, name).error == DnsError::kIncomplete);
   }
   SECTION("pointers that run in circles end") {
     std::string loop = query;
     loop[2] = static_cast<char>(0x84);
     loop[7] = 1;
     loop += std::string("\xc0\x21\0\x21\0\1\0\0\0\0\0\0", 12);
-    CHECK(parse_dns(loop, 77, name).fault == DnsFault::kMalformed);
+    CHECK(parse_dns_response(loop, 77, name).error == DnsError::kMalformed);
   }
   SECTION("damage never crashes") {
-    batter(message, [&](const std::string& bytes) { parse_dns(bytes, 77, name); });
+    batter(message, [&](const std::string& bytes) { parse_dns_response(bytes, 77, name); });
   }
 }
 
@@ -171,57 +173,57 @@
   for (const std::uint64_t value :
        {0ull, 250ull, 251ull, 65535ull, 65536ull, 16777215ull, 16777216ull, ~0ull}) {
     std::string bytes;
-    mysql::put_lenenc(bytes, value);
-    CHECK(mysql::PayloadReader(bytes).lenenc() == value);
+    mysql::append_length_encoded_integer(bytes, value);
+    CHECK(mysql::PayloadReader(bytes).length_encoded_integer() == value);
     for (std::size_t cut = 0; cut < bytes.size(); ++cut) {
       mysql::PayloadReader reader(std::string_view(bytes).substr(0, cut));
-      CHECK_THROWS_AS(reader.lenenc(), mysql::Malformed);
+      CHECK_THROWS_AS(reader.length_encoded_integer(), mysql::MalformedPacketError);
     }
   }
   for (const std::size_t size :
-       {std::size_t{0}, std::size_t{5}, mysql::kMostPayload, mysql::kMostPayload + 3}) {
+       {std::size_t{0}, std::size_t{5}, mysql::kMaxPayloadSize, mysql::kMaxPayloadSize + 3}) {
     const std::string payload(size, 'x');
     std::uint8_t sequence = 0;
-    const std::string bytes = mysql::packets(payload, sequence);
-    CHECK(sequence == (size < mysql::kMostPayload ? 1 : 2));
-    CHECK(mysql::take_message(std::string_view(bytes).substr(0, bytes.size() - 1), SIZE_MAX).used == 0);
-    const auto message = mysql::take_message(bytes + "more", SIZE_MAX);
-    CHECK(message.used == bytes.size());
+    const std::string bytes = mysql::split_into_packets(payload, sequence);
+    CHECK(sequence == (size < mysql::kMaxPayloadSize ? 1 : 2));
+    CHECK(mysql::parse_message(std::string_view(bytes).substr(0, bytes.size() - 1), SIZE_MAX).consumed == 0);
+    const auto message = mysql::parse_message(bytes + "more", SIZE_MAX);
+    CHECK(message.consumed == bytes.size());
     CHECK(message.payload == payload);
     CHECK(message.next_sequence == sequence);
-    if (size > 0) CHECK(mysql::take_message(bytes, size - 1).too_large);
+    if (size > 0) CHECK(mysql::parse_message(bytes, size - 1).too_large);
   }
 }
 
 TEST_CASE("mysql: greeting and log-in read back, in part or damaged they throw or are read as something") {
   mysql::Greeting greeting;
-  greeting.thread = 9;
+  greeting.connection_id = 9;
   greeting.capabilities = mysql::kCapabilities;
-  greeting.nonce = mysql::new_nonce();
+  greeting.nonce = mysql::generate_nonce();
   greeting.plugin = mysql::kCachingSha2;
   greeting.version = "8.0";
   const std::string hello = mysql::greeting_payload(greeting);
-  const auto read = mysql::read_greeting(hello);
+  const auto read = mysql::parse_greeting(hello);
   CHECK(read.nonce == greeting.nonce);
   CHECK(read.plugin == greeting.plugin);
   CHECK(read.capabilities == greeting.capabilities);
   mysql::Login login;
   login.capabilities = mysql::kCapabilities;
   login.user = "u";
-  login.proof = std::string(32, 'p');
+  login.auth_response = std::string(32, 'p');
   login.schema = "s";
   login.plugin = mysql::kNativePassword;
   const std::string bytes = mysql::login_payload(login);
-  CHECK(mysql::read_login(bytes).schema == "s");
-  CHECK(mysql::read_login(bytes).proof == login.proof);
+  CHECK(mysql::parse_login(bytes).schema == "s");
+  CHECK(mysql::parse_login(bytes).auth_response == login.auth_response);
   const auto survive = [](auto read_it) {
     try {
       read_it();
-    } catch (const mysql::Malformed&) {
+    } catch (const mysql::MalformedPacketError&) {
     }
   };
-  batter(hello, [&](const std::string& bad) { survive([&] { mysql::read_greeting(bad); }); });
-  batter(bytes, [&](const std::string& bad) { survive([&] { mysql::read_login(bad); }); });
+  batter(hello, [&](const std::string& bad) { survive([&] { mysql::parse_greeting(bad); }); });
+  batter(bytes, [&](const std::string& bad) { survive([&] { mysql::parse_login(bad); }); });
 }
 
 TEST_CASE("mysql: proofs are those of the public specification") {
@@ -235,34 +237,34 @@
     }
     return out;
   };
-  CHECK(hex(*mysql::proof_for(mysql::kNativePassword, "secret", nonce)) ==
+  CHECK(hex(*mysql::make_auth_response(mysql::kNativePassword, "secret", nonce)) ==
         "8817c50fa779daef010ee7577825b0847df9842e");
-  CHECK(hex(*mysql::proof_for(mysql::kCachingSha2, "secret", nonce)) ==
+  CHECK(hex(*mysql::make_auth_response(mysql::kCachingSha2, "secret", nonce)) ==
         "c76e2898612a4cf042c77fa8c4702c4c64c0c2c557c53c4d75595aaa6abae809");
-  CHECK(mysql::proof_for(mysql::kNativePassword, "", nonce) == "");
-  CHECK_FALSE(mysql::proof_for("sha256_password", "secret", nonce));
+  CHECK(mysql::make_auth_response(mysql::kNativePassword, "", nonce) == "");
+  CHECK_FALSE(mysql::make_auth_response("sha256_password", "secret", nonce));
 }
 
 TEST_CASE("mysql: a response is followed to its end and no further") {
   using namespace std::string_view_literals;
   const std::string_view eof = "\xfe\0\0\2\0"sv;
   mysql::ResponseTracker ok, rows, prepare(mysql::ResponseTracker::Kind::kPrepare);
-  CHECK(ok.take("\0\1\0\2\0\0\0"sv));
-  CHECK_FALSE(rows.take("\1"sv));
-  CHECK_FALSE(rows.take("column"sv));
-  CHECK_FALSE(rows.take(eof));
-  CHECK_FALSE(rows.take("\xfe a row whose first value is long"sv));
-  CHECK_FALSE(rows.take("\xfb"sv));
-  CHECK(rows.take(eof));
+  CHECK(ok.on_packet("\0\1\0\2\0\0\0"sv));
+  CHECK_FALSE(rows.on_packet("\1"sv));
+  CHECK_FALSE(rows.on_packet("column"sv));
+  CHECK_FALSE(rows.on_packet(eof));
+  CHECK_FALSE(rows.on_packet("\xfe a row whose first value is long"sv));
+  CHECK_FALSE(rows.on_packet("\xfb"sv));
+  CHECK(rows.on_packet(eof));
   CHECK_FALSE(rows.failed());
-  CHECK_FALSE(prepare.take("\0\1\0\0\0\1\0\2\0\0\0\0"sv));
-  CHECK_FALSE(prepare.take("parameter"sv));
-  CHECK_FALSE(prepare.take("parameter"sv));
-  CHECK_FALSE(prepare.take(eof));
-  CHECK_FALSE(prepare.take("column"sv));
-  CHECK(prepare.take(eof));
+  CHECK_FALSE(prepare.on_packet("\0\1\0\0\0\1\0\2\0\0\0\0"sv));
+  CHECK_FALSE(prepare.on_packet("parameter"sv));
+  CHECK_FALSE(prepare.on_packet("parameter"sv));
+  CHECK_FALSE(prepare.on_packet(eof));
+  CHECK_FALSE(prepare.on_packet("column"sv));
+  CHECK(prepare.on_packet(eof));
   mysql::ResponseTracker local;
-  CHECK_THROWS_AS(local.take("\xfb/etc/passwd"sv), mysql::Malformed);
+  CHECK_THROWS_AS(local.on_packet("\xfb/etc/passwd"sv), mysql::MalformedPacketError);
 }
 
 TEST_CASE("sql: the group of tables") {
@@ -281,18 +283,18 @@
   CHECK(table_group("SELECT a FROM other_6.marks", "school_4") == 6);
   batter("SELECT `a_1`.b, 'x' /* y */ FROM c_2.d -- z", [](const std::string& bytes) {
     table_group(bytes);
-    sql::only_reads(bytes);
-    sql::session_state(bytes);
+    sql::is_read_only(bytes);
+    sql::find_session_state(bytes);
   });
 }
 
 TEST_CASE("sql: only what is known to read is no load") {
-  using sql::only_reads;
+  using sql::is_read_only;
   for (const char* read :
        {"SELECT 1", " (select a from b)", "/* INSERT */ SELECT COUNT(*) FROM t", "SHOW TABLES",
         "WITH x AS (SELECT 1) SELECT * FROM x", "SELECT 'delete' FROM t;"}) {
     INFO(read);
-    CHECK(only_reads(read));
+    CHECK(is_read_only(read));
   }
   for (const char* write :
        {"INSERT INTO t VALUES (1)", "/*!50000 INSERT */ INTO t VALUES (1)",
@@ -300,70 +302,71 @@
         "SELECT `my_function`(1)", "CALL p()", "EXPLAIN ANALYZE UPDATE t SET a = 1", "SELECT 1; DROP TABLE t",
         "SELECT /*! 1; */ DELETE", "TRUNCATE t", "SELECT /*!99999 sleep(1), */ f(2)"}) {
     INFO(write);
-    CHECK_FALSE(only_reads(write));
+    CHECK_FALSE(is_read_only(write));
   }
 }
 
 TEST_CASE("sql: what a session asks for is told apart from what it would change") {
-  using sql::SessionAsk;
-  const std::vector<std::pair<const char*, SessionAsk>> cases{
-      {"SET AUTOCOMMIT = 0", SessionAsk::kAutocommitOff},
-      {"set session autocommit=ON;", SessionAsk::kAutocommitOn},
-      {"SET @@autocommit := false", SessionAsk::kAutocommitOff},
-      {"SET GLOBAL autocommit = 0", SessionAsk::kNone},
-      {"SET autocommit = 2", SessionAsk::kNone},
-      {"SET autocommit = 0, sql_mode = ''", SessionAsk::kNone},
-      {"SET NAMES utf8mb4", SessionAsk::kHolds},
-      {"SET NAMES 'utf8'", SessionAsk::kHolds},
-      {"SET NAMES latin1", SessionAsk::kNone},
-      {"SET NAMES utf8mb4 COLLATE utf8mb4_bin", SessionAsk::kNone},
-      {"SET character_set_results = NULL", SessionAsk::kHolds},
-      {"COMMIT", SessionAsk::kEndTransaction},
-      {"rollback work;", SessionAsk::kEndTransaction},
-      {"COMMIT AND NO CHAIN NO RELEASE", SessionAsk::kEndTransaction},
-      {"COMMIT AND CHAIN", SessionAsk::kNone},
-      {"COMMIT RELEASE", SessionAsk::kNone},
-      {"ROLLBACK TO SAVEPOINT a", SessionAsk::kNone},
-      {"SET", SessionAsk::kNone},
-      {"SET NAMES", SessionAsk::kNone},
-      {"", SessionAsk::kNone}};
+  using sql::SessionStatement;
+  const std::vector<std::pair<const char*, SessionStatement>> cases{
+      {"SET AUTOCOMMIT = 0", SessionStatement::kAutocommitOff},
+      {"set session autocommit=ON;", SessionStatement::kAutocommitOn},
+      {"SET @@autocommit := false", SessionStatement::kAutocommitOff},
+      {"SET GLOBAL autocommit = 0", SessionStatement::kNone},
+      {"SET autocommit = 2", SessionStatement::kNone},
+      {"SET autocommit = 0, sql_mode = ''", SessionStatement::kNone},
+      {"SET NAMES utf8mb4", SessionStatement::kNoEffect},
+      {"SET NAMES 'utf8'", SessionStatement::kNoEffect},
+      {"SET NAMES latin1", SessionStatement::kNone},
+      {"SET NAMES utf8mb4 COLLATE utf8mb4_bin", SessionStatement::kNone},
+      {"SET character_set_results = NULL", SessionStatement::kNoEffect},
+      {"COMMIT", SessionStatement::kEndTransaction},
+      {"rollback work;", SessionStatement::kEndTransaction},
+      {"COMMIT AND NO CHAIN NO RELEASE", SessionStatement::kEndTransaction},
+      {"COMMIT AND CHAIN", SessionStatement::kNone},
+      {"COMMIT RELEASE", SessionStatement::kNone},
+      {"ROLLBACK TO SAVEPOINT a", SessionStatement::kNone},
+      {"SET", SessionStatement::kNone},
+      {"SET NAMES", SessionStatement::kNone},
+      {"", SessionStatement::kNone}};
   for (const auto& [statement, ask] : cases) {
     INFO(statement);
-    CHECK(sql::session_ask(statement) == ask);
+    CHECK(sql::classify_session_statement(statement) == ask);
   }
 }
 
 TEST_CASE("mysql: 'autocommit is on' is taken out of every status, and nothing else changes") {
   std::uint8_t sequence = 1;
-  std::string ok = mysql::packets(mysql::ok_payload(300, 70000), sequence);
+  std::string ok = mysql::split_into_packets(mysql::ok_payload(300, 70000), sequence);
   const std::string off = ok;
-  mysql::clear_autocommit(ok);
+  mysql::clear_autocommit_status(ok);
   sequence = 1;
-  CHECK(ok == mysql::packets(mysql::ok_payload(300, 70000, 0), sequence));
+  CHECK(ok == mysql::split_into_packets(mysql::ok_payload(300, 70000, 0), sequence));
   sequence = 1;
-  std::string rows = mysql::packets("\1", sequence) + mysql::packets("column", sequence);
-  const std::string end(mysql::packets(std::string("\xfe\0\0\2\0", 5), sequence));
+  std::string rows =
+      mysql::split_into_packets("\1", sequence) + mysql::split_into_packets("column", sequence);
+  const std::string end(mysql::split_into_packets(std::string("\xfe\0\0\2\0", 5), sequence));
   // A row may begin with 0xfe or 0 and hold the same bit.
-  const std::string row = mysql::packets(std::string("\0\xff\2\2\2", 5), sequence);
+  const std::string row = mysql::split_into_packets(std::string("\0\xff\2\2\2", 5), sequence);
   std::string whole = rows + end + row + end;
-  mysql::clear_autocommit(whole);
+  mysql::clear_autocommit_status(whole);
   std::string cleared = end;
   cleared[cleared.size() - 2] = '\0';
   CHECK(whole == rows + cleared + row + cleared);
 }
 
 TEST_CASE("sql: session state is seen for what it is") {
-  using sql::session_state;
+  using sql::find_session_state;
   for (const char* state : {"begin", "START TRANSACTION", "SET autocommit=0", "LOCK TABLES t READ",
                             "CREATE TEMPORARY TABLE t (a INT)", "SELECT @a", "SELECT GET_LOCK('a', 1)",
                             "SELECT a FROM t FOR UPDATE", "SELECT a FROM t LOCK IN SHARE MODE",
                             "PREPARE s FROM 'x'", "USE school_4", "SHOW WARNINGS", "SELECT FOUND_ROWS()"}) {
     INFO(state);
-    CHECK(session_state(state));
+    CHECK(find_session_state(state));
   }
   for (const char* fine : {"SELECT '@a begin'", "SELECT @@version_comment LIMIT 1",
                            "INSERT INTO t VALUES ('lock')", "SELECT a FROM t;"}) {
     INFO(fine);
-    CHECK_FALSE(session_state(fine));
+    CHECK_FALSE(find_session_state(fine));
   }
 }
