--- a/tests/dispatch/parts.cpp
+++ b/tests/dispatch/parts.cpp
@@ -20,7 +20,7 @@
 using namespace std::chrono_literals;
 
 TEST_CASE("slots: a key outlives its tenant and never finds the next one") {
-  SlotTable<int> table;
+  SlotMap<int> table;
   const SlotKey first = table.insert(1);
   CHECK(table.take(first) == 1);
   const SlotKey second = table.insert(2);
@@ -34,29 +34,29 @@
 }
 
 TEST_CASE("loop: deadlines fire in order, cancelled ones don't, one that sets itself again waits its turn") {
-  Loop loop;
+  EventLoop loop;
   std::string order;
   const Time now = loop.now();
-  loop.at(now + 2ms, [&] { order += 'b'; });
-  loop.at(now + 1ms, [&] { order += 'a'; });
-  TimerKey never = loop.at(now + 1ms, [&] { order += 'x'; });
+  loop.run_at(now + 2ms, [&] { order += 'b'; });
+  loop.run_at(now + 1ms, [&] { order += 'a'; });
+  TimerId never = loop.run_at(now + 1ms, [&] { order += 'x'; });
   loop.cancel(never);
   loop.cancel(never);
-  loop.at(now, [&] { loop.at(now, [&] { order += 'c'; }); });
-  loop.at(now + 5ms, [&] { loop.stop(); });
+  loop.run_at(now, [&] { loop.run_at(now, [&] { order += 'c'; }); });
+  loop.run_at(now + 5ms, [&] { loop.stop(); });
   loop.run();
   CHECK(order.size() == 3);
   CHECK(order.find('a') < order.find('b'));
 }
 
 TEST_CASE("loop: a turn that took long is told with what it took") {
-  Loop loop;
+  EventLoop loop;
   std::vector<Duration> told;
-  loop.on_long_turn(50ms, [&](Duration took) { told.push_back(took); });
-  loop.at(loop.now(), [] {});
-  loop.at(loop.now() + 1ms, [] { std::this_thread::sleep_for(60ms); });
-  loop.at(loop.now() + 2ms, [] {});
-  loop.at(loop.now() + 100ms, [&] { loop.stop(); });
+  loop.on_stalled_iteration(50ms, [&](Duration took) { told.push_back(took); });
+  loop.run_at(loop.now(), [] {});
+  loop.run_at(loop.now() + 1ms, [] { std::this_thread::sleep_for(60ms); });
+  loop.run_at(loop.now() + 2ms, [] {});
+  loop.run_at(loop.now() + 100ms, [&] { loop.stop(); });
   loop.run();
   REQUIRE(!told.empty());
   CHECK(*std::max_element(told.begin(), told.end()) >= 60ms);
@@ -66,32 +66,32 @@
 // A timer that sets itself again at the turn's time once held the turn for ever: no wait, no new clock. On
 // the full-size days a module's wake at once did so, and stopped the fleet.
 TEST_CASE("loop: a deadline set again at the turn's time runs in the next turn, after a wait") {
-  Loop loop;
+  EventLoop loop;
   int fired = 0, this_turn = 0, most_in_a_turn = 0;
   std::function<void()> again = [&] {
     ++fired;
     ++this_turn;
     if (fired < 100) {
-      loop.at(loop.now(), again);
+      loop.run_at(loop.now(), again);
     } else {
       loop.stop();
     }
   };
-  loop.each_turn([&] {
+  loop.on_iteration_end([&] {
     most_in_a_turn = std::max(most_in_a_turn, this_turn);
     this_turn = 0;
   });
-  TimerKey cancelled;
-  loop.at(loop.now(), [&] { loop.cancel(cancelled); });
-  cancelled = loop.at(loop.now(), [&] { fired += 1000; });
-  loop.at(loop.now(), again);
+  TimerId cancelled;
+  loop.run_at(loop.now(), [&] { loop.cancel(cancelled); });
+  cancelled = loop.run_at(loop.now(), [&] { fired += 1000; });
+  loop.run_at(loop.now(), again);
   loop.run();
   CHECK(fired == 100);
   CHECK(most_in_a_turn == 1);
 }
 
 namespace {
-struct Collector final : StreamUser {
+struct Collector final : StreamHandler {
   std::string got;
   std::string end;
   std::size_t on_bytes(std::string_view bytes) override {
@@ -104,43 +104,43 @@
 
 TEST_CASE("stream: only what has not begun to leave can be taken back") {
   // The proof that a request never ran rests on this.
-  Loop loop;
-  Fd listener = test::listen_anywhere();
+  EventLoop loop;
+  FileDescriptor listener = test::listen_on_free_port();
   Collector user;
   Stream stream(loop, connect_tcp({0x7f000001, local_port(listener)}), user, true, 1024);
   const auto first = stream.write("first"), second = stream.write("second");
-  CHECK_FALSE(stream.has_begun(first));
-  CHECK(stream.take_back(first));
-  CHECK_FALSE(stream.take_back(first));
-  loop.at(loop.now() + 50ms, [&] { loop.stop(); });
+  CHECK_FALSE(stream.has_write_started(first));
+  CHECK(stream.cancel_write(first));
+  CHECK_FALSE(stream.cancel_write(first));
+  loop.run_at(loop.now() + 50ms, [&] { loop.stop(); });
   loop.run();
-  CHECK(stream.has_begun(second));
-  CHECK_FALSE(stream.take_back(second));
-  test::Peer peer(accept_from(listener));
-  REQUIRE(peer.has(6));
+  CHECK(stream.has_write_started(second));
+  CHECK_FALSE(stream.cancel_write(second));
+  test::TestConnection peer(accept_connection(listener));
+  REQUIRE(peer.wait_for_bytes(6));
   CHECK(peer.take(6) == "second");
 }
 
 TEST_CASE("stream: a message larger than the buffer ends the stream") {
-  struct Stubborn final : StreamUser {
+  struct Stubborn final : StreamHandler {
     std::string end;
     std::size_t on_bytes(std::string_view) override { return 0; }
     void on_closed(std::string_view why) override { end = why; }
   } user;
-  Loop loop;
-  Fd listener = test::listen_anywhere();
-  test::Peer peer = test::Peer::connect(local_port(listener));
-  REQUIRE(test::readable(listener, test::kPatience));
-  Stream stream(loop, accept_from(listener), user, false, 1024);
+  EventLoop loop;
+  FileDescriptor listener = test::listen_on_free_port();
+  test::TestConnection peer = test::TestConnection::connect(local_port(listener));
+  REQUIRE(test::wait_until_readable(listener, test::kWaitLimit));
+  Stream stream(loop, accept_connection(listener), user, false, 1024);
   peer.send(std::string(5000, 'x'));
-  loop.at(loop.now() + 100ms, [&] { loop.stop(); });
+  loop.run_at(loop.now() + 100ms, [&] { loop.stop(); });
   loop.run();
   CHECK(user.end == "a message larger than the buffer");
 }
 
 TEST_CASE("log: RFC 5424, with structured data escaped") {
   const std::string line =
-      format_rfc5424(Level::kWarning, 16, Time(1'767'225'600'000'042us), "a host", "rookproxy", "7", "",
+      format_rfc5424(LogLevel::kWarning, 16, Time(1'767'225'600'000'042us), "a host", "rookproxy", "7", "",
                      {{"key", "say \"hi\" [\\] \n"}, {"b=d", ""}}, "text\nof two lines");
   CHECK(line ==
         "<132>1 2026-01-01T00:00:00.000042Z a_host rookproxy 7 - "
@@ -149,23 +149,23 @@
 
 TEST_CASE("log: the level filters, and a flood is cut short and counted") {
   std::ostringstream out;
-  Log log(out, Level::kNotice, "h", "a");
-  log.line(Level::kInfo, "x", "unwanted", {});
+  Logger log(out, LogLevel::kNotice, "h", "a");
+  log.write(LogLevel::kInfo, "x", "unwanted", {});
   CHECK(out.str().empty());
-  for (int i = 0; i < 1000; ++i) log.line(Level::kError, "x", "wanted", {});
+  for (int i = 0; i < 1000; ++i) log.write(LogLevel::kError, "x", "wanted", {});
   const std::string text = out.str();
   CHECK(std::count(text.begin(), text.end(), '\n') < 500);
 }
 
 TEST_CASE("log: a syslog collector gets the same line by UDP") {
-  const Fd collector(::socket(AF_INET, SOCK_DGRAM, 0));
-  const sockaddr_in any = Endpoint{0x7f000001, 0}.socket_address();
+  const FileDescriptor collector(::socket(AF_INET, SOCK_DGRAM, 0));
+  const sockaddr_in any = SocketAddress{0x7f000001, 0}.to_sockaddr();
   REQUIRE(::bind(collector.get(), reinterpret_cast<const sockaddr*>(&any), sizeof any) == 0);
   std::ostringstream out;
-  Log log(out, Level::kInfo, "h", "a");
-  log.to_syslog(Endpoint{0x7f000001, local_port(collector)}, 3);
-  log.line(Level::kNotice, "id", "text", {{"k", "v"}});
-  REQUIRE(test::readable(collector, test::kPatience));
+  Logger log(out, LogLevel::kInfo, "h", "a");
+  log.set_syslog_target(SocketAddress{0x7f000001, local_port(collector)}, 3);
+  log.write(LogLevel::kNotice, "id", "text", {{"k", "v"}});
+  REQUIRE(test::wait_until_readable(collector, test::kWaitLimit));
   char bytes[512];
   const auto got = ::recv(collector.get(), bytes, sizeof bytes, 0);
   CHECK(std::string(bytes, static_cast<std::size_t>(got)) + "\n" == out.str());
@@ -240,14 +240,14 @@
 
 TEST_CASE("config: a running dispatcher is not talked out of what it was told") {
   // Guards against defaults in the place of keys that a broken file has lost.
-  const std::string folder = test::new_folder();
+  const std::string folder = test::make_temporary_directory();
   const std::string path = folder + "/config.json";
   const auto example = read_toml(ROOKPROXY_ROOT "/deploy/mysql.toml");
   const auto write = [&](const nlohmann::json& document) { std::ofstream(path) << document.dump(); };
   write(example);
   const Environment environment{path, "127.0.0.1:9", "", folder};
   const Config running = load_config(environment, "");
-  CHECK(running.ops == Endpoint{0x7f000001, 9});  // the environment speaks of this very process
+  CHECK(running.admin == SocketAddress{0x7f000001, 9});  // the environment speaks of this very process
   const auto fault_without = [&](const char* pointer) {
     const nlohmann::json::json_pointer at(pointer);
     auto document = example;
@@ -290,75 +290,75 @@
     {"topology":{"complete":false,"members":[{"id":"a","phase":"removed"},
       {"id":"b","host_port":"127.0.0.1:4","phase":"draining","up_since_ms":5}]}}]})");
   const Config config = read_config(document);
-  REQUIRE(config.known.size() == 1);
-  CHECK(config.known[0].id == "b");
-  CHECK(config.known[0].state == lemonshift::EngineState::kDraining);
-  CHECK(config.known[0].started == Time(5ms));
-  CHECK(config.known_offset == 3);
+  REQUIRE(config.initial_endpoints.size() == 1);
+  CHECK(config.initial_endpoints[0].id == "b");
+  CHECK(config.initial_endpoints[0].state == lemonshift::EngineState::kDraining);
+  CHECK(config.initial_endpoints[0].started_at == Time(5ms));
+  CHECK(config.initial_endpoints_version == 3);
 }
 
 namespace {
 
 // The core between a front and links that only write down what they are told.
-struct CoreBench final : Asker, EngineLinks {
+struct CoreBench final : ResponseHandler, EngineTransport {
   explicit CoreBench(
       lemonshift::Settings settings = read_config(read_toml(ROOKPROXY_ROOT "/deploy/mysql.toml")).settings)
-      : log(text, Level::kDebug, "h", "a"), core(loop, log, figures, settings, {"addis-dc1"}, {}) {
-    core.use(*this);
-    loop.each_turn([this] { core.settle(); });
+      : log(text, LogLevel::kDebug, "h", "a"), core(loop, log, figures, settings, {"addis-dc1"}, {}) {
+    core.set_transport(*this);
+    loop.on_iteration_end([this] { core.process_events(); });
   }
   void list(std::vector<std::pair<std::string, lemonshift::EngineState>> engines) {
-    std::vector<Member> members;
+    std::vector<EngineEndpoint> members;
     for (auto& [id, state] : engines) {
       members.push_back({id, {0x7f000001, 1}, state, "addis-dc1", "engine-a", 0, 1, std::nullopt});
     }
-    core.learn_members(members, false);
-    core.settle();
+    core.update_endpoints(members, false);
+    core.process_events();
   }
   RequestKey ask(const char* cls, Duration ttl = 3s) {
     auto query = std::make_shared<Query>();
     query->id = std::to_string(++asked);
     const RequestKey key =
-        core.accept({query, *core.class_named(cls), 1, loop.now() + ttl, {}, {}, false, ""}, *this, asked);
-    core.settle();
+        core.submit({query, *core.find_class(cls), 1, loop.now() + ttl, {}, {}, false, ""}, *this, asked);
+    core.process_events();
     return key;
   }
   template <class Holds>
   bool run_until(Holds holds) {
-    const Time end = loop.now() + Duration(test::kPatience);
+    const Time end = loop.now() + Duration(test::kWaitLimit);
     std::function<void()> look = [&] {
       if (holds() || loop.now() >= end) return loop.stop();
-      loop.at(loop.now() + 1ms, look);
+      loop.run_at(loop.now() + 1ms, look);
     };
-    loop.at(loop.now(), look);
+    loop.run_at(loop.now(), look);
     loop.run();
     return holds();
   }
 
-  Verdict on_answer(std::uint64_t, Answer answer) override {
+  ResponseStatus on_response(std::uint64_t, Response answer) override {
     answers.push_back(std::move(answer));
-    return answers.back().verdict;
+    return answers.back().status;
   }
-  void send(const Order& order) override { orders.push_back(order); }
-  bool withdraw(AttemptKey key) override {
+  void send(const AttemptRequest& order) override { orders.push_back(order); }
+  bool cancel(AttemptKey key) override {
     withdrawn.push_back(key);
     return unsent;
   }
-  bool take_back(AttemptKey key) override { return unsent && withdraw(key); }
-  void set_rank(AttemptKey, int) override {}
+  bool cancel_if_unsent(AttemptKey key) override { return unsent && cancel(key); }
+  void set_priority(AttemptKey, int) override {}
   void probe(EngineId) override {}
-  void engine_at(EngineId, const Endpoint&) override {}
-  void engine_closed(EngineId engine) override { closed.push_back(engine); }
+  void set_engine_address(EngineId, const SocketAddress&) override {}
+  void stop_new_attempts(EngineId engine) override { closed.push_back(engine); }
 
   std::ostringstream text;
-  Loop loop;
-  Log log;
-  Figures figures;
+  EventLoop loop;
+  Logger log;
+  Metrics figures;
   Dispatcher core;
   std::uint64_t asked = 0;
   bool unsent = false;
-  std::vector<Answer> answers;
-  std::vector<Order> orders;
+  std::vector<Response> answers;
+  std::vector<AttemptRequest> orders;
   std::vector<AttemptKey> withdrawn;
   std::vector<EngineId> closed;
 };
@@ -373,8 +373,8 @@
   bench.list({{"a", kUp}, {"b", kUp}});
   const RequestKey key = bench.ask("lookup");
   REQUIRE(bench.orders.size() == 1);
-  bench.core.attempt_noted({key, 0}, lemonshift::NoteKind::kWaitsForLoad, 2);
-  bench.core.settle();
+  bench.core.on_attempt_note({key, 0}, lemonshift::AttemptUpdateKind::kWaitingForLoad, 2);
+  bench.core.process_events();
   REQUIRE(bench.withdrawn.size() == 1);
   CHECK(bench.orders.size() == 1);
   CHECK(bench.run_until([&] { return bench.orders.size() == 2; }));
@@ -386,8 +386,8 @@
   CoreBench bench;
   bench.unsent = true;
   bench.list({{"a", kUp}});
-  bench.core.asker_gone(bench.ask("lookup"));
-  bench.core.settle();
+  bench.core.cancel_request(bench.ask("lookup"));
+  bench.core.process_events();
   CHECK(bench.run_until([&] { return bench.withdrawn.size() == 1; }));
   bench.ask("load");  // would wait for a pause to end, were 'a' down
   CHECK(bench.orders.size() == 2);
@@ -399,7 +399,7 @@
   bench.list({{"a", kUp}});
   bench.ask("lookup", 400ms);
   REQUIRE(bench.orders.size() == 1);
-  bench.loop.at(bench.loop.now(), [] { std::this_thread::sleep_for(500ms); });
+  bench.loop.run_at(bench.loop.now(), [] { std::this_thread::sleep_for(500ms); });
   CHECK(bench.run_until([&] { return !bench.answers.empty(); }));
   CHECK(bench.answers.size() == 1);
   CHECK(bench.text.str().find("without a decision") == std::string::npos);
@@ -409,12 +409,12 @@
   CoreBench bench;
   bench.list({{"a", kUp}});
   const RequestKey key = bench.ask("lookup");
-  bench.core.attempt_ended({key, 0}, {Outcome::kServed, std::nullopt, "rows"});
-  bench.core.attempt_ended({key, 0}, {Outcome::kServed, std::nullopt, "rows again"});
-  bench.core.settle();
-  bench.core.attempt_ended({key, 0}, {Outcome::kError, std::nullopt, ""});
-  bench.core.attempt_ended({key + 1, 7}, {Outcome::kServed, std::nullopt, "nobody's"});
-  bench.core.settle();
+  bench.core.on_attempt_ended({key, 0}, {Outcome::kServed, std::nullopt, "rows"});
+  bench.core.on_attempt_ended({key, 0}, {Outcome::kServed, std::nullopt, "rows again"});
+  bench.core.process_events();
+  bench.core.on_attempt_ended({key, 0}, {Outcome::kError, std::nullopt, ""});
+  bench.core.on_attempt_ended({key + 1, 7}, {Outcome::kServed, std::nullopt, "nobody's"});
+  bench.core.process_events();
   REQUIRE(bench.answers.size() == 1);
   CHECK(bench.answers[0].body == "rows");
 }
@@ -434,32 +434,33 @@
   bench.list({{"a", kUp}});
   auto query = std::make_shared<Query>();
   query->statement.assign(64u << 20, 'x');
-  bench.core.accept({query, 0, 0, bench.loop.now() + 3s, {}, {}, false, ""}, bench, 1);
+  bench.core.submit({query, 0, 0, bench.loop.now() + 3s, {}, {}, false, ""}, bench, 1);
   CHECK(bench.run_until([&] { return !bench.answers.empty(); }));
-  CHECK(bench.answers[0].verdict == Verdict::kRefused);
-  CHECK(bench.answers[0].again);
+  CHECK(bench.answers[0].status == ResponseStatus::kRejected);
+  CHECK(bench.answers[0].retry_after);
   CHECK(bench.orders.empty());
 }
 
 TEST_CASE("core: while settings change, the stricter of both bind") {
-  const auto named = [](const char* name, lemonshift::Effect effect, lemonshift::Time aim = 0) {
+  const auto named = [](const char* name, lemonshift::Idempotency effect, lemonshift::Time aim = 0) {
     lemonshift::ClassSettings cls;
-    cls.name = name, cls.effect = effect, cls.aim = aim;
+    cls.name = name, cls.idempotency = effect, cls.latency_objective = aim;
     return cls;
   };
-  constexpr auto kSafe = lemonshift::Effect::kSafe, kUnsafe = lemonshift::Effect::kUnsafe;
+  constexpr auto kSafe = lemonshift::Idempotency::kIdempotent,
+                 kUnsafe = lemonshift::Idempotency::kNonIdempotent;
   lemonshift::Settings former, fresh;
   former.max_attempts = 2, fresh.max_attempts = 6;
   former.classes = {named("a", kUnsafe), named("gone", kSafe), named("b", kSafe)};
   fresh.classes = {named("a", kSafe, 7), named("b", kUnsafe), named("new", kSafe)};
-  const auto both = stricter(former, fresh);
+  const auto both = merge_stricter(former, fresh);
   REQUIRE(both.classes.size() == 4);
-  CHECK(both.classes[0].effect == lemonshift::Effect::kUnsafe);
-  CHECK(both.classes[0].aim == 7);
-  CHECK(both.classes[1].effect == lemonshift::Effect::kUnsafe);
+  CHECK(both.classes[0].idempotency == lemonshift::Idempotency::kNonIdempotent);
+  CHECK(both.classes[0].latency_objective == 7);
+  CHECK(both.classes[1].idempotency == lemonshift::Idempotency::kNonIdempotent);
   CHECK(both.classes[3].name == "gone");
   CHECK(both.max_attempts == 2);
-  CHECK(stricter(fresh, former).max_attempts == 2);
+  CHECK(merge_stricter(fresh, former).max_attempts == 2);
 }
 
 TEST_CASE("core: what is open keeps its rules, and a place is given back once nobody uses it") {
@@ -469,29 +470,30 @@
   auto settings = read_config(read_toml(ROOKPROXY_ROOT "/deploy/mysql.toml")).settings;
   const RequestKey load = bench.ask("load", 9s), read = bench.ask("lookup", 9s);
   REQUIRE(bench.orders.size() == 2);
-  std::swap(settings.classes[0].effect, settings.classes[1].effect);
-  CoreLimits limits;
-  limits.change_time = 1ms;
-  bench.core.change(settings, {"addis-dc1"}, limits);
-  bench.core.attempt_ended({load, 0}, {Outcome::kConnectionLost, std::nullopt, ""});
-  bench.core.attempt_ended({read, 0}, {Outcome::kConnectionLost, std::nullopt, ""});
-  bench.core.settle();
+  std::swap(settings.classes[0].idempotency, settings.classes[1].idempotency);
+  DispatcherLimits limits;
+  limits.settings_transition_time = 1ms;
+  bench.core.change_settings(settings, {"addis-dc1"}, limits);
+  bench.core.on_attempt_ended({load, 0}, {Outcome::kConnectionLost, std::nullopt, ""});
+  bench.core.on_attempt_ended({read, 0}, {Outcome::kConnectionLost, std::nullopt, ""});
+  bench.core.process_events();
   REQUIRE(bench.answers.size() == 1);  // the load's
-  CHECK(bench.answers[0].verdict == Verdict::kFailed);
+  CHECK(bench.answers[0].status == ResponseStatus::kFailed);
   CHECK(bench.run_until([&] { return bench.orders.size() == 3; }));
   CHECK(bench.orders[2].key.request == read);
-  bench.core.attempt_ended(bench.orders[2].key, {Outcome::kServed, std::nullopt, "rows"});
-  bench.core.settle();
+  bench.core.on_attempt_ended(bench.orders[2].key, {Outcome::kServed, std::nullopt, "rows"});
+  bench.core.process_events();
   lemonshift::ClassIndex highest = 0;
   for (int i = 0; i < 50; ++i) {
     settings.max_attempts = 2 + i % 3;
-    bench.core.change(settings, {"addis-dc1"}, limits);
+    bench.core.change_settings(settings, {"addis-dc1"}, limits);
     const Time now = bench.loop.now();
     bench.run_until([&] { return bench.loop.now() > now + 5ms; });
-    highest = std::max({highest, *bench.core.class_named("lookup"), *bench.core.class_named("load")});
+    highest = std::max({highest, *bench.core.find_class("lookup"), *bench.core.find_class("load")});
   }
   CHECK(highest < 6);
-  CHECK(bench.core.rules(*bench.core.class_named("lookup")).effect == lemonshift::Effect::kUnsafe);
+  CHECK(bench.core.class_settings(*bench.core.find_class("lookup")).idempotency ==
+        lemonshift::Idempotency::kNonIdempotent);
   CHECK(bench.figures.by_class["load"].failed == 1);
   CHECK(bench.figures.by_class["lookup"].served == 1);
 }
@@ -500,23 +502,23 @@
   // Guards against an engine that has just started and is pushed over by both during an upgrade.
   const auto sent_with = [](std::size_t parts) {
     auto settings = read_config(read_toml(ROOKPROXY_ROOT "/deploy/mysql.toml")).settings;
-    settings.cold = lemonshift::ColdStart{0.3, 15'000'000, 3, 1'500'000};
+    settings.slow_start = lemonshift::SlowStart{0.3, 15'000'000, 3, 1'500'000};
     CoreBench bench(settings);
-    bench.core.share(parts);
+    bench.core.set_process_count(parts);
     bench.list({});
     const Time begun = bench.loop.now();
     bench.run_until([&] { return bench.loop.now() - begun > 50ms; });
-    bench.core.learn_members({{"a", {0x7f000001, 1}, kUp, "addis-dc1", "engine-a", 0, 1, bench.loop.now()}},
-                             false);
-    bench.core.settle();
+    bench.core.update_endpoints(
+        {{"a", {0x7f000001, 1}, kUp, "addis-dc1", "engine-a", 0, 1, bench.loop.now()}}, false);
+    bench.core.process_events();
     for (int i = 0; i < 100; ++i) {
       auto query = std::make_shared<Query>();
-      bench.core.accept({query, 0, 1, bench.loop.now() + 3s, Duration(200ms), {}, false, ""}, bench, 1);
-      bench.core.settle();
+      bench.core.submit({query, 0, 1, bench.loop.now() + 3s, Duration(200ms), {}, false, ""}, bench, 1);
+      bench.core.process_events();
       if (!bench.orders.empty()) {
-        bench.core.attempt_ended(bench.orders.back().key, {Outcome::kServed, std::nullopt, ""});
+        bench.core.on_attempt_ended(bench.orders.back().key, {Outcome::kServed, std::nullopt, ""});
       }
-      bench.core.settle();
+      bench.core.process_events();
     }
     return bench.orders.size();
   };
--- a/tests/dispatch/platform.cpp
+++ b/tests/dispatch/platform.cpp
@@ -23,7 +23,7 @@
 int signal_of(const std::function<void()>& body) {
   const pid_t child = ::fork();
   if (child == 0) {
-    if (!confine()) ::_exit(2);
+    if (!apply_system_call_filter()) ::_exit(2);
     body();
     ::_exit(0);
   }
@@ -43,7 +43,7 @@
 }
 
 TEST_CASE("platform: a confined dispatcher starts, serves, rereads its configuration and drains") {
-  play(R"(
+  run_scenario(R"(
     confine
     engines a
     start
--- a/tests/dispatch/poll_schedule.cpp
+++ b/tests/dispatch/poll_schedule.cpp
@@ -18,7 +18,7 @@
     std::mt19937_64 random(static_cast<std::uint64_t>(i) + 1);
     PollSchedule schedule(interval);
     for (Duration at(0); at < until;
-         at += schedule.next(std::uniform_real_distribution<double>(0, 1)(random))) {
+         at += schedule.next_pause(std::uniform_real_distribution<double>(0, 1)(random))) {
       all.push_back(at);
     }
   }
@@ -42,9 +42,9 @@
   CHECK(all.size() > 9'800);
   CHECK(all.size() < 10'300);
   PollSchedule schedule(200ms);
-  CHECK(schedule.next(0.999) <= Duration(200ms));
+  CHECK(schedule.next_pause(0.999) <= Duration(200ms));
   for (int i = 0; i <= 100; ++i) {
-    const auto pause = schedule.next(i / 100.0);
+    const auto pause = schedule.next_pause(i / 100.0);
     CHECK(pause >= Duration(179ms));
     CHECK(pause <= Duration(220ms));
   }
@@ -52,10 +52,10 @@
 
 TEST_CASE("poll schedule: a draw or an interval at the edge still gives a pause") {
   PollSchedule schedule(1us);
-  CHECK(schedule.next(0) >= Duration(1));
-  CHECK(schedule.next(-1) >= Duration(1));
+  CHECK(schedule.next_pause(0) >= Duration(1));
+  CHECK(schedule.next_pause(-1) >= Duration(1));
   PollSchedule zero(0us);
-  CHECK(zero.next(0.5) >= Duration(1));  // never a loop without a wait
+  CHECK(zero.next_pause(0.5) >= Duration(1));  // never a loop without a wait
 }
 
 }  // namespace
--- a/tests/dispatch/process.h
+++ b/tests/dispatch/process.h
@@ -20,12 +20,12 @@
 
 namespace rookproxy::test {
 
-[[noreturn]] inline void fail(const std::string& why) { throw std::runtime_error(why); }
+[[noreturn]] inline void fail_test(const std::string& why) { throw std::runtime_error(why); }
 inline void require(bool holds, const std::string& why) {
-  if (!holds) fail(why);
+  if (!holds) fail_test(why);
 }
 
-inline nlohmann::json base_config() {
+inline nlohmann::json default_dispatcher_config() {
   return nlohmann::json::parse(
       R"({"name":"t1","listen":"127.0.0.1:0","ops":"127.0.0.1:0","seed":"1f","limits":{"cores":1.0,"memory_mb":192,
     "sockets":1024},"directory_poll_ms":20,"log":{"level":"debug"},"known":{"offset":1,"batch":[]},"settings":{
@@ -40,22 +40,23 @@
 }
 
 // The dispatcher's process; its log goes to a file that is read back.
-class Process {
+class DispatcherProcess {
  public:
   // `operators`: an operator's file beside the folder's config.json; empty: none.
-  void start(const std::string& folder, const std::string& log_path, const std::vector<Fd>& passed = {},
-             bool confined = false, const std::string& operators = "") {
+  void start(const std::string& folder, const std::string& log_path,
+             const std::vector<FileDescriptor>& passed = {}, bool confined = false,
+             const std::string& operators = "") {
     log_path_ = log_path;
     pid_ = ::fork();
     if (pid_ == 0) {
       ::setenv("NODE_CONFIG", (folder + "/config.json").c_str(), 1);
       ::setenv("TMPDIR", folder.c_str(), 1);
       if (!passed.empty()) ::setenv("NODE_PASSED_SOCKET", "3", 1);
-      std::vector<Fd> apart;  // they may have these numbers already, and are closed on exec
-      for (const Fd& one : passed) apart.emplace_back(::fcntl(one.get(), F_DUPFD_CLOEXEC, 64));
+      std::vector<FileDescriptor> apart;  // they may have these numbers already, and are closed on exec
+      for (const FileDescriptor& one : passed) apart.emplace_back(::fcntl(one.get(), F_DUPFD_CLOEXEC, 64));
       for (std::size_t i = 0; i < apart.size(); ++i) ::dup2(apart[i].get(), static_cast<int>(3 + i));
       if (!std::freopen(log_path.c_str(), "w", stderr)) ::_exit(99);
-      if (confined && !confine()) ::_exit(98);
+      if (confined && !apply_system_call_filter()) ::_exit(98);
       if (!operators.empty())
         ::execl(ROOKPROXY_BINARY, "rookproxy", "--file", operators.c_str(), nullptr);
       else
@@ -63,15 +64,15 @@
       ::_exit(99);
     }
   }
-  Process() = default;
-  Process(Process&& other) noexcept
+  DispatcherProcess() = default;
+  DispatcherProcess(DispatcherProcess&& other) noexcept
       : pid_(std::exchange(other.pid_, 0)), log_path_(std::exchange(other.log_path_, "")) {}
-  Process& operator=(Process&& other) noexcept {
+  DispatcherProcess& operator=(DispatcherProcess&& other) noexcept {
     std::swap(pid_, other.pid_);
     std::swap(log_path_, other.log_path_);
     return *this;
   }
-  ~Process() {
+  ~DispatcherProcess() {
     if (pid_ > 0) {
       ::kill(pid_, SIGKILL);
       ::waitpid(pid_, nullptr, 0);
@@ -84,8 +85,8 @@
     return text.str();
   }
   // What follows `before` in the log, up to a quote, once it is there.
-  std::string wait_for(const std::string& before) const {
-    const auto until = std::chrono::steady_clock::now() + kPatience;
+  std::string wait_for_log(const std::string& before) const {
+    const auto until = std::chrono::steady_clock::now() + kWaitLimit;
     while (std::chrono::steady_clock::now() < until) {
       const std::string text = log();
       if (const auto at = text.find(before); at != std::string::npos) {
@@ -94,12 +95,12 @@
       }
       std::this_thread::sleep_for(std::chrono::milliseconds(5));
     }
-    fail("the log never said " + before);
+    fail_test("the log never said " + before);
   }
-  void signal(int number) { ::kill(pid_, number); }
-  int exit_code() {
+  void send_signal(int number) { ::kill(pid_, number); }
+  int wait_for_exit() {
     int status = 0;
-    const auto until = std::chrono::steady_clock::now() + kPatience;
+    const auto until = std::chrono::steady_clock::now() + kWaitLimit;
     while (::waitpid(pid_, &status, WNOHANG) == 0) {
       require(std::chrono::steady_clock::now() < until, "it does not exit");
       std::this_thread::sleep_for(std::chrono::milliseconds(5));
@@ -108,8 +109,8 @@
     return WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
   }
   bool started() const { return !log_path_.empty(); }
-  std::uint16_t ops_port() const {
-    wait_for("answering operators");
+  std::uint16_t admin_port() const {
+    wait_for_log("answering operators");
     const std::string text = log();
     const auto line = text.substr(0, text.find(" answering operators")).rfind("port=\"");
     return static_cast<std::uint16_t>(std::stoi(text.substr(line + 6)));
@@ -121,10 +122,10 @@
 };
 
 // One call, and its answer up to the end of the connection.
-inline std::string call_operators(const Process& process, const std::string& line) {
-  Peer peer = Peer::connect(process.ops_port());
+inline std::string call_admin(const DispatcherProcess& process, const std::string& line) {
+  TestConnection peer = TestConnection::connect(process.admin_port());
   peer.send(line + "\n");
-  require(peer.at_end(), "the connection stays open");
+  require(peer.wait_for_end(), "the connection stays open");
   return peer.buffer();
 }
 
--- a/tests/dispatch/scenario.h
+++ b/tests/dispatch/scenario.h
@@ -74,6 +74,6 @@
 namespace rookproxy::test {
 
 // Plays it; throws std::runtime_error with the line at fault and the dispatcher's log.
-void play(const std::string& scenario);
+void run_scenario(const std::string& scenario);
 
 }  // namespace rookproxy::test
--- a/tests/dispatch/scenarios.cpp
+++ b/tests/dispatch/scenarios.cpp
@@ -3,11 +3,11 @@
 
 #include "scenario.h"
 
-using rookproxy::test::play;
+using rookproxy::test::run_scenario;
 
 TEST_CASE("a request is served, with all its pages in order") {
   // Guards against answers before the last page, and pages joined in the order in which they came.
-  play(R"(
+  run_scenario(R"(
     engines a
     start
     client c
@@ -27,7 +27,7 @@
 
 TEST_CASE("a safe request that was turned away goes on to another engine") {
   // Guards against giving up, or against a second answer, after 'full'.
-  play(R"(
+  run_scenario(R"(
     engines a
     start
     client c
@@ -42,7 +42,7 @@
 
 TEST_CASE("a load whose connection broke is failed, never resent") {
   // Guards against a second run of what may have run.
-  play(R"(
+  run_scenario(R"(
     engines a b
     start
     client c
@@ -56,7 +56,7 @@
 
 TEST_CASE("a load whose pages are lost is failed, never resent") {
   // Guards against taking a lost page for a query that never ran.
-  play(R"(
+  run_scenario(R"(
     engines a
     start
     client c
@@ -71,7 +71,7 @@
 
 TEST_CASE("a load that no engine took is refused, with a time to come back") {
   // Guards against 'failed' where a retry is harmless, and against holding what has been given up on.
-  play(R"(
+  run_scenario(R"(
     engines a
     set /settings/permissions/max_attempts 1
     start
@@ -85,7 +85,7 @@
 TEST_CASE("a request that nobody answers fails before its client gives up") {
   // Guards against late answers: the client's own clock runs out at 600 ms. (A low target, or the module
   // would see no time left for a load and refuse it at once.)
-  play(R"(
+  run_scenario(R"(
     engines a
     set /settings/grades/1/target 60000
     start
@@ -97,7 +97,7 @@
 }
 
 TEST_CASE("what a client abandons is stopped and not answered") {
-  play(R"(
+  run_scenario(R"(
     engines a
     start
     client c
@@ -114,7 +114,7 @@
 
 TEST_CASE("a load outlives its client") {
   // Guards against half a load: once begun it runs to its end, and only once.
-  play(R"(
+  run_scenario(R"(
     engines a
     start
     client c
@@ -128,7 +128,7 @@
 
 TEST_CASE("attempts of one request never share a connection") {
   // Guards against an answer to an abandoned attempt being taken for the answer to the next.
-  play(R"(
+  run_scenario(R"(
     engines a
     start
     client c
@@ -143,7 +143,7 @@
 TEST_CASE("requests that can't be sent on are answered on their stream") {
   // Guards against garbage reaching an engine, and against one bad request costing its neighbours the
   // connection.
-  play(R"(
+  run_scenario(R"(
     engines a
     start
     client c
@@ -164,7 +164,7 @@
 }
 
 TEST_CASE("an oversized request is answered on its stream and skipped") {
-  play(R"(
+  run_scenario(R"(
     engines a
     start
     client c
@@ -175,7 +175,7 @@
 
 TEST_CASE("who says nothing, or half a frame, is closed and gives way to who asks") {
   // Guards against silent connections that shut out usual clients: 12 is the cap here.
-  play(R"(
+  run_scenario(R"(
     engines a
     set /limits/sockets 32
     start
@@ -206,7 +206,7 @@
 
 TEST_CASE("frames that begin large and never end share one budget") {
   // Guards against 266 kB a connection, more than the memory holds: 2 MB of it are for such frames here.
-  play(R"(
+  run_scenario(R"(
     engines a
     set /limits/memory_mb 16
     start
@@ -236,7 +236,7 @@
 
 TEST_CASE("a request under the id of an open one, or with figures beyond all bounds, goes nowhere") {
   // Guards against another statement under a usual client's id, and against estimates spoilt by one client.
-  play(R"(
+  run_scenario(R"(
     engines a
     start
     client c
@@ -260,7 +260,7 @@
 
 TEST_CASE("an engine that drains gets nothing new") {
   // Guards against sends after the drain's grace, and against losing what waits.
-  play(R"(
+  run_scenario(R"(
     engines a b
     start
     directory a=draining b=up
@@ -275,7 +275,7 @@
 
 TEST_CASE("an address that passes to a new engine carries nothing of the old one's") {
   // Guards against knowing engines by address: 'b' answers where 'a' did.
-  play(R"(
+  run_scenario(R"(
     engines a
     start
     client c
@@ -292,7 +292,7 @@
 }
 
 TEST_CASE("an engine's answer that can't be read costs the connection, not the dispatcher") {
-  play(R"(
+  run_scenario(R"(
     engines a
     start
     client c
@@ -306,7 +306,7 @@
 
 TEST_CASE("a spoilt answer costs its own request and no other") {
   // Guards against many requests on one connection: the lookup is neither lost nor run again with the load.
-  play(R"(
+  run_scenario(R"(
     engines a
     start
     client c
@@ -324,7 +324,7 @@
   // Guards against a connection that stays open and is of no use: first an answer is cut, then a page is
   // missing. (With a target of the second that this takes, the module would refuse it now and then: work that
   // is late for sure.)
-  play(R"(
+  run_scenario(R"(
     engines a
     set /settings/grades/0/target 8000000
     start
@@ -342,7 +342,7 @@
 
 TEST_CASE("a good answer with more than belongs to it is still good") {
   // Guards against ending the attempt over a second copy, or over an answer to somebody else's question.
-  play(R"(
+  run_scenario(R"(
     engines a
     start
     client c
@@ -359,7 +359,7 @@
 
 TEST_CASE("a connection on which an attempt was given up unheard is not used again") {
   // Guards against sending the next request after an answer that was lost, into the same hole.
-  play(R"(
+  run_scenario(R"(
     engines a
     set /settings/grades/0/target 60000
     start
@@ -373,7 +373,7 @@
 
 TEST_CASE("an engine that takes no more connections is served over those it has") {
   // Guards against taking a full table of connections for an engine that is gone.
-  play(R"(
+  run_scenario(R"(
     engines a
     set /settings/permissions/dial_timeout 5000000
     start
@@ -390,7 +390,7 @@
 
 TEST_CASE("an engine that refuses connections gets a request nowhere near it") {
   // Guards against 'may have run' where nothing was sent: the load goes on to the other engine.
-  play(R"(
+  run_scenario(R"(
     engines a b
     close a listener
     start
@@ -404,7 +404,7 @@
 }
 
 TEST_CASE("SIGTERM: not ready, told to go away, stragglers served, then gone") {
-  play(R"(
+  run_scenario(R"(
     engines a
     start
     client c
@@ -429,7 +429,7 @@
 
 TEST_CASE("SIGTERM waits for a load that its client has left") {
   // Guards against half a load: ending would close the engine's connection, which abandons what runs on it.
-  play(R"(
+  run_scenario(R"(
     engines a
     start
     client c
@@ -444,7 +444,7 @@
 
 TEST_CASE("SIGHUP: the directory moves, requests and the serial go on, a bad file changes nothing") {
   // Guards against ending on SIGHUP, and against a directory asked where nobody answers any more.
-  play(R"(
+  run_scenario(R"(
     engines a b
     start
     directory a=up
@@ -468,7 +468,7 @@
 }
 
 TEST_CASE("mysql: SIGHUP changes who may log in and leaves what runs alone") {
-  play(R"(
+  run_scenario(R"(
     mysql-engines a
     set /mysql/users {"another":"other","school":"secret"}
     start
@@ -488,7 +488,7 @@
 
 TEST_CASE("mysql: who does not log in gives way at the cap, who has is left alone") {
   // Guards against silent connections that shut out the school's own.
-  play(R"(
+  run_scenario(R"(
     mysql-engines a
     set /mysql/most_connections 2
     start
@@ -503,7 +503,7 @@
 }
 
 TEST_CASE("mysql: statements, rows, errors and schemas pass through") {
-  play(R"(
+  run_scenario(R"(
     mysql-engines a b
     start
     mysql m
@@ -536,7 +536,7 @@
 
 TEST_CASE("mysql: large packets pass both ways") {
   // A result of more than one packet's 16 MB is refused by size, one of several packets' rows is not.
-  play(R"(
+  run_scenario(R"(
     mysql-engines a
     start
     mysql m
@@ -550,7 +550,7 @@
 
 TEST_CASE("mysql: session state that engines can't share is refused, plainly") {
   // Guards against wrong results: the next statement may run on another engine.
-  play(R"(
+  run_scenario(R"(
     mysql-engines a b
     start
     mysql m
@@ -574,7 +574,7 @@
 TEST_CASE("mysql: autocommit is remembered, and only what needs a transaction is turned down") {
   // Client libraries switch it off as they open: their log-in must succeed, reads go on, and what they then
   // ask for is a true answer at the statement that can't have it.
-  play(R"(
+  run_scenario(R"(
     mysql-engines a b
     start
     mysql m
@@ -608,7 +608,7 @@
 
 TEST_CASE("mysql: a load is run once, whatever goes wrong") {
   // 'full' never ran and may go on; 'cut' ran and must not.
-  play(R"(
+  run_scenario(R"(
     mysql-engines a b
     start
     mysql m
@@ -623,7 +623,7 @@
 }
 
 TEST_CASE("mysql: a deadline is an error of its own") {
-  play(R"(
+  run_scenario(R"(
     mysql-engines a
     set /mysql/read_deadline_ms 400
     set /mysql/load_deadline_ms 400
@@ -641,7 +641,7 @@
 
 TEST_CASE("mysql: prepared on an engine that drains before the execute") {
   // The first hard case: the statement's id outlives the engine that gave it, the types bound there too.
-  play(R"(
+  run_scenario(R"(
     mysql-engines a b
     start
     directory a=up
@@ -665,7 +665,7 @@
 
 TEST_CASE("mysql: a client that vanishes halfway through a load") {
   // The second hard case: the load runs to its end, once, and its engine serves on.
-  play(R"(
+  run_scenario(R"(
     mysql-engines a b
     start
     mysql m
@@ -687,7 +687,7 @@
 }
 
 TEST_CASE("mysql: long data is sent ahead, reset and sent again") {
-  play(R"(
+  run_scenario(R"(
     mysql-engines a b
     start
     mysql m
@@ -704,7 +704,7 @@
 }
 
 TEST_CASE("mixed: both fronts on one core and the same engines, no load twice") {
-  play(R"(
+  run_scenario(R"(
     mysql-engines a b
     start
     client c
@@ -735,7 +735,7 @@
 
 TEST_CASE("the count of duplicate loads would catch one") {
   // A check that can't fail proves nothing: the same load asked for twice is counted.
-  play(R"(
+  run_scenario(R"(
     mysql-engines a b
     start
     mysql m
@@ -748,7 +748,7 @@
 
 TEST_CASE("operators: STATUS, figures of every outcome, and an error for anything else") {
   // Guards against figures counted twice, or not at all where a front turns a request away itself.
-  play(R"(
+  run_scenario(R"(
     engines a
     start
     call STATUS
@@ -794,7 +794,7 @@
 
 TEST_CASE("operators: neither callers that hold connections nor endless lines keep an answer away") {
   // Guards against a cap that holders fill, and against a line without an end that grows the memory.
-  play(R"(
+  run_scenario(R"(
     engines a
     set /limits/sockets 64
     start
@@ -802,13 +802,13 @@
     hold 20 METR
     call STATUS
     expect answer +OK
-    call )" +
-       std::string(300, 'x') + R"(
+    call )" + std::string(300, 'x') +
+               R"(
     expect answer -ERR the line is too long)");
 }
 
 TEST_CASE("operators: an engine that is avoided shows") {
-  play(R"(
+  run_scenario(R"(
     engines a b
     start
     directory a=up b=draining
@@ -820,7 +820,7 @@
 }
 
 TEST_CASE("mysql: outcomes are counted on the same core") {
-  play(R"(
+  run_scenario(R"(
     mysql-engines a
     start
     mysql m
@@ -833,7 +833,7 @@
 
 TEST_CASE("upgrade: the successor takes the door, the former answers what it took and leaves") {
   // Guards against requests that end at the door: the former accepts nothing once a successor is ready.
-  play(R"(
+  run_scenario(R"(
     engines a
     pass sockets
     start
@@ -873,7 +873,7 @@
 
 TEST_CASE("upgrade: without a successor newcomers are served, and what waits is left to the next process") {
   // Guards against a door that is shut while nobody else opens it, and against a lock that the dead hold.
-  play(R"(
+  run_scenario(R"(
     engines a
     pass sockets
     start
@@ -900,7 +900,7 @@
   // Guards against shares that don't fit twice. Of 32 descriptors a process itself holds 12 and sets 2 aside
   // for operators: 9 are for clients, one of them for who is on his way out; beside another process 4, with
   // one for that.
-  play(R"(
+  run_scenario(R"(
     engines a
     set /limits/sockets 32
     pass sockets
@@ -948,7 +948,7 @@
 
 TEST_CASE("upgrade: half a request on its way in is waited for") {
   // Guards against leaving with a request unread that is written in pieces.
-  play(R"(
+  run_scenario(R"(
     engines a
     start
     client c
@@ -963,7 +963,7 @@
 
 TEST_CASE("SIGHUP: classes are added, changed and dropped, and broken settings change nothing") {
   // Guards against requests of a class that clients know and we don't, and against half a configuration.
-  play(R"(
+  run_scenario(R"(
     engines a
     start
     client c
@@ -1015,7 +1015,7 @@
 }
 
 TEST_CASE("mysql: SIGHUP leads statements to other classes, and the front stays") {
-  play(R"(
+  run_scenario(R"(
     mysql-engines a
     start
     mysql m
@@ -1044,7 +1044,7 @@
 TEST_CASE("who writes a request slowly is waited for, also in a crowd of silent ones") {
   // Guards against closing on a request that takes 2 s to write, and against a crowd that pushes its writer
   // out.
-  play(R"(
+  run_scenario(R"(
     engines a
     set /limits/sockets 32
     start
@@ -1066,7 +1066,7 @@
 
 TEST_CASE("mysql: an upgrade ends no statement, and who is answered logs in anew at the successor") {
   // Guards against loads cut in half, run twice, or sent to a process that has gone.
-  play(R"(
+  run_scenario(R"(
     mysql-engines a
     pass sockets
     start
@@ -1097,7 +1097,7 @@
 TEST_CASE("a crowd does not push out who has sent a request that is not yet read") {
   // Guards against closing on a request that waits in the kernel behind hundreds that connect at once: 12 is
   // the cap here.
-  play(R"(
+  run_scenario(R"(
     engines a
     set /limits/sockets 32
     start
@@ -1114,7 +1114,7 @@
 
 TEST_CASE("a client that sends an unreadable frame still gets the answers to what it asked before") {
   // Guards against a connection ended with requests open on it: their answers were lost (the full-size days).
-  play(R"(
+  run_scenario(R"(
     engines a
     start
     client c
@@ -1130,7 +1130,7 @@
 TEST_CASE("the rest of a frame that comes late, behind requests that are open, is taken like any other") {
   // Guards against a connection that went deaf after 2.6 s of half a frame: the rest, and whatever was asked
   // behind it, was dropped unheard and lost, for as long as something was open there.
-  play(R"(
+  run_scenario(R"(
     engines a
     start
     client c
@@ -1149,7 +1149,7 @@
 }
 
 TEST_CASE("who goes on asking behind a frame that can't be used is refused at once") {
-  play(R"(
+  run_scenario(R"(
     engines a
     start
     client c
--- a/tests/dispatch/stop.cpp
+++ b/tests/dispatch/stop.cpp
@@ -21,7 +21,7 @@
 namespace {
 
 using decide::shutdown_times;
-using decide::ShutdownOrder;
+using decide::ShutdownAction;
 using decide::ShutdownState;
 using decide::ShutdownStep;
 
@@ -31,121 +31,128 @@
     const Duration kill = std::min<Duration>(longest, 3s) + 700ms;
     CAPTURE(longest.count());
     // What the protocol says still comes: new connections for 0.4 s, requests on open ones 0.2 s more.
-    CHECK(times.newcomers_until >= 400ms);
-    CHECK(times.newcomers_until < kill);
+    CHECK(times.accept_until >= 400ms);
+    CHECK(times.accept_until < kill);
     CHECK(times.serve_until >= 600ms);
-    CHECK(times.take_in_until >= times.serve_until);
-    CHECK(times.end_by >= times.take_in_until);
-    CHECK(times.end_by <= kill - 50ms);
-    CHECK(decide::end_bound(times, times.serve_until) >= 250ms);
-    CHECK(decide::end_bound(times, 20s) == 250ms);
-    if (longest >= 300ms) CHECK(times.end_by - times.take_in_until >= 200ms);
-    if (longest >= 2500ms) CHECK(times.take_in_until == 2600ms);  // a request that is written in 2 s
+    CHECK(times.receive_until >= times.serve_until);
+    CHECK(times.exit_by >= times.receive_until);
+    CHECK(times.exit_by <= kill - 50ms);
+    CHECK(decide::client_close_timeout(times, times.serve_until) >= 250ms);
+    CHECK(decide::client_close_timeout(times, 20s) == 250ms);
+    if (longest >= 300ms) CHECK(times.exit_by - times.receive_until >= 200ms);
+    if (longest >= 2500ms) CHECK(times.receive_until == 2600ms);  // a request that is written in 2 s
   }
 }
 
-struct Case {
+struct ShutdownCase {
   const char* what;
   ShutdownState state;
-  ShutdownOrder order;
+  ShutdownAction order;
 };
 
 TEST_CASE("shutdown: what is done next, by what holds") {
-  constexpr auto kGoOn = ShutdownStep::kGoOn, kLook = ShutdownStep::kLook,
-                 kEndClients = ShutdownStep::kEndClients, kExit = ShutdownStep::kExit;
+  constexpr auto kGoOn = ShutdownStep::kContinue, kLook = ShutdownStep::kDrainInput,
+                 kEndClients = ShutdownStep::kCloseClients, kExit = ShutdownStep::kExit;
   const auto times = shutdown_times(3s);
-  const Case cases[] = {
-      {"at once, nothing open", {.since = 0ms}, {kGoOn, true}},
-      {"at once, requests open", {.since = 0ms, .open_requests = 3}, {kGoOn, true}},
-      {"a successor has the door", {.since = 0ms, .successor_ready = true}, {kGoOn, false}},
-      {"stragglers", {.since = 999ms, .has_connections = true}, {kGoOn, true}},
-      {"stragglers are over", {.since = 1000ms, .has_connections = true}, {kLook, true}},
-      {"stragglers are over, requests open", {.since = 1000ms, .open_requests = 1}, {kLook, true}},
-      {"all was seen", {.since = 1000ms, .seen_all = true, .has_connections = true}, {kEndClients, true}},
+  const ShutdownCase cases[] = {
+      {"at once, nothing open", {.elapsed = 0ms}, {kGoOn, true}},
+      {"at once, requests open", {.elapsed = 0ms, .open_requests = 3}, {kGoOn, true}},
+      {"a successor has the door", {.elapsed = 0ms, .successor_ready = true}, {kGoOn, false}},
+      {"stragglers", {.elapsed = 999ms, .has_connections = true}, {kGoOn, true}},
+      {"stragglers are over", {.elapsed = 1000ms, .has_connections = true}, {kLook, true}},
+      {"stragglers are over, requests open", {.elapsed = 1000ms, .open_requests = 1}, {kLook, true}},
+      {"all was seen",
+       {.elapsed = 1000ms, .input_drained = true, .has_connections = true},
+       {kEndClients, true}},
       {"all was seen, requests open",
-       {.since = 1s, .seen_all = true, .open_requests = 1},
+       {.elapsed = 1s, .input_drained = true, .open_requests = 1},
        {kEndClients, true}},
-      {"seen too early", {.since = 999ms, .seen_all = true}, {kGoOn, true}},
-      {"events never cease", {.since = 2700ms, .has_connections = true}, {kEndClients, true}},
-      {"a request on its way in", {.since = 1000ms, .taking_in = true, .seen_all = true}, {kGoOn, true}},
-      {"for too long", {.since = 2600ms, .taking_in = true, .seen_all = true}, {kEndClients, true}},
-      {"the successor's backlog", {.since = 1s, .successor_ready = true}, {kLook, false}},
-      {"then", {.since = 1s, .successor_ready = true, .seen_all = true}, {kEndClients, false}},
+      {"seen too early", {.elapsed = 999ms, .input_drained = true}, {kGoOn, true}},
+      {"events never cease", {.elapsed = 2700ms, .has_connections = true}, {kEndClients, true}},
+      {"a request on its way in",
+       {.elapsed = 1000ms, .is_receiving = true, .input_drained = true},
+       {kGoOn, true}},
+      {"for too long", {.elapsed = 2600ms, .is_receiving = true, .input_drained = true}, {kEndClients, true}},
+      {"the successor's backlog", {.elapsed = 1s, .successor_ready = true}, {kLook, false}},
+      {"then", {.elapsed = 1s, .successor_ready = true, .input_drained = true}, {kEndClients, false}},
       {"ending, a connection open",
-       {.since = 1100ms, .ending = true, .has_connections = true},
+       {.elapsed = 1100ms, .closing_clients = true, .has_connections = true},
        {kGoOn, false}},
-      {"ending, a request open", {.since = 1100ms, .ending = true, .open_requests = 1}, {kGoOn, true}},
+      {"ending, a request open",
+       {.elapsed = 1100ms, .closing_clients = true, .open_requests = 1},
+       {kGoOn, true}},
       {"ending, a request open, another's door",
-       {.since = 1100ms, .door_is_shared = true, .ending = true, .open_requests = 1},
+       {.elapsed = 1100ms, .listener_is_shared = true, .closing_clients = true, .open_requests = 1},
        {kGoOn, false}},
-      {"ended", {.since = 1100ms, .ending = true}, {kExit, false}},
+      {"ended", {.elapsed = 1100ms, .closing_clients = true}, {kExit, false}},
       {"late, a client stays",
-       {.since = 3550ms, .ending = true, .has_connections = true, .none_open_for = 250ms},
+       {.elapsed = 3550ms, .closing_clients = true, .has_connections = true, .idle_for = 250ms},
        {kExit, false}},
       {"late, just answered",
-       {.since = 20s, .ending = true, .has_connections = true, .none_open_for = 249ms},
+       {.elapsed = 20s, .closing_clients = true, .has_connections = true, .idle_for = 249ms},
        {kGoOn, false}},
       {"late, a request open",
-       {.since = 20s, .ending = true, .has_connections = true, .open_requests = 1},
+       {.elapsed = 20s, .closing_clients = true, .has_connections = true, .open_requests = 1},
        {kGoOn, true}},
-      {"never opened", {.since = 0ms, .opened = false}, {kGoOn, false}},
-      {"never opened, newcomers over", {.since = 500ms, .opened = false}, {kLook, true}},
+      {"never opened", {.elapsed = 0ms, .was_ready = false}, {kGoOn, false}},
+      {"never opened, newcomers over", {.elapsed = 500ms, .was_ready = false}, {kLook, true}},
       {"never opened, who waited was seen",
-       {.since = 510ms, .opened = false, .seen_all = true},
+       {.elapsed = 510ms, .was_ready = false, .input_drained = true},
        {kEndClients, true}},
       {"never opened, another's door",
-       {.since = 0ms, .opened = false, .door_is_shared = true},
+       {.elapsed = 0ms, .was_ready = false, .listener_is_shared = true},
        {kExit, false}},
-      {"opened, another's door", {.since = 0ms, .door_is_shared = true}, {kGoOn, true}},
+      {"opened, another's door", {.elapsed = 0ms, .listener_is_shared = true}, {kGoOn, true}},
   };
-  for (const Case& one : cases) {
+  for (const ShutdownCase& one : cases) {
     CAPTURE(one.what);
     const auto order = decide::next_shutdown_step(times, one.state);
     CHECK(order.step == one.order.step);
-    CHECK(order.let_in == one.order.let_in);
+    CHECK(order.accept_clients == one.order.accept_clients);
   }
 }
 
 // ---- signals in any order, to the real program
 
 // A dispatcher that has read nothing yet: its configuration is a pipe that the test holds.
-class HeldStart {
+class BlockedStart {
  public:
-  HeldStart() : HeldStart(new_folder()) { owns_ = true; }
-  explicit HeldStart(const std::string& folder) : folder_(folder), file_(folder + "/config.json") {
+  BlockedStart() : BlockedStart(make_temporary_directory()) { owns_directory_ = true; }
+  explicit BlockedStart(const std::string& folder)
+      : directory_(folder), config_path_(folder + "/config.json") {
     ::signal(SIGPIPE, SIG_IGN);  // a dispatcher that dies leaves the pipe without a reader
   }
-  ~HeldStart() {
-    if (owns_) std::filesystem::remove_all(folder_);
+  ~BlockedStart() {
+    if (owns_directory_) std::filesystem::remove_all(directory_);
   }
-  Process& process() { return process_; }
-  const std::string& folder() const { return folder_; }
-  void start(const std::vector<Fd>& passed = {}) {
-    std::filesystem::remove(file_);
-    require(::mkfifo(file_.c_str(), 0600) == 0, "no pipe");
-    process_.start(folder_, folder_ + "/held.log", passed);
+  DispatcherProcess& process() { return process_; }
+  const std::string& folder() const { return directory_; }
+  void start(const std::vector<FileDescriptor>& passed = {}) {
+    std::filesystem::remove(config_path_);
+    require(::mkfifo(config_path_.c_str(), 0600) == 0, "no pipe");
+    process_.start(directory_, directory_ + "/held.log", passed);
     // Comes back once the dispatcher has opened it to read: it is past its first lines, and waits.
-    pipe_ = Fd(::open(file_.c_str(), O_WRONLY | O_CLOEXEC));
+    pipe_ = FileDescriptor(::open(config_path_.c_str(), O_WRONLY | O_CLOEXEC));
     require(static_cast<bool>(pipe_), "the pipe was not opened");
   }
-  void go_on(const nlohmann::json& config) {
+  void release(const nlohmann::json& config) {
     const std::string text = config.dump();
-    std::ofstream(file_ + ".new") << text;  // for whoever reads it again
-    std::filesystem::rename(file_ + ".new", file_);
+    std::ofstream(config_path_ + ".new") << text;  // for whoever reads it again
+    std::filesystem::rename(config_path_ + ".new", config_path_);
     require(::write(pipe_.get(), text.data(), text.size()) == static_cast<ssize_t>(text.size()),
             "not written");
     pipe_.reset();
   }
 
  private:
-  std::string folder_, file_;
-  bool owns_ = false;
-  Process process_;
-  Fd pipe_;
+  std::string directory_, config_path_;
+  bool owns_directory_ = false;
+  DispatcherProcess process_;
+  FileDescriptor pipe_;
 };
 
-nlohmann::json config_with(const DirectoryStandIn* directory) {
-  nlohmann::json config = base_config();
+nlohmann::json make_config(const FakeDiscoveryServer* directory) {
+  nlohmann::json config = default_dispatcher_config();
   if (directory) {
     config["nameserver"] = "127.0.0.1:" + std::to_string(directory->port());
   } else {
@@ -155,7 +162,7 @@
   return config;
 }
 
-nlohmann::json known_batch(std::uint16_t port) {
+nlohmann::json make_endpoint_batch(std::uint16_t port) {
   nlohmann::json member{{"id", "e"},       {"host_port", "127.0.0.1:" + std::to_string(port)},
                         {"locality", "z"}, {"flavor", "m"},
                         {"phase", "up"},   {"size", 1},
@@ -171,18 +178,18 @@
 }
 
 // A request on stream 1, and on stream 2 the question whether the dispatcher is ready.
-std::string request_and_question(std::size_t number) {
+std::string make_request_and_readiness_frames(std::size_t number) {
   const frames::Fields fields{{"op", "lookup"}, {"ttl", "9000"}, {"call", call_id(number)}};
   std::string payload(1, static_cast<char>(fields.size()));
   for (const auto& [key, value] : fields) {
     payload +=
         static_cast<char>(key.size()) + key + std::string(1, '\0') + static_cast<char>(value.size()) + value;
   }
-  return frames::make_frame(frames::kRequest, 1, payload + "SELECT 1") +
-         frames::make_frame(frames::kIsReady, 2, std::string(1, '\0'));
+  return frames::encode_frame(frames::kRequest, 1, payload + "SELECT 1") +
+         frames::encode_frame(frames::kReadinessQuery, 2, std::string(1, '\0'));
 }
 
-void never_became_ready(const Process& process) {
+void check_never_ready(const DispatcherProcess& process) {
   const std::string log = process.log();
   INFO(log);
   CHECK(log.find("draining") != std::string::npos);
@@ -204,64 +211,65 @@
                       {{SIGTERM, SIGHUP}, false}, {{SIGTERM, SIGTERM, SIGINT}, true}};
   for (const Row& row : rows) {
     CAPTURE(row.signals, row.directory);
-    DirectoryStandIn directory;
-    HeldStart held;
+    FakeDiscoveryServer directory;
+    BlockedStart held;
     held.start();
-    for (const int signal : row.signals) held.process().signal(signal);
-    held.go_on(config_with(row.directory ? &directory : nullptr));
-    CHECK(held.process().exit_code() == 0);
-    never_became_ready(held.process());
+    for (const int signal : row.signals) held.process().send_signal(signal);
+    held.release(make_config(row.directory ? &directory : nullptr));
+    CHECK(held.process().wait_for_exit() == 0);
+    check_never_ready(held.process());
   }
 }
 
 TEST_CASE("SIGHUP before the configuration is read: it starts all the same") {
-  HeldStart held;
+  BlockedStart held;
   held.start();
-  held.process().signal(SIGHUP);
-  held.go_on(config_with(nullptr));
-  held.process().wait_for("reread");
-  held.process().wait_for("ready to serve");
-  held.process().signal(SIGTERM);
-  CHECK(held.process().exit_code() == 0);
+  held.process().send_signal(SIGHUP);
+  held.release(make_config(nullptr));
+  held.process().wait_for_log("reread");
+  held.process().wait_for_log("ready to serve");
+  held.process().send_signal(SIGTERM);
+  CHECK(held.process().wait_for_exit() == 0);
 }
 
 TEST_CASE("SIGTERM while the directory holds its answer: readiness never follows, and who waits is served") {
   // Guards against the timer that opens the door after the wait, whatever has come meanwhile, and against a
   // backlog that falls with the process.
-  LinesEngine engine;
-  Fd directory = bind_udp({0x7f000001, 0});
-  nlohmann::json config = base_config();
+  AutoReplyLineEngine engine;
+  FileDescriptor directory = bind_udp({0x7f000001, 0});
+  nlohmann::json config = default_dispatcher_config();
   config["nameserver"] = "127.0.0.1:" + std::to_string(local_port(directory));
-  config["known"]["batch"] = known_batch(engine.port());
-  HeldStart held;
+  config["known"]["batch"] = make_endpoint_batch(engine.port());
+  BlockedStart held;
   held.start();
-  held.go_on(config);
-  require(readable(directory, kPatience), "the directory was never asked");
-  Peer client = Peer::connect(
-      static_cast<std::uint16_t>(std::stoi(held.process().wait_for("start [rookproxy@32473 port=\""))));
-  client.send(request_and_question(1));
-  held.process().signal(SIGTERM);
-  held.process().wait_for("draining");
+  held.release(config);
+  require(wait_until_readable(directory, kWaitLimit), "the directory was never asked");
+  TestConnection client = TestConnection::connect(
+      static_cast<std::uint16_t>(std::stoi(held.process().wait_for_log("start [rookproxy@32473 port=\""))));
+  client.send(make_request_and_readiness_frames(1));
+  held.process().send_signal(SIGTERM);
+  held.process().wait_for_log("draining");
   char question[512];
   sockaddr_in from{};
   socklen_t size = sizeof from;
   const ssize_t got =
       ::recvfrom(directory.get(), question, sizeof question, 0, reinterpret_cast<sockaddr*>(&from), &size);
   require(got > 12, "no question");
-  const std::string answer = dns_answer({question, static_cast<std::size_t>(got)}, 1, {});
+  const std::string answer = make_dns_response({question, static_cast<std::size_t>(got)}, 1, {});
   ::sendto(directory.get(), answer.data(), answer.size(), 0, reinterpret_cast<sockaddr*>(&from), size);
-  CHECK(client.at_end());
+  CHECK(client.wait_for_end());
   CHECK_FALSE(client.was_reset());
   std::size_t used = 0, served = 0, not_ready = 0;
-  for (frames::Frame frame; frames::parse_frame(client.buffer(), frame, used) == frames::Parse::kOne;) {
-    if (frame.type == frames::kAnswer && frame.payload[0] == 0) ++served;
-    if (frame.type == frames::kReady && frame.payload[0] == 1) ++not_ready;
+  for (frames::Frame frame;
+       frames::parse_frame(client.buffer(), frame, used) == frames::ParseStatus::kComplete;) {
+    if (frame.type == frames::kResponse && frame.payload[0] == 0) ++served;
+    if (frame.type == frames::kReadiness && frame.payload[0] == 1) ++not_ready;
     client.take(used);
   }
   CHECK(served == 1);
   CHECK(not_ready == 1);
   client.close();
-  CHECK(held.process().exit_code() == 0);
+  CHECK(held.process().wait_for_exit() == 0);
   const std::string log = held.process().log();
   INFO(log);
   const auto ready = log.find("ready to serve");
@@ -269,24 +277,24 @@
 }
 
 TEST_CASE("hot restart: SIGTERM to the successor before it is ready, and the former serves on") {
-  const std::string folder = new_folder();
-  std::vector<Fd> passed;
-  passed.push_back(listen_anywhere());
-  nlohmann::json config = config_with(nullptr);
+  const std::string folder = make_temporary_directory();
+  std::vector<FileDescriptor> passed;
+  passed.push_back(listen_on_free_port());
+  nlohmann::json config = make_config(nullptr);
   config["listen"] = "127.0.0.1:" + std::to_string(local_port(passed[0]));
   std::ofstream(folder + "/config.json") << config.dump();
-  Process former;
+  DispatcherProcess former;
   former.start(folder, folder + "/former.log", passed);
-  former.wait_for("ready to serve");
-  HeldStart successor(folder);
+  former.wait_for_log("ready to serve");
+  BlockedStart successor(folder);
   successor.start(passed);
-  successor.process().signal(SIGTERM);
-  successor.go_on(config);
-  CHECK(successor.process().exit_code() == 0);
-  never_became_ready(successor.process());
-  CHECK(call_operators(former, "STATUS").starts_with("+OK"));
-  former.signal(SIGTERM);
-  CHECK(former.exit_code() == 0);
+  successor.process().send_signal(SIGTERM);
+  successor.release(config);
+  CHECK(successor.process().wait_for_exit() == 0);
+  check_never_ready(successor.process());
+  CHECK(call_admin(former, "STATUS").starts_with("+OK"));
+  former.send_signal(SIGTERM);
+  CHECK(former.wait_for_exit() == 0);
   std::filesystem::remove_all(folder);
 }
 
@@ -304,7 +312,7 @@
       {"SIGTERM and SIGINT in one turn", "signal STOP\nsignal INT\nsignal TERM\nsignal CONT\n"}};
   for (const auto& [what, signals] : orders) {
     DYNAMIC_SECTION(what) {
-      play(
+      run_scenario(
           std::string("engines a\nstart\nclient c\nsend c request 1 load 20000 INSERT INTO s_1.t VALUES (1)\n"
                       "expect a REQ\n") +
           signals + "expect c goaway\nsend a data parts=1 one\\n\nexpect c served 1 one\\n\n" +
@@ -314,7 +322,7 @@
 }
 
 TEST_CASE("SIGTERM with a client that reads nothing: its answer and an orderly end are there when it does") {
-  play(R"(
+  run_scenario(R"(
     engines a
     start
     client c
@@ -377,7 +385,7 @@
           for (std::size_t at; (at = scenario.find(word)) != std::string::npos;)
             scenario.replace(at, word.size(), value);
         }
-        play(scenario);
+        run_scenario(scenario);
       }
     }
   }
@@ -387,7 +395,7 @@
     "SIGTERM: resting clients are ended while a request is open, and what they send then is not sent on") {
   // Guards against resting clients that SIGKILL ends because one engine hangs, and against a reset for who
   // asks late.
-  play(R"(
+  run_scenario(R"(
     engines a
     start
     client rests
@@ -423,49 +431,49 @@
   };
   for (const Row& row : {Row{"up", true, true}, Row{"down", false, false}, Row{"silent", false, true}}) {
     CAPTURE(row.what);
-    LinesEngine engine;
-    DirectoryStandIn directory;
-    Member member;
+    AutoReplyLineEngine engine;
+    FakeDiscoveryServer directory;
+    EngineEndpoint member;
     member.id = "e";
     member.address = {0x7f000001, engine.port()};
-    member.kind = "m";
-    directory.tell({member});
-    Fd silent = bind_udp({0x7f000001, 0});
+    member.machine_type = "m";
+    directory.set_endpoints({member});
+    FileDescriptor silent = bind_udp({0x7f000001, 0});
     const std::uint16_t silent_port = local_port(silent);
     if (!row.bound) silent.reset();
-    std::vector<HeldStart> all(20);
+    std::vector<BlockedStart> all(20);
     std::vector<Duration> took;
-    std::vector<Fd> doors;
-    const Time from = wall_now();
+    std::vector<FileDescriptor> doors;
+    const Time from = monotonic_now();
     for (auto& one : all) {
-      std::vector<Fd> passed;  // so that its address is known
-      passed.push_back(listen_anywhere());
-      nlohmann::json config = base_config();
+      std::vector<FileDescriptor> passed;  // so that its address is known
+      passed.push_back(listen_on_free_port());
+      nlohmann::json config = default_dispatcher_config();
       config["listen"] = "127.0.0.1:" + std::to_string(local_port(passed[0]));
       config["nameserver"] = "127.0.0.1:" + std::to_string(row.up ? directory.port() : silent_port);
-      if (!row.up) config["known"]["batch"] = known_batch(engine.port());
+      if (!row.up) config["known"]["batch"] = make_endpoint_batch(engine.port());
       one.start(passed);
       doors.push_back(std::move(passed[0]));
-      one.go_on(config);
+      one.release(config);
     }
-    std::vector<Peer> clients;
-    for (const Fd& door : doors) {
-      clients.push_back(Peer::connect(local_port(door)));
-      clients.back().send(request_and_question(clients.size()));
+    std::vector<TestConnection> clients;
+    for (const FileDescriptor& door : doors) {
+      clients.push_back(TestConnection::connect(local_port(door)));
+      clients.back().send(make_request_and_readiness_frames(clients.size()));
     }
     std::size_t served = 0;
-    for (Peer& client : clients) {
+    for (TestConnection& client : clients) {
       for (int left = 2; left > 0;) {
         frames::Frame frame;
         std::size_t used = 0;
-        if (frames::parse_frame(client.buffer(), frame, used) != frames::Parse::kOne) {
-          require(client.more(), "no answer");
+        if (frames::parse_frame(client.buffer(), frame, used) != frames::ParseStatus::kComplete) {
+          require(client.read_more(), "no answer");
           continue;
         }
         --left;
-        if (frame.type == frames::kReady && frame.payload[0] == 0)
-          took.push_back(std::chrono::duration_cast<Duration>(wall_now() - from));
-        if (frame.type == frames::kAnswer && frame.payload[0] == 0) ++served;
+        if (frame.type == frames::kReadiness && frame.payload[0] == 0)
+          took.push_back(std::chrono::duration_cast<Duration>(monotonic_now() - from));
+        if (frame.type == frames::kResponse && frame.payload[0] == 0) ++served;
         client.take(used);
       }
     }
@@ -475,16 +483,16 @@
     WARN("directory " << row.what << ": 18 of 20 ready after " << took[17].count() / 1000 << " ms, all after "
                       << took[19].count() / 1000 << " ms");
     CHECK(took[17] < 10s);
-    for (auto& one : all) one.process().signal(SIGTERM);
-    for (Peer& client : clients) client.close();
-    for (auto& one : all) CHECK(one.process().exit_code() == 0);
+    for (auto& one : all) one.process().send_signal(SIGTERM);
+    for (TestConnection& client : clients) client.close();
+    for (auto& one : all) CHECK(one.process().wait_for_exit() == 0);
   }
 }
 
 TEST_CASE("SIGTERM, and the process stands still over the stragglers' time: who asked meanwhile is served") {
   // Guards against an exit by the clock alone: a wait that a signal cut short has seen neither the backlog
   // nor what lies unread on open connections.
-  play(R"(
+  run_scenario(R"(
     engines a
     start
     client c
--- a/tests/fleet_router_test.cpp
+++ b/tests/fleet_router_test.cpp
@@ -8,42 +8,42 @@
 namespace lemonshift {
 namespace {
 
-using fleet::Fleet;
 using fleet::kSecond;
-using fleet::Load;
+using fleet::SimulatedCluster;
+using fleet::TrafficClass;
 
 Settings settings_of(std::uint32_t routers) {
   Settings s;
-  s.routers = routers;
+  s.instance_count = routers;
   s.max_attempts = 6, s.may_cancel = true, s.max_retry_after = 2 * kSecond;
-  s.kinds = {{"k", 8.0, 16384.0}};
-  s.answer_grace = 20'000, s.drain_grace = 2 * kSecond, s.note_interval = kSecond / 2;
-  s.priorities_heeded = true;
-  s.cold = ColdStart{0.3, 15 * kSecond, 3, 3 * kSecond / 2};
+  s.machine_types = {{"k", 8.0, 16384.0}};
+  s.response_grace_period = 20'000, s.drain_grace_period = 2 * kSecond, s.progress_interval = kSecond / 2;
+  s.priorities_supported = true;
+  s.slow_start = SlowStart{0.3, 15 * kSecond, 3, 3 * kSecond / 2};
   for (int i = 0; i < 3; ++i) {
     ClassSettings k;
     k.name = std::vector<std::string>{"lookup", "report", "load"}[i];
-    k.aim = std::vector<Time>{600'000, 2'000'000, 4'000'000}[i];
-    k.aim_stretch = i == 0 ? 1.5 : 2.5;
-    k.deadline = i == 0 ? 3 * kSecond : 12 * kSecond;
+    k.latency_objective = std::vector<Time>{600'000, 2'000'000, 4'000'000}[i];
+    k.latency_objective_per_work = i == 0 ? 1.5 : 2.5;
+    k.timeout = i == 0 ? 3 * kSecond : 12 * kSecond;
     k.threads = i == 0 ? 1 : 2;
-    k.worth = std::vector<double>{1, 7.5, 6}[i], k.late_worth = 0.3;
-    if (i == 2) k.effect = Effect::kUnsafe, k.is_load = true;
+    k.priority_weight = std::vector<double>{1, 7.5, 6}[i], k.late_weight = 0.3;
+    if (i == 2) k.idempotency = Idempotency::kNonIdempotent, k.is_load = true;
     s.classes.push_back(k);
   }
   return s;
 }
 
 // 0.24 s of work each, over the fleet.
-std::vector<Load> loads_of(double per_second) {
+std::vector<TrafficClass> loads_of(double per_second) {
   return {{per_second * 0.86, 120'000, 1}, {per_second * 0.12, 900'000, 0.8}, {per_second * 0.02, 2e6, 0.8}};
 }
 
-void expect_rules_kept(const Fleet& f) {
-  EXPECT_EQ(f.answers_twice, 0);
-  EXPECT_EQ(f.sent_after_end, 0);
-  EXPECT_EQ(f.unsafe_twice, 0);
-  EXPECT_EQ(f.sent_after_close, 0);
+void expect_rules_kept(const SimulatedCluster& f) {
+  EXPECT_EQ(f.duplicate_responses, 0);
+  EXPECT_EQ(f.sends_after_completion, 0);
+  EXPECT_EQ(f.duplicate_non_idempotent_sends, 0);
+  EXPECT_EQ(f.sends_after_drain, 0);
   EXPECT_EQ(f.unanswered(), 0u);
 }
 
@@ -51,18 +51,18 @@
   double late = 0, lost = 0;  // of the requests that came in a time: not served in time; not served at all
 };
 
-Shares shares(const Fleet& f, Time from, Time until) {
+Shares shares(const SimulatedCluster& f, Time from, Time until) {
   double all = 0, late = 0, lost = 0;
-  for (const auto& a : f.asked) {
-    if (a.orphan || a.arrived < from || a.arrived >= until) continue;
-    ++all, late += !a.served || a.ended > a.aim_at, lost += !a.served;
+  for (const auto& a : f.requests) {
+    if (a.orphaned || a.arrived < from || a.arrived >= until) continue;
+    ++all, late += !a.succeeded || a.ended_at > a.objective_at, lost += !a.succeeded;
   }
   return {late / all, lost / all};
 }
 
 // One of twenty takes requests and says nothing. A dispatcher alone would send it its twentieth for ever: it
 // has to learn from the few that it loses there.
-TEST(Fleet, AHungEngineSeenAFewTimesAMinute) {
+TEST(SimulatedCluster, AHungEngineSeenAFewTimesAMinute) {
   struct {
     bool probes;
     std::uint32_t attempts;
@@ -77,9 +77,9 @@
   for (const auto& c : cases) {
     auto s = settings_of(100);
     s.max_attempts = c.attempts, s.may_probe = c.probes;
-    if (!c.notes) s.note_interval.reset();
-    Fleet f(s, loads_of(c.per_second), 5);
-    for (int i = 0; i < 20; ++i) f.add();
+    if (!c.notes) s.progress_interval.reset();
+    SimulatedCluster f(s, loads_of(c.per_second), 5);
+    for (int i = 0; i < 20; ++i) f.add_engine();
     f.run(20 * kSecond);
     f.process(7).hung = true;
     f.run(140 * kSecond);
@@ -87,9 +87,9 @@
     expect_rules_kept(f);
     const auto after = shares(f, 20 * kSecond, 140 * kSecond);
     double sends[2] = {0, 0}, of_all[2] = {0, 0};  // by minute
-    for (const auto& one : f.sent) {
-      if (one.at < 20 * kSecond || one.at >= 140 * kSecond) continue;
-      const auto minute = (one.at / kSecond - 20) / 60;
+    for (const auto& one : f.sent_attempts) {
+      if (one.sent_at < 20 * kSecond || one.sent_at >= 140 * kSecond) continue;
+      const auto minute = (one.sent_at / kSecond - 20) / 60;
       sends[minute] += one.engine == 7, ++of_all[minute];
     }
     std::printf(
@@ -105,15 +105,15 @@
 }
 
 // For 6 s nothing is heard of a fifth of the engines, or of one attempt in 25 anywhere.
-TEST(Fleet, SilenceOfAFifthOrOfAnswersForAWhile) {
+TEST(SimulatedCluster, SilenceOfAFifthOrOfAnswersForAWhile) {
   for (const bool engines : {true, false}) {
     for (const double per_second : {100.0, 400.0}) {
-      Fleet f(settings_of(100), loads_of(per_second), 23);
-      for (int i = 0; i < 20; ++i) f.add();
+      SimulatedCluster f(settings_of(100), loads_of(per_second), 23);
+      for (int i = 0; i < 20; ++i) f.add_engine();
       f.run(20 * kSecond);
       const auto set = [&](bool on) {
         for (EngineId i = 0; engines && i < 4; ++i) f.process(i).hung = on;
-        f.losses = !engines && on ? 0.04 : 0;
+        f.loss_rate = !engines && on ? 0.04 : 0;
       };
       set(true);
       f.run(26 * kSecond);
@@ -124,8 +124,8 @@
       const auto during = shares(f, 18 * kSecond, 26 * kSecond),
                  after = shares(f, 30 * kSecond, 50 * kSecond);
       double there = 0, all = 0;
-      for (const auto& one : f.sent) {
-        if (one.at < 35 * kSecond) continue;
+      for (const auto& one : f.sent_attempts) {
+        if (one.sent_at < 35 * kSecond) continue;
         there += one.engine < 4, ++all;
       }
       EXPECT_LT(during.late, engines ? 0.15 : 0.06);
@@ -138,10 +138,10 @@
 
 // Guards against silence that only other requests' notes could show, which thin traffic rarely has, and that
 // taught nothing of its engine once found: of 20 engines the hung one lost 1.05% of all requests.
-TEST(Fleet, AHungEngineLosesFewRequestsOfThinTraffic) {
+TEST(SimulatedCluster, AHungEngineLosesFewRequestsOfThinTraffic) {
   for (const double per_second : {100.0, 300.0}) {
-    Fleet f(settings_of(100), loads_of(per_second), 5);
-    for (int i = 0; i < 20; ++i) f.add();
+    SimulatedCluster f(settings_of(100), loads_of(per_second), 5);
+    for (int i = 0; i < 20; ++i) f.add_engine();
     f.run(20 * kSecond);
     f.process(7).hung = true;
     f.run(140 * kSecond);
@@ -152,26 +152,27 @@
 
 // Six in ten engines are replaced in steps while lists are silent; new ones come under ids of their own, some
 // at an address that was another's.
-TEST(Fleet, ASilentListIntoARelease) {
+TEST(SimulatedCluster, ASilentListIntoARelease) {
   for (const std::uint32_t n : {60u, 200u}) {
-    Fleet f(settings_of(n), loads_of(300), 11);
-    for (int i = 0; i < 20; ++i) f.add();
+    SimulatedCluster f(settings_of(n), loads_of(300), 11);
+    for (int i = 0; i < 20; ++i) f.add_engine();
     f.run(8 * kSecond);
     for (EngineId old = 0; old < 12; ++old) {
       const Time drains = 8 * kSecond + (old / 4) * 5 * kSecond / 2;
-      f.at(drains, [&f, old] {
-        const auto id = f.add(f.now);  // it starts as the former one drains
-        f.retire(old);
-        if (f.now >= 16 * kSecond) f.publish(kSecond / 2);
-        f.at(f.now + (old % 3 == 0 ? 7 : 4) * kSecond, [&f, old, id] {
-          f.end(old);
-          std::erase_if(f.list, [old](auto& e) { return e.id == old; });
-          if (old % 2 == 0) f.reach[old] = f.reach[id];  // who was not told meets the new one there
-          if (f.now >= 16 * kSecond) f.publish(kSecond / 2);
+      f.schedule(drains, [&f, old] {
+        const auto id = f.add_engine(f.now);  // it starts as the former one drains
+        f.drain_engine(old);
+        if (f.now >= 16 * kSecond) f.publish_list(kSecond / 2);
+        f.schedule(f.now + (old % 3 == 0 ? 7 : 4) * kSecond, [&f, old, id] {
+          f.stop_process(old);
+          std::erase_if(f.engine_list, [old](auto& e) { return e.id == old; });
+          if (old % 2 == 0)
+            f.process_of_engine[old] = f.process_of_engine[id];  // who was not told meets the new one there
+          if (f.now >= 16 * kSecond) f.publish_list(kSecond / 2);
         });
       });
     }
-    f.at(16 * kSecond, [&f] { f.publish(kSecond / 2); });
+    f.schedule(16 * kSecond, [&f] { f.publish_list(kSecond / 2); });
     f.run(45 * kSecond);
     f.drain();
     EXPECT_LT(shares(f, 8 * kSecond, 30 * kSecond).late, 0.05);
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -18,12 +18,12 @@
   s.max_attempts = 6;
   s.max_retry_after = kSecond;
   s.may_cancel = true;
-  s.kinds = {{"k0", 8.0, 16384.0}, {"k1", 8.0, 16384.0}};
+  s.machine_types = {{"k0", 8.0, 16384.0}, {"k1", 8.0, 16384.0}};
   s.zones = 2;
   ClassSettings c;
   c.name = "c";
-  c.aim = 10 * kSecond;
-  c.deadline = 20 * kSecond;
+  c.latency_objective = 10 * kSecond;
+  c.timeout = 20 * kSecond;
   s.classes = {c};
   return s;
 }
@@ -38,7 +38,7 @@
 RequestArrived query(RequestId id, std::uint64_t group = 0, double work = 100'000) {
   RequestArrived r;
   r.id = id;
-  r.give_up_at = 20 * kSecond;
+  r.deadline = 20 * kSecond;
   r.group = group;
   r.work = work;
   return r;
@@ -51,7 +51,7 @@
   e.engine = at;
   e.outcome = outcome;
   e.latency = 100'000;
-  e.over = outcome == Outcome::kServed;
+  e.completed = outcome == Outcome::kServed;
   return e;
 }
 
@@ -75,7 +75,8 @@
     }
     actions = seen;
   }
-  void list(Time now, std::initializer_list<EngineEntry> entries, ListKind kind = ListKind::kWhole) {
+  void list(Time now, std::initializer_list<EngineEntry> entries,
+            EngineListKind kind = EngineListKind::kSnapshot) {
     at(now, {EngineList{kind, entries}});
   }
   template <class A>
@@ -88,7 +89,7 @@
   }
   std::vector<Send> sends() const { return all<Send>(); }
   Router& router() { return router_; }
-  std::size_t answers() const { return all<Refuse>().size() + all<Fail>().size(); }
+  std::size_t answers() const { return all<Reject>().size() + all<Fail>().size(); }
 
   std::vector<Action> actions;
   std::vector<Send> all_sends;
@@ -130,7 +131,7 @@
 
 TEST(Affinity, LoadOverTheFactorOutweighsDistance) {
   auto settings = basic();
-  settings.kinds[0].cores = 100;
+  settings.machine_types[0].cores = 100;
   Script s(settings);
   s.list(0, {engine(0), engine(1)});
   std::vector<EngineId> where;
@@ -160,8 +161,8 @@
 
 TEST(Window, CountsThreadsOfOurShare) {
   auto settings = basic();
-  settings.routers = 2;
-  settings.ordinal = 0;
+  settings.instance_count = 2;
+  settings.instance_index = 0;
   Script s(settings);
   s.list(0, {engine(0)});
   std::vector<Event> burst;
@@ -172,7 +173,7 @@
 
 TEST(Window, HoldsAtLeastOneQuery) {
   auto settings = basic();
-  settings.routers = 100;
+  settings.instance_count = 100;
   settings.classes[0].threads = 4;
   Script s(settings);
   s.list(0, {engine(0)});
@@ -193,12 +194,12 @@
 
 TEST(Steal, AnIdleEngineTakesTheOldestOfTheLongestQueue) {
   auto settings = basic();
-  settings.kinds[0].cores = 1;  // a window of two threads
+  settings.machine_types[0].cores = 1;  // a window of two threads
   Script s(settings);
   s.list(0, {engine(0)});
   for (RequestId id = 1; id <= 6; ++id) s.at(static_cast<Time>(id), {query(id)});
   ASSERT_EQ(s.all_sends.size(), 2u);
-  s.list(10, {engine(1)}, ListKind::kChanges);
+  s.list(10, {engine(1)}, EngineListKind::kDelta);
   ASSERT_EQ(s.sends().size(), 2u);
   EXPECT_EQ(s.sends()[0].request, 3u);
   EXPECT_EQ(s.sends()[0].engine, 1u);
@@ -219,9 +220,9 @@
   Script s(basic());
   s.list(0, {engine(0)});
   s.at(1, {query(1)});
-  s.at(20 * kSecond, {ended(1, 0, 0, Outcome::kNoAnswer)});
+  s.at(20 * kSecond, {ended(1, 0, 0, Outcome::kNoResponse)});
   EXPECT_EQ(s.all<Fail>().size(), 1u);
-  s.at(20 * kSecond + 1, {ended(1, 0, 0, Outcome::kNoAnswer), TimerFired{9}});
+  s.at(20 * kSecond + 1, {ended(1, 0, 0, Outcome::kNoResponse), TimerFired{9}});
   EXPECT_EQ(s.answers(), 0u);
 }
 
@@ -230,7 +231,7 @@
   s.list(0, {engine(0)});
   s.at(1, {query(1)});
   std::uint64_t token = 0;
-  for (const auto& w : s.all<Wake>()) {
+  for (const auto& w : s.all<SetTimer>()) {
     if (w.at == 20 * kSecond) token = w.token;
   }
   ASSERT_NE(token, 0u);
@@ -242,8 +243,8 @@
   Script s(basic());
   s.list(0, {engine(0)});
   s.at(1, {query(1)});
-  s.at(2, {RequestDropped{1}});
-  s.at(3, {ended(1, 0, 0, Outcome::kTurnedAway)});
+  s.at(2, {ClientDisconnected{1}});
+  s.at(3, {ended(1, 0, 0, Outcome::kRejected)});
   EXPECT_EQ(s.sends().size(), 0u);
   EXPECT_EQ(s.answers(), 0u);
 }
@@ -252,21 +253,22 @@
   Script s(basic());
   s.list(0, {engine(0)});
   s.at(1, {query(1), query(1), ended(9, 0, 0, Outcome::kServed), ended(1, 5, 0, Outcome::kServed),
-           AttemptNote{9, 0, 0, NoteKind::kProgress, 0.5}, TimerFired{12345}, RequestDropped{77}});
+           AttemptUpdate{9, 0, 0, AttemptUpdateKind::kProgress, 0.5}, TimerFired{12345},
+           ClientDisconnected{77}});
   EXPECT_EQ(s.sends().size(), 1u);
   EXPECT_EQ(s.answers(), 0u);
 }
 
 TEST(Answers, HopelessWorkIsRefusedAtOnceWithAReturnTime) {
   auto settings = basic();
-  settings.classes[0].aim = kSecond;
-  settings.kinds[0].cores = 0.5;
+  settings.classes[0].latency_objective = kSecond;
+  settings.machine_types[0].cores = 0.5;
   Script s(settings);
   s.list(0, {engine(0)});
   s.at(1, {query(1, 0, 500'000), query(2, 0, 500'000)});
   s.wait(20'000, 2 * kSecond);
-  ASSERT_EQ(s.all<Refuse>().size(), 1u);
-  EXPECT_TRUE(s.all<Refuse>()[0].retry_after.has_value());
+  ASSERT_EQ(s.all<Reject>().size(), 1u);
+  EXPECT_TRUE(s.all<Reject>()[0].retry_after.has_value());
 }
 
 // ---- rule 2: effects ----
@@ -277,62 +279,62 @@
   Script s(basic());
   s.list(0, {engine(0)});
   auto hopeless = query(1);
-  hopeless.give_up_at = 120'000;  // 100 ms of work, 1.5 times that before anything is known
+  hopeless.deadline = 120'000;  // 100 ms of work, 1.5 times that before anything is known
   auto fits = query(2);
-  fits.give_up_at = 160'000;
+  fits.deadline = 160'000;
   s.at(1, {hopeless, fits});
-  ASSERT_EQ(s.all<Refuse>().size(), 1u);
-  EXPECT_EQ(s.all<Refuse>()[0].request, 1u);
+  ASSERT_EQ(s.all<Reject>().size(), 1u);
+  EXPECT_EQ(s.all<Reject>()[0].request, 1u);
   ASSERT_EQ(s.sends().size(), 1u);
   EXPECT_EQ(s.sends()[0].request, 2u);
 }
 
 TEST(Effects, UnsafeIsNotRepeatedOnceItMayHaveRun) {
   for (const auto outcome :
-       {Outcome::kError, Outcome::kConnectionLost, Outcome::kNoAnswer, Outcome::kCancelled}) {
+       {Outcome::kError, Outcome::kConnectionLost, Outcome::kNoResponse, Outcome::kCancelled}) {
     auto settings = basic();
-    settings.classes[0].effect = Effect::kUnsafe;
+    settings.classes[0].idempotency = Idempotency::kNonIdempotent;
     Script s(settings);
     s.list(0, {engine(0), engine(1)});
     s.at(1, {query(1)});
     s.at(2, {ended(1, 0, s.sends()[0].engine, outcome)});
     EXPECT_EQ(s.sends().size(), 0u);
-    EXPECT_EQ(s.all<Refuse>().size(), 0u);
+    EXPECT_EQ(s.all<Reject>().size(), 0u);
     EXPECT_EQ(s.all<Fail>().size(), 1u);
   }
 }
 
 TEST(Effects, UnsafeThatNeverRanIsSentAgain) {
   auto settings = basic();
-  settings.classes[0].effect = Effect::kUnsafe;
+  settings.classes[0].idempotency = Idempotency::kNonIdempotent;
   Script s(settings);
   s.list(0, {engine(0), engine(1)});
   s.at(1, {query(1)});
-  s.at(2, {ended(1, 0, s.sends()[0].engine, Outcome::kTurnedAway)});
+  s.at(2, {ended(1, 0, s.sends()[0].engine, Outcome::kRejected)});
   EXPECT_EQ(s.sends().size(), 1u);
 }
 
-Settings keyed(RepeatScope scope) {
+Settings keyed(IdempotencyScope scope) {
   auto settings = basic();
-  settings.classes[0].effect = Effect::kKeyed;
-  settings.classes[0].repeat_scope = scope;
-  settings.classes[0].repeat_window = 5 * kSecond;
+  settings.classes[0].idempotency = Idempotency::kKeyed;
+  settings.classes[0].idempotency_scope = scope;
+  settings.classes[0].idempotency_window = 5 * kSecond;
   return settings;
 }
 
 TEST(Effects, KeyedStaysInItsZoneOrCell) {
-  for (const auto scope : {RepeatScope::kZone, RepeatScope::kCell}) {
+  for (const auto scope : {IdempotencyScope::kZone, IdempotencyScope::kCell}) {
     int alone = 0;
     for (std::uint64_t group = 1; group < 20; ++group) {
       Script s(keyed(scope));
       auto a = engine(0), b = engine(1), c = engine(2);
-      (scope == RepeatScope::kZone ? b.zone : b.cell) = 1;
-      (scope == RepeatScope::kZone ? c.zone : c.cell) = 1;
+      (scope == IdempotencyScope::kZone ? b.zone : b.cell) = 1;
+      (scope == IdempotencyScope::kZone ? c.zone : c.cell) = 1;
       s.list(0, {a, b, c});
       s.at(1, {query(1, group)});
       const auto first = s.sends().at(0).engine;
       s.at(2, {ended(1, 0, first, Outcome::kConnectionLost)});
-      EXPECT_EQ(s.all<Refuse>().size(), 0u);
+      EXPECT_EQ(s.all<Reject>().size(), 0u);
       alone += first == 0;  // no other engine drops its repeats
       ASSERT_EQ(s.sends().size(), 1u);
       EXPECT_EQ(s.sends()[0].engine == 0, first == 0);
@@ -342,7 +344,7 @@
 }
 
 TEST(Effects, KeyedIsNotRepeatedOutsideItsWindow) {
-  Script s(keyed(RepeatScope::kAll));
+  Script s(keyed(IdempotencyScope::kAll));
   s.list(0, {engine(0), engine(1)});
   s.at(1, {query(1), query(2)});
   const auto first = s.sends()[0].engine;
@@ -368,11 +370,11 @@
     Script s(basic());
     s.list(0, {engine(0), engine(1)});
     auto a = engine(0);
-    a.state = how == 0 ? EngineState::kDraining : EngineState::kGone;
+    a.state = how == 0 ? EngineState::kDraining : EngineState::kRemoved;
     if (how == 2) {
       s.list(1, {engine(1)});
     } else {
-      s.list(1, {a}, ListKind::kChanges);
+      s.list(1, {a}, EngineListKind::kDelta);
     }
     for (RequestId id = 1; id < 40; ++id) s.at(static_cast<Time>(id + 1), {query(id, id)});
     for (const auto& send : s.all_sends) EXPECT_EQ(send.engine, 1u);
@@ -382,13 +384,13 @@
 
 TEST(Drain, WhatWaitsThereMoves) {
   auto settings = basic();
-  settings.kinds[0].cores = 0.5;
+  settings.machine_types[0].cores = 0.5;
   Script s(settings);
   s.list(0, {engine(0)});
   s.at(1, {query(1), query(2)});
   auto a = engine(0);
   a.state = EngineState::kDraining;
-  s.list(2, {a, engine(1)}, ListKind::kChanges);
+  s.list(2, {a, engine(1)}, EngineListKind::kDelta);
   ASSERT_EQ(s.sends().size(), 1u);
   EXPECT_EQ(s.sends()[0].request, 2u);
   EXPECT_EQ(s.sends()[0].engine, 1u);
@@ -398,23 +400,23 @@
 
 Settings with_cold() {
   auto settings = basic();
-  settings.cold = ColdStart{0.35, 15 * kSecond, 2.0, kSecond};
+  settings.slow_start = SlowStart{0.35, 15 * kSecond, 2.0, kSecond};
   return settings;
 }
 
 TEST(Cold, ABurstStaysUnderOurShare) {
   for (const std::uint32_t routers : {1u, 2u}) {
     auto settings = with_cold();
-    settings.routers = routers;
-    settings.kinds[0].cores = 64;
+    settings.instance_count = routers;
+    settings.machine_types[0].cores = 64;
     Script s(settings);
     auto a = engine(0);
-    a.started = 100 * kSecond;
+    a.started_at = 100 * kSecond;
     s.list(100 * kSecond, {a});
     std::vector<Event> burst;
     for (RequestId id = 1; id <= 400; ++id) {
       burst.push_back(query(id, 0, 1'000'000));
-      std::get<RequestArrived>(burst.back()).give_up_at = 120 * kSecond;
+      std::get<RequestArrived>(burst.back()).deadline = 120 * kSecond;
     }
     s.at(103 * kSecond, burst);
     // At most 2 x 0.38 x 64 cores x 1 s over the gateways, in queries of one second.
@@ -426,18 +428,18 @@
 TEST(Cold, ARestartedGatewayTakesTheFirstSpanAsSpent) {
   Script s(with_cold());
   auto a = engine(0);
-  a.started = 100 * kSecond;
-  s.at(101 * kSecond, {EngineList{ListKind::kRemembered, {a}}, query(1)});
+  a.started_at = 100 * kSecond;
+  s.at(101 * kSecond, {EngineList{EngineListKind::kCached, {a}}, query(1)});
   EXPECT_EQ(s.sends().size(), 0u);
 }
 
 TEST(Cold, AWarmEngineHasNoBudget) {
   Script s(with_cold());
   auto a = engine(0);
-  a.started = 100 * kSecond;
+  a.started_at = 100 * kSecond;
   s.list(116 * kSecond, {a});
   auto q = query(1, 0, 5e6);
-  q.give_up_at = 400 * kSecond;
+  q.deadline = 400 * kSecond;
   s.at(117 * kSecond, {q});
   EXPECT_EQ(s.sends().size(), 1u);
 }
@@ -447,7 +449,7 @@
 Settings ordered() {
   auto settings = basic();
   settings.classes[0].ordered = true;
-  settings.order_rest = kSecond;
+  settings.ordered_key_cooldown = kSecond;
   return settings;
 }
 
@@ -473,7 +475,7 @@
   s.list(0, {engine(0), engine(1)});
   s.at(1, {keyed_query(1, 5), keyed_query(2, 5)});
   const auto first = s.sends()[0].engine;
-  s.at(2, {RequestDropped{1}});
+  s.at(2, {ClientDisconnected{1}});
   EXPECT_EQ(s.sends().size(), 0u);
   s.at(3, {ended(1, 0, first, Outcome::kCancelled)});
   EXPECT_EQ(s.sends().size(), 0u);
@@ -487,18 +489,18 @@
 
 TEST(Placement, BoundClassesKeepToTheirEngines) {
   auto settings = basic();
-  settings.classes[0].zones_allowed = std::vector<std::uint32_t>{1};
-  settings.classes[0].kinds_allowed = std::vector<std::uint32_t>{1};
+  settings.classes[0].allowed_zones = std::vector<std::uint32_t>{1};
+  settings.classes[0].allowed_machine_types = std::vector<std::uint32_t>{1};
   Script s(settings);
   auto a = engine(0), b = engine(1), c = engine(2);
   a.zone = 1;
-  b.kind = 1;
+  b.machine_type = 1;
   c.zone = 1;
-  c.kind = 1;
+  c.machine_type = 1;
   s.list(0, {a, b});
   s.at(1, {query(1, 1), query(2, 2)});
   EXPECT_EQ(s.sends().size(), 0u);
-  s.list(2, {c}, ListKind::kChanges);
+  s.list(2, {c}, EngineListKind::kDelta);
   s.wait(20'000, 40'000);
   ASSERT_EQ(s.all_sends.size(), 2u);
   for (const auto& send : s.all_sends) EXPECT_EQ(send.engine, 2u);
@@ -508,7 +510,7 @@
 
 TEST(Attempts, FurtherOnesStayWithinTheBudget) {
   auto settings = basic();
-  settings.attempt_budget = AttemptBudget{2, 0.1, 10 * kSecond};
+  settings.retry_budget = RetryBudget{2, 0.1, 10 * kSecond};
   Script s(settings);
   s.list(0, {engine(0), engine(1)});
   std::vector<Event> burst;
@@ -518,7 +520,7 @@
   ASSERT_EQ(first.size(), 10u);
   std::size_t extra = 0;
   for (const auto& send : first) {
-    s.at(2, {ended(send.request, 0, send.engine, Outcome::kTurnedAway)});
+    s.at(2, {ended(send.request, 0, send.engine, Outcome::kRejected)});
     extra += s.sends().size();
   }
   EXPECT_EQ(extra, 3u);  // 2 + 0.1 x 10
@@ -530,11 +532,11 @@
   Script s(settings);
   s.list(0, {engine(0), engine(1)});
   s.at(1, {query(1)});
-  s.at(2, {ended(1, 0, s.sends()[0].engine, Outcome::kTurnedAway)});
+  s.at(2, {ended(1, 0, s.sends()[0].engine, Outcome::kRejected)});
   ASSERT_EQ(s.sends().size(), 1u);
-  s.at(3, {ended(1, 1, s.sends()[0].engine, Outcome::kTurnedAway)});
+  s.at(3, {ended(1, 1, s.sends()[0].engine, Outcome::kRejected)});
   EXPECT_EQ(s.sends().size(), 0u);
-  EXPECT_EQ(s.all<Refuse>().size(), 1u);
+  EXPECT_EQ(s.all<Reject>().size(), 1u);
 }
 
 // ---- what incidents taught ----
@@ -558,31 +560,32 @@
 
 TEST(Grants, RiseWithSpills) {
   auto settings = basic();
-  settings.grants_heeded = true;
+  settings.memory_grants_supported = true;
   Script s(settings);
   s.list(0, {engine(0)});
   auto q = query(1);
   q.memory_mb = 100;
   s.at(1, {q});
-  const double before = s.all<SetTerms>().at(0).memory_mb.value();
-  s.at(2, {AttemptNote{1, 0, 0, NoteKind::kSpills, 30}, AttemptNote{1, 0, 0, NoteKind::kSpills, 30}});
+  const double before = s.all<SetExecutionOptions>().at(0).memory_mb.value();
+  s.at(2, {AttemptUpdate{1, 0, 0, AttemptUpdateKind::kSpilling, 30},
+           AttemptUpdate{1, 0, 0, AttemptUpdateKind::kSpilling, 30}});
   q.id = 2;
   s.at(3, {q});
-  EXPECT_NEAR(s.all<SetTerms>().at(0).memory_mb.value(), before * 1.05, 1e-6);
+  EXPECT_NEAR(s.all<SetExecutionOptions>().at(0).memory_mb.value(), before * 1.05, 1e-6);
 }
 
 TEST(BadPlans, AnAttemptFarBehindItsEstimateIsCancelledAndSentAnew) {
-  for (const auto effect : {Effect::kSafe, Effect::kUnsafe}) {
+  for (const auto effect : {Idempotency::kIdempotent, Idempotency::kNonIdempotent}) {
     auto settings = basic();
-    settings.classes[0].effect = effect;
+    settings.classes[0].idempotency = effect;
     Script s(settings);
     s.list(0, {engine(0), engine(1)});
     s.at(1, {query(1, 0, 600'000)});
     const auto first = s.sends()[0].engine;
     s.wait(20'001, 480'001);
-    s.at(500'000, {AttemptNote{1, 0, first, NoteKind::kProgress, 0.03}});
-    ASSERT_EQ(s.all<Cancel>().size(), effect == Effect::kSafe ? 1u : 0u);
-    if (effect == Effect::kUnsafe) continue;
+    s.at(500'000, {AttemptUpdate{1, 0, first, AttemptUpdateKind::kProgress, 0.03}});
+    ASSERT_EQ(s.all<Cancel>().size(), effect == Idempotency::kIdempotent ? 1u : 0u);
+    if (effect == Idempotency::kNonIdempotent) continue;
     s.at(500'001, {ended(1, 0, first, Outcome::kCancelled)});
     EXPECT_EQ(s.sends().size(), 1u);
   }
@@ -590,8 +593,8 @@
 
 TEST(Silence, AnAttemptNothingIsHeardOfIsSentAnewAndNoLongerFillsTheWindow) {
   auto settings = basic();
-  settings.note_interval = 500'000;
-  settings.kinds[0].cores = 0.5;  // a window of one query
+  settings.progress_interval = 500'000;
+  settings.machine_types[0].cores = 0.5;  // a window of one query
   Script s(settings);
   s.list(0, {engine(0), engine(1)});
   s.at(1, {query(1), query(2)});
@@ -600,7 +603,7 @@
   const auto lost = s.sends()[0].request, well = s.sends()[1].request;
   for (Time t = 500'000; t <= 1'000'000; t += 500'000) {
     s.wait(t - 479'999, t);
-    s.at(t, {AttemptNote{well, 0, well_at, NoteKind::kProgress, 0.9}});
+    s.at(t, {AttemptUpdate{well, 0, well_at, AttemptUpdateKind::kProgress, 0.9}});
   }
   s.wait(1'020'000, 1'260'000);
   ASSERT_EQ(s.all<Cancel>().size(), 1u);
@@ -612,25 +615,25 @@
 
 TEST(Silence, WhatStandsInAnEnginesLineSaysSoOnceAndIsNotLost) {
   auto settings = basic();
-  settings.note_interval = 500'000;
+  settings.progress_interval = 500'000;
   Script s(settings);
   s.list(0, {engine(0), engine(1)});
   s.at(1, {query(1), query(2)});
   ASSERT_EQ(s.sends().size(), 2u);
   const auto waits = s.sends()[0], runs = s.sends()[1];
-  s.at(10'000, {AttemptNote{waits.request, 0, waits.engine, NoteKind::kWaitsForMemory, 1}});
+  s.at(10'000, {AttemptUpdate{waits.request, 0, waits.engine, AttemptUpdateKind::kWaitingForMemory, 1}});
   std::size_t cancels = 0;
   for (Time t = 500'000; t <= 4 * kSecond; t += 500'000) {
     s.wait(t - 479'999, t);
     cancels += s.all<Cancel>().size();
-    s.at(t, {AttemptNote{runs.request, 0, runs.engine, NoteKind::kProgress, 0.9}});
+    s.at(t, {AttemptUpdate{runs.request, 0, runs.engine, AttemptUpdateKind::kProgress, 0.9}});
   }
   EXPECT_EQ(cancels, 0u);
 }
 
 TEST(Silence, WithoutNotesFromAnybodyNothingIsTakenForLost) {
   auto settings = basic();
-  settings.note_interval = 500'000;
+  settings.progress_interval = 500'000;
   Script s(settings);
   s.list(0, {engine(0), engine(1)});
   s.at(1 * kSecond, {query(1)});
@@ -639,14 +642,14 @@
 }
 
 TEST(Answers, WhatNobodyWaitsForIsCancelled) {
-  for (const auto effect : {Effect::kSafe, Effect::kUnsafe}) {
+  for (const auto effect : {Idempotency::kIdempotent, Idempotency::kNonIdempotent}) {
     auto settings = basic();
-    settings.classes[0].effect = effect;
+    settings.classes[0].idempotency = effect;
     Script s(settings);
     s.list(0, {engine(0)});
     s.at(1, {query(1)});
-    s.at(2, {RequestDropped{1}});
-    EXPECT_EQ(s.all<Cancel>().size(), effect == Effect::kSafe ? 1u : 0u);
+    s.at(2, {ClientDisconnected{1}});
+    EXPECT_EQ(s.all<Cancel>().size(), effect == Idempotency::kIdempotent ? 1u : 0u);
   }
 }
 
@@ -657,7 +660,7 @@
   s.list(0, {engine(0), engine(1)});
   s.at(1, {query(1, 7)});
   const auto home = s.sends()[0].engine;
-  s.at(2, {AttemptNote{1, 0, home, NoteKind::kWaitsForLoad, 2}});
+  s.at(2, {AttemptUpdate{1, 0, home, AttemptUpdateKind::kWaitingForLoad, 2}});
   ASSERT_EQ(s.all<Cancel>().size(), 1u);
   s.at(3, {ended(1, 0, home, Outcome::kCancelled)});
   ASSERT_EQ(s.sends().size(), 1u);
@@ -677,7 +680,7 @@
     const auto home = s.sends()[0].engine;
     s.at(2, {ended(1, 0, home, Outcome::kServed)});
     auto load = query(2, group);
-    load.cls = 1;
+    load.class_index = 1;
     s.at(3, {load});
     EXPECT_NE(s.sends()[0].engine, home);
   }
@@ -705,9 +708,9 @@
   Script s(basic());
   s.list(0, {engine(0)});
   s.at(1, {query(1)});
-  s.at(2, {ended(1, 0, 0, Outcome::kNoConnection)});
+  s.at(2, {ended(1, 0, 0, Outcome::kConnectFailed)});
   EXPECT_EQ(s.sends().size(), 0u);
-  s.list(3, {engine(1)}, ListKind::kChanges);
+  s.list(3, {engine(1)}, EngineListKind::kDelta);
   s.at(kSecond, {query(2, 1), query(3, 2), query(4, 3)});
   const auto sends = s.sends();
   EXPECT_EQ(std::count_if(sends.begin(), sends.end(), [](const Send& x) { return x.engine == 0; }), 1);
@@ -740,10 +743,10 @@
   // Two gateways that are both told of room and both fill it push an engine into paging, which slows all on
   // it.
   auto settings = basic();
-  settings.routers = 2;
-  settings.grants_heeded = true;
-  settings.short_memory = ShortMemory::kPage;
-  settings.kinds = {{"k0", 64.0, 16384.0}};
+  settings.instance_count = 2;
+  settings.memory_grants_supported = true;
+  settings.memory_pressure = MemoryPressure::kPage;
+  settings.machine_types = {{"k0", 64.0, 16384.0}};
   Script s(settings);
   s.list(0, {engine(0)});
   std::vector<Event> many;
@@ -769,7 +772,7 @@
 TEST(Memory, GrantsFallSoonWhereNothingSpills) {
   // What is granted beyond the need keeps others off the engine: that costs more than a spill now and then.
   auto settings = basic();
-  settings.grants_heeded = true;
+  settings.memory_grants_supported = true;
   Script s(settings);
   s.list(0, {engine(0)});
   double granted = 0;
@@ -777,8 +780,8 @@
     RequestArrived one = query(id);
     one.memory_mb = 1000;
     s.at(static_cast<Time>(id) * 1000, {one});
-    ASSERT_EQ(s.all<SetTerms>().size(), 1u);
-    granted = s.all<SetTerms>()[0].memory_mb.value_or(0);
+    ASSERT_EQ(s.all<SetExecutionOptions>().size(), 1u);
+    granted = s.all<SetExecutionOptions>()[0].memory_mb.value_or(0);
     s.at(static_cast<Time>(id) * 1000 + 1, {ended(id, 0, 0, Outcome::kServed)});
   }
   EXPECT_GE(granted, 1000);
@@ -822,7 +825,7 @@
 TEST(Deterministic, TheSameEventsGiveTheSameActions) {
   const auto run = [] {
     auto settings = with_cold();
-    settings.attempt_budget = AttemptBudget{2, 0.1, 10 * kSecond};
+    settings.retry_budget = RetryBudget{2, 0.1, 10 * kSecond};
     Script s(settings), other(settings);
     std::string text;
     s.list(0, {engine(0), engine(1), engine(2)});
@@ -849,24 +852,24 @@
   s.at(1, {query(1, 0, 600'000)});
   const auto first = s.sends().at(0).engine;
   s.wait(20'001, 480'001);
-  s.at(500'000, {AttemptNote{1, 0, first, NoteKind::kProgress, 0.03}});
+  s.at(500'000, {AttemptUpdate{1, 0, first, AttemptUpdateKind::kProgress, 0.03}});
   EXPECT_EQ(s.all<Cancel>().size(), 0u);
 }
 
 TEST(BadPlans, AClassThatIsSlowAsAWholeIsLeftAlone) {
   auto settings = basic();
-  settings.kinds[0].cores = 100;
+  settings.machine_types[0].cores = 100;
   Script s(settings);
   s.list(0, {engine(0), engine(1)});
   std::size_t late_cancels = 0;
   for (RequestId id = 1; id <= 120; ++id) {
     const Time now = static_cast<Time>(id) * 600'000;
     auto q = query(id, 0, 600'000);
-    q.give_up_at = now + 20 * kSecond;
+    q.deadline = now + 20 * kSecond;
     s.at(now, {q});
     const auto at = s.sends().at(0).engine;
     s.wait(now + 20'000, now + 480'000);
-    s.at(now + 500'000, {AttemptNote{id, 0, at, NoteKind::kProgress, 0.03}});
+    s.at(now + 500'000, {AttemptUpdate{id, 0, at, AttemptUpdateKind::kProgress, 0.03}});
     if (id > 80) late_cancels += s.all<Cancel>().size();
     s.at(now + 500'001, {ended(id, 0, at, Outcome::kServed)});
   }
@@ -877,8 +880,8 @@
 
 Settings many(std::uint32_t routers, std::uint32_t ordinal = 0) {
   auto s = basic();
-  s.routers = routers;
-  s.ordinal = ordinal;
+  s.instance_count = routers;
+  s.instance_index = ordinal;
   return s;
 }
 
@@ -886,7 +889,7 @@
   std::vector<EngineEntry> all;
   for (EngineId i = 0; i < n; ++i) {
     all.push_back(engine(i));
-    all.back().started = started;
+    all.back().started_at = started;
   }
   return all;
 }
@@ -897,20 +900,20 @@
     std::vector<std::pair<Time, double>> sent;  // what all gateways send the cold engine
     for (std::uint32_t i = 0; i < n; ++i) {
       auto settings = many(n, i);
-      settings.cold = ColdStart{0.35, warm, 2, kSecond};
+      settings.slow_start = SlowStart{0.35, warm, 2, kSecond};
       Script s(settings);
-      s.at(0, {EngineList{ListKind::kWhole, fleet(1)}});
+      s.at(0, {EngineList{EngineListKind::kSnapshot, fleet(1)}});
       RequestId id = 0;
       for (Time t = start - kSecond; t < start; t += 100'000) {  // the class's mean is learnt
         s.at(t, {query(++id)});
         for (const auto& one : s.sends()) s.at(t, {ended(one.request, 0, 0, Outcome::kServed)});
       }
-      s.at(start, {EngineList{ListKind::kWhole, fleet(1, start)}});
+      s.at(start, {EngineList{EngineListKind::kSnapshot, fleet(1, start)}});
       for (Time t = start + 50'000; t < start + warm; t += 100'000) {
         std::vector<Event> events;
         for (const auto& done : s.sends()) events.push_back(ended(done.request, 0, 0, Outcome::kServed));
         auto q = query(++id);
-        q.give_up_at = t + 20 * kSecond;
+        q.deadline = t + 20 * kSecond;
         events.push_back(q);
         s.at(t, events);
         for (const auto& one : s.sends()) {
@@ -938,7 +941,7 @@
   std::map<EngineId, int> homes;
   for (std::uint32_t i = 0; i < 60; ++i) {
     Script s(many(100, i));
-    s.at(0, {EngineList{ListKind::kWhole, fleet(20)}});
+    s.at(0, {EngineList{EngineListKind::kSnapshot, fleet(20)}});
     for (RequestId id = 1; id <= 4; ++id) {  // each has another past
       s.at(static_cast<Time>(id), {query(id, 1000 + 7 * i + id)});
       s.at(static_cast<Time>(id), {ended(id, 0, s.sends().at(0).engine, Outcome::kServed)});
@@ -960,11 +963,11 @@
     auto settings = many(100, i);
     settings.classes[0].is_load = loads;
     Script s(settings);
-    s.at(0, {EngineList{ListKind::kWhole, fleet(30)}});
+    s.at(0, {EngineList{EngineListKind::kSnapshot, fleet(30)}});
     for (int k = 0; k < each; ++k) {
       const RequestId id = i * 1000 + static_cast<RequestId>(k) + 1;
       auto q = query(id, id * 40503 / 7 % groups);
-      q.give_up_at = k * 300'000 + 20 * kSecond;
+      q.deadline = k * 300'000 + 20 * kSecond;
       s.at(k * 300'000, {q});
       for (const auto& one : s.sends()) {
         ++at[one.engine];
@@ -992,7 +995,7 @@
 
 TEST(Many, TheSumOfWindowsBoundsWhereEachHoldsLessThanAQuery) {
   Script s(many(100));
-  s.at(0, {EngineList{ListKind::kWhole, fleet(30)}});
+  s.at(0, {EngineList{EngineListKind::kSnapshot, fleet(30)}});
   std::vector<Event> burst;
   for (RequestId id = 1; id <= 60; ++id) burst.push_back(query(id, id));
   s.at(1, burst);
@@ -1009,10 +1012,10 @@
   double held = 0, samples = 0;
   for (std::uint32_t i = 0; i < gateways; ++i) {
     auto settings = many(gateways, i);
-    settings.cold = ColdStart{0.3, 15 * kSecond, 3, 1'500'000};
+    settings.slow_start = SlowStart{0.3, 15 * kSecond, 3, 1'500'000};
     settings.classes[0].threads = threads;
     Script s(settings);
-    s.at(0, {EngineList{ListKind::kWhole, list}});
+    s.at(0, {EngineList{EngineListKind::kSnapshot, list}});
     std::map<RequestId, Send> out;
     std::map<RequestId, Time> since;
     RequestId id = 0;
@@ -1021,13 +1024,13 @@
       for (int k = 0; k < 2; ++k) {
         ++id;
         auto q = query(id, id * 2654435761u % 97);
-        q.give_up_at = t + 20 * kSecond;
+        q.deadline = t + 20 * kSecond;
         events.push_back(q);
       }
       for (const auto& [request, send] : out) {
         if (t - since[request] < kTakes) continue;
         auto gone = ended(request, 0, send.engine, Outcome::kCancelled);
-        gone.over = true;
+        gone.completed = true;
         events.push_back(gone);
       }
       for (const auto& event : events) {
@@ -1061,11 +1064,12 @@
 // every `late`th answer is late. The threads that it has out after 20 s, on average.
 double held_by_a_busy_one(int late) {
   auto settings = many(100);
-  settings.classes[0].aim = kSecond;
+  settings.classes[0].latency_objective = kSecond;
   settings.classes.push_back(settings.classes[0]);
-  settings.classes[1].name = "heavy", settings.classes[1].aim = 15 * kSecond, settings.classes[1].worth = 20;
+  settings.classes[1].name = "heavy", settings.classes[1].latency_objective = 15 * kSecond,
+  settings.classes[1].priority_weight = 20;
   Script s(settings);
-  s.at(0, {EngineList{ListKind::kWhole, fleet(30)}});
+  s.at(0, {EngineList{EngineListKind::kSnapshot, fleet(30)}});
   std::map<RequestId, std::pair<EngineId, Time>> out;  // where, and when it is done
   double held = 0, samples = 0;
   RequestId id = 0;
@@ -1080,8 +1084,8 @@
     for (const bool heavy : {false, true}) {
       ++id;
       auto q = query(id, id % 9, heavy ? 400'000 : 20'000);
-      q.cls = heavy;
-      q.give_up_at = t + 20 * kSecond;
+      q.class_index = heavy;
+      q.deadline = t + 20 * kSecond;
       events.push_back(q);
     }
     s.at(t, events);
@@ -1101,7 +1105,7 @@
 
 TEST(Many, ColdEnginesStandOutsideTheSumAndTakeTheirTurnsWhileItIsFull) {
   auto list = fleet(30);
-  for (std::size_t i = 12; i < list.size(); ++i) list[i].started = 1;
+  for (std::size_t i = 12; i < list.size(); ++i) list[i].started_at = 1;
   const std::vector<EngineEntry> warm(list.begin(), list.begin() + 12), cold(list.begin() + 12, list.end());
   const double alone = held_a_core(100, warm, warm, 8 * kSecond, 11 * kSecond);
   const double beside = held_a_core(100, list, warm, 8 * kSecond, 11 * kSecond);
@@ -1112,7 +1116,7 @@
 
 TEST(Many, WorkThatEarnsLittleWaitsAtAFullerSum) {
   Script s(many(100));
-  s.at(0, {EngineList{ListKind::kWhole, fleet(30)}});
+  s.at(0, {EngineList{EngineListKind::kSnapshot, fleet(30)}});
   RequestId id = 0;
   for (Time t = 1; t < 400; ++t) {
     s.at(t, {query(++id)});
@@ -1137,7 +1141,7 @@
   std::vector<Event> gone;  // the rest leaves again: only what runs holds the sum
   for (RequestId id = 1000; id < 1100; ++id) {
     const auto runs = [id](const Send& one) { return one.request == id; };
-    if (std::none_of(running.begin(), running.end(), runs)) gone.push_back(RequestDropped{id});
+    if (std::none_of(running.begin(), running.end(), runs)) gone.push_back(ClientDisconnected{id});
   }
   s.at(now + 1, gone);
   return running;
@@ -1149,9 +1153,9 @@
   settings.classes[1].threads = 8;  // two of them fill the sum and leave all other engines free
   for (std::uint64_t group = 1; group <= 8; ++group) {
     Script s(settings);
-    s.at(0, {EngineList{ListKind::kWhole, fleet(30)}});
+    s.at(0, {EngineList{EngineListKind::kSnapshot, fleet(30)}});
     auto wide = query(20, 1), other = query(21, 2);
-    wide.cls = other.cls = 1;
+    wide.class_index = other.class_index = 1;
     s.at(1, {wide, other});
     const auto running = s.sends();
     ASSERT_EQ(running.size(), 2u);
@@ -1170,7 +1174,7 @@
   int at_home = 0;
   for (std::uint64_t group = 1; group <= 8; ++group) {
     Script s(many(147));
-    s.at(0, {EngineList{ListKind::kWhole, fleet(40)}});
+    s.at(0, {EngineList{EngineListKind::kSnapshot, fleet(40)}});
     const auto running = fill_sum(s, 1);
     s.at(200'003, {query(1, group), query(2, group), query(3, group)});
     ASSERT_EQ(s.sends().size(), 0u);
@@ -1193,22 +1197,22 @@
 
 TEST(Many, WorkPastItsAimLeavesTheRoomToWorkThatCanMeetIt) {
   auto settings = many(100);
-  settings.classes[0].late_worth = 0.2;
+  settings.classes[0].late_weight = 0.2;
   Script s(settings);
-  s.at(0, {EngineList{ListKind::kWhole, fleet(30)}});
+  s.at(0, {EngineList{EngineListKind::kSnapshot, fleet(30)}});
   RequestId id = 100;
   for (Time t = 1; t < 400; ++t) {
     s.at(t, {query(++id)});
     for (const auto& one : s.sends()) s.at(t, {ended(one.request, 0, one.engine, Outcome::kServed)});
   }
-  s.at(500, {EngineList{ListKind::kWhole, {}}});
+  s.at(500, {EngineList{EngineListKind::kSnapshot, {}}});
   s.at(501, {query(1, 7)});  // no engine until its aim of 10 s has passed
   s.wait(20'001, 10'500'000);
   ASSERT_EQ(s.sends().size() + s.answers(), 0u);
-  std::vector<Event> batch{EngineList{ListKind::kWhole, fleet(30)}};
+  std::vector<Event> batch{EngineList{EngineListKind::kSnapshot, fleet(30)}};
   for (RequestId fresh = 2; fresh <= 8; ++fresh) {
     auto q = query(fresh, fresh);
-    q.give_up_at = 30 * kSecond;
+    q.deadline = 30 * kSecond;
     batch.push_back(q);
   }
   s.at(10'520'000, batch);
@@ -1221,19 +1225,19 @@
 
 TEST(Many, WhileAnswersAreLatePriorityGoesByWhatAQueryEarns) {
   auto settings = many(100);
-  settings.priorities_heeded = true;
+  settings.priorities_supported = true;
   settings.classes.push_back(settings.classes[0]);
   settings.classes[1].threads = 3;
-  settings.classes[1].worth = 4;
+  settings.classes[1].priority_weight = 4;
   Script s(settings);
-  s.at(0, {EngineList{ListKind::kWhole, fleet(30)}});
+  s.at(0, {EngineList{EngineListKind::kSnapshot, fleet(30)}});
   RequestId id = 0;
   const auto priority = [&](Time now, ClassIndex cls, double work) {
     auto q = query(++id, 0, work);
-    q.cls = cls;
-    q.give_up_at = now + 20 * kSecond;
+    q.class_index = cls;
+    q.deadline = now + 20 * kSecond;
     s.at(now, {q});
-    const int level = s.all<SetTerms>().at(0).priority;
+    const int level = s.all<SetExecutionOptions>().at(0).priority;
     s.at(now, {ended(id, 0, s.sends().at(0).engine, Outcome::kServed)});
     return level;
   };
@@ -1242,8 +1246,8 @@
   Time now = 2;
   for (int i = 0; i < 40; ++i) {  // all of it 11 s late or more: the sum narrows
     auto q = query(++id, 0, i % 2 ? 900'000 : 300'000);
-    q.cls = i % 2;
-    q.give_up_at = now + 20 * kSecond;
+    q.class_index = i % 2;
+    q.deadline = now + 20 * kSecond;
     s.at(now, {q});
     const auto at = s.sends().at(0).engine;
     s.wait(now + 20'000, now + 11 * kSecond);
@@ -1259,23 +1263,23 @@
 TEST(Many, TheBestFewAreAskedFirstAndAFullOneIsLeft) {
   auto settings = many(100);
   settings.may_probe = true;
-  settings.probe_price = 0.01;
+  settings.probe_cost = 0.01;
   Script s(settings);
-  s.at(0, {EngineList{ListKind::kWhole, fleet(10)}});
+  s.at(0, {EngineList{EngineListKind::kSnapshot, fleet(10)}});
   s.at(1, {query(1, 7)});
   EXPECT_EQ(s.sends().size(), 0u);
   const auto asked = s.all<Probe>();
   ASSERT_EQ(asked.size(), 2u);
   LoadReport full, idle;
-  full.held = 80;
-  idle.held = 0;
+  full.active_queries = 80;
+  idle.active_queries = 0;
   s.at(5'000, {ProbeEnded{asked[0].engine, Outcome::kServed, 900, full},
                ProbeEnded{asked[1].engine, Outcome::kServed, 900, idle}});
   ASSERT_EQ(s.sends().size(), 1u);
   EXPECT_EQ(s.sends()[0].engine, asked[1].engine);
-  settings.probe_price = 0.5;  // dearer than it is worth
+  settings.probe_cost = 0.5;  // dearer than it is worth
   Script dear(settings);
-  dear.at(0, {EngineList{ListKind::kWhole, fleet(10)}});
+  dear.at(0, {EngineList{EngineListKind::kSnapshot, fleet(10)}});
   dear.at(1, {query(1, 7)});
   EXPECT_EQ(dear.all<Probe>().size(), 0u);
   EXPECT_EQ(dear.sends().size(), 1u);
@@ -1285,21 +1289,21 @@
   auto settings = many(100);
   settings.may_probe = true;
   Script s(settings);
-  s.at(0, {EngineList{ListKind::kWhole, fleet(10)}});
+  s.at(0, {EngineList{EngineListKind::kSnapshot, fleet(10)}});
   const auto asks = [&](RequestId id, Time now) {
     auto q = query(id, id);
-    q.give_up_at = now + 20 * kSecond;
+    q.deadline = now + 20 * kSecond;
     s.at(now, {q});
     return s.all<Probe>();
   };
   const auto asked = asks(1, 1);
   ASSERT_EQ(asked.size(), 2u);
   LoadReport idle;
-  idle.held = 1;
+  idle.active_queries = 1;
   s.at(5'000, {ProbeEnded{asked[0].engine, Outcome::kServed, 900, idle},
                ProbeEnded{asked[1].engine, Outcome::kServed, 900, idle}});
   ASSERT_EQ(s.sends().size(), 1u);
-  s.at(6'000, {ended(1, 0, s.sends()[0].engine, Outcome::kTurnedAway)});
+  s.at(6'000, {ended(1, 0, s.sends()[0].engine, Outcome::kRejected)});
   EXPECT_EQ(asks(2, 2 * kSecond).size(), 0u);
   EXPECT_EQ(asks(3, 60 * kSecond).size(), 2u);  // unlearnt without an answer
 }
@@ -1307,20 +1311,20 @@
 TEST(Many, WhatWasSentTooLateLeavesTheSumAlone) {
   for (const bool late : {false, true}) {
     auto settings = many(100);
-    settings.classes[0].late_worth = 0.5;
-    settings.note_interval.reset();
+    settings.classes[0].late_weight = 0.5;
+    settings.progress_interval.reset();
     Script s(settings);
-    s.at(0, {EngineList{ListKind::kWhole, fleet(30)}});
+    s.at(0, {EngineList{EngineListKind::kSnapshot, fleet(30)}});
     Time now = 1;
     RequestId id = 0;
     for (int i = 0; i < 30; ++i) {  // each answered past its aim of 10 s; sent after it where `late`
       auto q = query(++id, 7);
-      q.give_up_at = now + 20 * kSecond;
-      if (late) s.at(now, {EngineList{ListKind::kWhole, {}}});
+      q.deadline = now + 20 * kSecond;
+      if (late) s.at(now, {EngineList{EngineListKind::kSnapshot, {}}});
       s.at(now, {q});
       s.wait(now + 20'000, now + 10'500'000);
       now += 10'520'000;
-      if (late) s.at(now, {EngineList{ListKind::kWhole, fleet(30)}});
+      if (late) s.at(now, {EngineList{EngineListKind::kSnapshot, fleet(30)}});
       ASSERT_EQ(s.all_sends.size(), static_cast<std::size_t>(i) + 1);
       s.at(now + 20'000, {ended(id, 0, s.all_sends.back().engine, Outcome::kServed)});
       now += 40'000;
@@ -1329,7 +1333,7 @@
     std::vector<Event> burst;
     for (int i = 0; i < 40; ++i) {
       auto q = query(++id, 100 + static_cast<std::uint64_t>(i));
-      q.give_up_at = now + 20 * kSecond;
+      q.deadline = now + 20 * kSecond;
       burst.push_back(q);
     }
     s.at(now, burst);
@@ -1347,7 +1351,7 @@
 RequestId with_home(EngineId home, EngineId engines, RequestId from) {
   for (RequestId id = from;; ++id) {
     Script s(many(100));
-    s.at(0, {EngineList{ListKind::kWhole, fleet(engines)}});
+    s.at(0, {EngineList{EngineListKind::kSnapshot, fleet(engines)}});
     s.at(1, {query(id, 7)});
     if (s.sends().at(0).engine == home) return id;
   }
@@ -1355,12 +1359,12 @@
 
 TEST(Many, ReportsInAnswersCountAndStaleOnesFade) {
   Script s(many(100));
-  s.at(0, {EngineList{ListKind::kWhole, fleet(10)}});
+  s.at(0, {EngineList{EngineListKind::kSnapshot, fleet(10)}});
   s.at(1, {query(1, 7)});
   const auto home = s.sends().at(0).engine;
   auto answer = ended(1, 0, home, Outcome::kServed);
   answer.report = LoadReport{};
-  answer.report->held = 80;
+  answer.report->active_queries = 80;
   s.at(2, {answer});
   const auto second = with_home(home, 10, 2), third = with_home(home, 10, second + 1);
   s.at(3, {query(second, 7)});
@@ -1368,21 +1372,21 @@
   s.at(4, {ended(second, 0, s.sends().at(0).engine, Outcome::kServed)});
   s.wait(20'001, 40'001);
   auto late = query(third, 7);
-  late.give_up_at = 35 * kSecond;
+  late.deadline = 35 * kSecond;
   s.at(15 * kSecond, {late});
   EXPECT_EQ(s.sends().at(0).engine, home);
 }
 
 TEST(Few, WhatAReportCountedEndsAsTheUsualRunTells) {
   auto settings = many(3);
-  settings.classes[0].aim = 300'000;  // the usual run, untold: 0.1 s
-  settings.classes[0].late_worth = 0.5;
+  settings.classes[0].latency_objective = 300'000;  // the usual run, untold: 0.1 s
+  settings.classes[0].late_weight = 0.5;
   Script s(settings);
   s.list(0, {engine(0)});
   s.at(1, {query(1, 7)});
   auto answer = ended(1, 0, 0, Outcome::kServed);
   answer.report = LoadReport{};
-  answer.report->held = 80;  // 80 threads on 8 cores, and 16 after 0.16 s
+  answer.report->active_queries = 80;  // 80 threads on 8 cores, and 16 after 0.16 s
   s.at(2, {answer, query(2, 7)});
   EXPECT_EQ(s.sends().size(), 0u);
   s.wait(20'000, 100'000);
@@ -1397,16 +1401,16 @@
   for (const double granted : {0.5, 4.0}) {
     auto settings = many(100);
     settings.may_probe = true;
-    settings.short_memory = ShortMemory::kPage;
+    settings.memory_pressure = MemoryPressure::kPage;
     Script s(settings);
-    s.at(0, {EngineList{ListKind::kWhole, fleet(2)}});
+    s.at(0, {EngineList{EngineListKind::kSnapshot, fleet(2)}});
     s.at(1, {query(1, 7)});
     const auto asked = s.all<Probe>();
     ASSERT_EQ(asked.size(), 2u);
     LoadReport home, other;
-    home.cpu_busy = other.cpu_busy = 0.2;  // one that pages does little
-    home.memory_granted = granted;
-    other.memory_granted = 0.5;
+    home.cpu_utilization = other.cpu_utilization = 0.2;  // one that pages does little
+    home.memory_utilization = granted;
+    other.memory_utilization = 0.5;
     s.at(5'000, {ProbeEnded{asked[0].engine, Outcome::kServed, 900, home},
                  ProbeEnded{asked[1].engine, Outcome::kServed, 900, other}});
     ASSERT_EQ(s.sends().size(), 1u);
@@ -1415,7 +1419,7 @@
     s.at(10'000, {ended(1, 0, first, Outcome::kServed)});
     s.wait(20'000, 3 * kSecond - 20'000);
     auto later = query(with_home(asked[0].engine, 2, 2), 7);
-    later.give_up_at = 30 * kSecond;
+    later.deadline = 30 * kSecond;
     s.at(3 * kSecond, {later});  // no answer to the probes: what is known is three seconds old
     s.wait(3 * kSecond + 20'000, 3 * kSecond + 60'000);
     ASSERT_EQ(s.all_sends.size(), 2u);
@@ -1429,7 +1433,7 @@
   for (int i = 0; i < unanswered; ++i, now += kSecond) {
     ++id;
     auto q = query(id, id);
-    q.give_up_at = now + 500'000;
+    q.deadline = now + 500'000;
     s.at(now, {q});
     if (s.sends().empty()) continue;
     const auto engine = s.sends()[0].engine;
@@ -1441,7 +1445,7 @@
   for (int i = 0; i < 40; ++i) {
     ++id;
     auto q = query(id, id);
-    q.give_up_at = now + 20 * kSecond;
+    q.deadline = now + 20 * kSecond;
     burst.push_back(q);
   }
   const auto before = s.all_sends.size();
@@ -1450,9 +1454,9 @@
 }
 
 TEST(Many, TimeOutsAndTurnAwaysNarrowTheSum) {
-  for (const auto outcome : {Outcome::kServed, Outcome::kNoAnswer, Outcome::kTurnedAway}) {
+  for (const auto outcome : {Outcome::kServed, Outcome::kNoResponse, Outcome::kRejected}) {
     Script s(many(100));
-    s.at(0, {EngineList{ListKind::kWhole, fleet(30)}});
+    s.at(0, {EngineList{EngineListKind::kSnapshot, fleet(30)}});
     const auto room = room_after(s, 25, outcome, 1);
     EXPECT_EQ(room >= 6, outcome == Outcome::kServed) << room;
     EXPECT_EQ(room <= 3, outcome != Outcome::kServed) << room;
@@ -1463,12 +1467,12 @@
   auto settings = many(300);
   settings.classes.push_back(settings.classes[0]);
   settings.classes[1].threads = 8;
-  settings.classes[1].aim = 60 * kSecond;
+  settings.classes[1].latency_objective = 60 * kSecond;
   Script s(settings);
-  s.at(0, {EngineList{ListKind::kWhole, fleet(10)}});
-  room_after(s, 40, Outcome::kNoAnswer, 1);
+  s.at(0, {EngineList{EngineListKind::kSnapshot, fleet(10)}});
+  room_after(s, 40, Outcome::kNoResponse, 1);
   std::vector<Event> gone;
-  for (RequestId id = 1; id <= 80; ++id) gone.push_back(RequestDropped{id});
+  for (RequestId id = 1; id <= 80; ++id) gone.push_back(ClientDisconnected{id});
   Time now = 41 * kSecond;
   s.at(now, gone);
   std::vector<Event> ends;
@@ -1477,8 +1481,8 @@
   now += 60 * kSecond;
   const auto wide = [&](RequestId id) {
     auto q = query(id, id);
-    q.cls = 1;
-    q.give_up_at = now + 60 * kSecond;
+    q.class_index = 1;
+    q.deadline = now + 60 * kSecond;
     s.at(now, {q});
     return s.sends();
   };
@@ -1486,7 +1490,7 @@
   ASSERT_EQ(first.size(), 1u);
   now += 8 * kSecond;
   s.at(now, {ended(1000, 0, first[0].engine, Outcome::kError)});
-  s.at(now, {RequestDropped{1000}});
+  s.at(now, {ClientDisconnected{1000}});
   EXPECT_EQ(wide(1001).size(), 0u);  // its threads are still in the mean of what we used
   const auto before = s.all_sends.size();
   s.wait(now + 20'000, now + 40 * kSecond);
@@ -1495,14 +1499,14 @@
 
 TEST(Estimates, WhereNothingTellsWorkLatenciesDo) {
   auto settings = basic();
-  settings.classes[0].aim = kSecond;
+  settings.classes[0].latency_objective = kSecond;
   Script s(settings);
   s.list(0, {engine(0)});
   Time now = 1;
   for (RequestId id = 1; id <= 200; ++id, now += 5 * kSecond) {
     auto q = query(id, 7);
     q.work.reset();
-    q.give_up_at = now + 60 * kSecond;
+    q.deadline = now + 60 * kSecond;
     s.at(now, {q});
     auto end = ended(id, 0, 0, Outcome::kServed);
     end.latency = 4 * kSecond;
@@ -1512,19 +1516,19 @@
   }
   auto hopeless = query(1000, 7);
   hopeless.work.reset();
-  hopeless.give_up_at = now + kSecond;
+  hopeless.deadline = now + kSecond;
   s.at(now, {hopeless});
   EXPECT_EQ(s.sends().size(), 0u);
-  EXPECT_EQ(s.all<Refuse>().size(), 1u);
+  EXPECT_EQ(s.all<Reject>().size(), 1u);
 }
 
 TEST(Paging, WhileAllIsInTimeEnginesAreAskedOnlyIfAnswersCarryNoReports) {
   for (const bool reports : {false, true}) {
     auto settings = many(100);
     settings.may_probe = true;
-    settings.short_memory = ShortMemory::kPage;
+    settings.memory_pressure = MemoryPressure::kPage;
     Script s(settings);
-    s.at(0, {EngineList{ListKind::kWhole, fleet(10)}});
+    s.at(0, {EngineList{EngineListKind::kSnapshot, fleet(10)}});
     for (RequestId id = 1; id <= 40; ++id) {  // the sum opens to its most
       s.at(static_cast<Time>(id) * 20'000, {query(id, id), TimerFired{1}});
       s.at(static_cast<Time>(id) * 20'000 + 18'000, {TimerFired{1}});
@@ -1543,7 +1547,7 @@
   settings.may_probe = true;
   settings.reports_load = false;
   Script s(settings);
-  s.at(0, {EngineList{ListKind::kWhole, fleet(10)}});
+  s.at(0, {EngineList{EngineListKind::kSnapshot, fleet(10)}});
   s.at(1, {query(1, 7)});
   EXPECT_EQ(s.all<Probe>().size(), 0u);
   EXPECT_EQ(s.sends().size(), 1u);
@@ -1554,16 +1558,16 @@
   for (const int busy : {0, 1}) {
     auto settings = many(100);
     settings.tenants = {{"a", 50, 0.5}, {"b", 50, 0.5}};  // 100 a second; one each, were they even
-    settings.over_share_worth = 0.1;
+    settings.over_quota_weight = 0.1;
     Script s(settings);
-    s.at(0, {EngineList{ListKind::kWhole, fleet(30)}});
+    s.at(0, {EngineList{EngineListKind::kSnapshot, fleet(30)}});
     RequestId id = 0;
     Time now = 1;
     for (; now < 20 * kSecond; now += busy ? 100'000 : 2 * kSecond) {  // ten a second or one in two
       ++id;
       auto q = query(id, id);
       q.tenant = static_cast<std::uint32_t>(id % 2);
-      q.give_up_at = now + 20 * kSecond;
+      q.deadline = now + 20 * kSecond;
       s.at(now, {q, TimerFired{1}});
       for (const auto& one : s.sends()) s.at(now, {ended(one.request, 0, one.engine, Outcome::kServed)});
     }
@@ -1572,7 +1576,7 @@
       ++id;
       auto q = query(id, id);
       q.tenant = static_cast<std::uint32_t>(id % 2);
-      q.give_up_at = now + 20 * kSecond;
+      q.deadline = now + 20 * kSecond;
       burst.push_back(q);
     }
     const auto before = s.all_sends.size();
@@ -1584,8 +1588,8 @@
 
 TEST(Health, TimeOutsAndWorkMovedForBeingSlowTellOfAnEnginesPace) {
   auto settings = basic();
-  settings.note_interval = 500'000;
-  for (const auto outcome : {Outcome::kNoAnswer, Outcome::kCancelled}) {
+  settings.progress_interval = 500'000;
+  for (const auto outcome : {Outcome::kNoResponse, Outcome::kCancelled}) {
     Script s(settings);
     s.list(0, {engine(0), engine(1), engine(2)});
     s.at(1, {query(1, 7)});
@@ -1596,13 +1600,13 @@
     int there = 0;
     for (RequestId id = 2; id <= 8; ++id, now += 10 * kSecond) {
       auto q = query(id, 7);
-      q.give_up_at = now + 4 * kSecond;
+      q.deadline = now + 4 * kSecond;
       s.at(now, {q});
       ASSERT_EQ(s.sends().size(), 1u);
       const auto at = s.sends()[0].engine;
       if (at == home) {
         ++there;
-        AttemptNote note;
+        AttemptUpdate note;
         note.request = id, note.engine = at, note.amount = 0.4;
         s.wait(now + 20'000, now + 480'000);
         s.at(now + 500'000, {note});
@@ -1621,7 +1625,7 @@
 
 TEST(Stall, AGapOfOurOwnBlamesNoEngine) {
   auto settings = basic();
-  settings.note_interval = 500'000;
+  settings.progress_interval = 500'000;
   for (const bool stands_still : {true, false}) {
     Script s(settings);
     s.list(0, {engine(0), engine(1)});
@@ -1629,26 +1633,27 @@
     const auto sends = s.sends();
     ASSERT_EQ(sends.size(), 2u);
     if (!stands_still) s.wait(20'001, 1'800'001);
-    s.at(1'820'001, {AttemptNote{1, 0, sends[0].engine, NoteKind::kWaitsForMemory, 0}, TimerFired{1}});
+    s.at(1'820'001,
+         {AttemptUpdate{1, 0, sends[0].engine, AttemptUpdateKind::kWaitingForMemory, 0}, TimerFired{1}});
     EXPECT_EQ(s.all<Cancel>().size(), stands_still ? 0u : 1u);
   }
 }
 
 TEST(Stall, WhatCameMeanwhileHasWaitedAlready) {
   auto settings = basic();
-  settings.classes[0].aim = kSecond;
+  settings.classes[0].latency_objective = kSecond;
   Script s(settings);
   s.list(0, {engine(0)});
   auto q = query(1);
-  q.give_up_at = 5 * kSecond;  // five seconds of patience
+  q.deadline = 5 * kSecond;  // five seconds of patience
   s.at(0, {q});
   auto old = query(2);
-  old.give_up_at = 5 * kSecond + 200'000;  // came at 0.2 s by the same patience
+  old.deadline = 5 * kSecond + 200'000;  // came at 0.2 s by the same patience
   auto young = query(3);
-  young.give_up_at = 5 * kSecond + 1'900'000;
+  young.deadline = 5 * kSecond + 1'900'000;
   s.at(2 * kSecond, {old, young});
-  ASSERT_EQ(s.all<Refuse>().size(), 1u);
-  EXPECT_EQ(s.all<Refuse>()[0].request, 2u);
+  ASSERT_EQ(s.all<Reject>().size(), 1u);
+  EXPECT_EQ(s.all<Reject>()[0].request, 2u);
   ASSERT_EQ(s.sends().size(), 1u);
   EXPECT_EQ(s.sends()[0].request, 3u);
 }
@@ -1659,15 +1664,15 @@
   s.at(1, {query(1, 7)});
   auto home = engine(s.sends().at(0).engine);
   home.state = EngineState::kDraining;
-  s.at(3 * kSecond, {query(2, 7), EngineList{ListKind::kChanges, {home}}, query(3, 7)});
+  s.at(3 * kSecond, {query(2, 7), EngineList{EngineListKind::kDelta, {home}}, query(3, 7)});
   ASSERT_EQ(s.sends().size(), 2u);
   for (const auto& one : s.sends()) EXPECT_NE(one.engine, home.id);
 }
 
 TEST(Tenants, BeyondItsShareATenantWaitsBehindTheOthers) {
   auto settings = basic();
-  settings.kinds[0].cores = 0.5;  // a window of one query
-  settings.over_share_worth = 0.05;
+  settings.machine_types[0].cores = 0.5;  // a window of one query
+  settings.over_quota_weight = 0.05;
   settings.tenants = {{"a", 1, 0.5}, {"b", 1, 0.5}};
   Script s(settings);
   s.list(0, {engine(0)});
@@ -1692,11 +1697,11 @@
 
 TEST(Zones, ARoomThatCostsIsUsedLess) {
   auto settings = many(100);
-  settings.crossing_price = 1;
+  settings.cross_zone_cost = 1;
   Script s(settings);
   auto all = fleet(10);
   for (auto& e : all) e.zone = e.id < 5 ? 0 : 1;
-  s.at(0, {EngineList{ListKind::kWhole, all}});
+  s.at(0, {EngineList{EngineListKind::kSnapshot, all}});
   for (RequestId id = 1; id <= 8; ++id) {
     s.at(static_cast<Time>(id), {query(id, id)});
     EXPECT_LT(s.sends().at(0).engine, 5u);
@@ -1710,7 +1715,8 @@
   s.at(1, {query(1), ProbeEnded{17, Outcome::kServed, 5, LoadReport{}}});
   ASSERT_EQ(s.sends().size(), 1u);
   EXPECT_EQ(s.sends()[0].engine, 4'000'000'000u);
-  s.at(2, {ended(1, 0, 4'000'000'000u, Outcome::kServed), EngineList{ListKind::kWhole, {engine(1)}}});
+  s.at(2,
+       {ended(1, 0, 4'000'000'000u, Outcome::kServed), EngineList{EngineListKind::kSnapshot, {engine(1)}}});
   s.at(3, {query(2)});
   EXPECT_EQ(s.sends().at(0).engine, 1u);
 }
@@ -1721,43 +1727,43 @@
   const auto message = [](Settings s) {
     try {
       Router router(std::move(s));
-    } catch (const BadSettings& bad) {
+    } catch (const InvalidSettings& bad) {
       return std::string(bad.what());
     }
     return std::string();
   };
   auto s = basic();
-  s.routers = 0;
+  s.instance_count = 0;
   EXPECT_NE(message(s).find("routers"), std::string::npos);
   s = basic();
-  s.ordinal = 3;
+  s.instance_index = 3;
   EXPECT_NE(message(s).find("ordinal"), std::string::npos);
   s = basic();
   s.classes.clear();
   EXPECT_NE(message(s).find("classes"), std::string::npos);
   s = with_cold();
-  s.cold->from = 1.5;
+  s.slow_start->initial_share = 1.5;
   EXPECT_NE(message(s).find("cold.from"), std::string::npos);
   EXPECT_EQ(message(basic()), "");
 }
 
 TEST(List, AskedListsAreFollowedAgainAfterARefusal) {
   auto settings = basic();
-  settings.list_mode = ListMode::kAsked;
+  settings.engine_list_mode = EngineListMode::kSubscribed;
   Script s(settings);
-  s.at(0, {EngineList{ListKind::kRemembered, {engine(0)}}});
-  EXPECT_EQ(s.all<FollowList>().size(), 1u);
-  s.at(1, {EngineList{ListKind::kRefused, {}}});
-  ASSERT_EQ(s.all<Wake>().size(), 1u);
-  const auto wake = s.all<Wake>()[0];
+  s.at(0, {EngineList{EngineListKind::kCached, {engine(0)}}});
+  EXPECT_EQ(s.all<SubscribeEngineList>().size(), 1u);
+  s.at(1, {EngineList{EngineListKind::kRejected, {}}});
+  ASSERT_EQ(s.all<SetTimer>().size(), 1u);
+  const auto wake = s.all<SetTimer>()[0];
   s.at(wake.at, {TimerFired{wake.token}});
-  EXPECT_EQ(s.all<FollowList>().size(), 1u);
+  EXPECT_EQ(s.all<SubscribeEngineList>().size(), 1u);
 }
 
 TEST(List, PushedListsAreNotAskedFor) {
   Script s(basic());
   s.list(0, {engine(0)});
-  EXPECT_EQ(s.all<FollowList>().size(), 0u);
+  EXPECT_EQ(s.all<SubscribeEngineList>().size(), 0u);
 }
 
 // ---- settings that change ----
@@ -1769,19 +1775,19 @@
   s.list(0, {engine(0), engine(1)});
   s.at(1, {query(1)});
   auto other = settings.classes[0];
-  other.effect = Effect::kUnsafe, other.max_attempts = 1;
+  other.idempotency = Idempotency::kNonIdempotent, other.max_attempts = 1;
   settings.classes.push_back(other);
-  s.router().change(settings);
+  s.router().update_settings(settings);
   auto unsafe = query(2);
-  unsafe.cls = 1;
+  unsafe.class_index = 1;
   s.at(2, {unsafe});
   const auto at = s.sends()[0].engine;
   s.at(3, {ended(1, 0, s.all_sends[0].engine, Outcome::kError)});
   ASSERT_EQ(s.sends().size(), 1u);  // safe, and it has a second attempt
-  s.at(4, {ended(2, 0, at, Outcome::kTurnedAway)});
+  s.at(4, {ended(2, 0, at, Outcome::kRejected)});
   EXPECT_TRUE(s.sends().empty());  // it never ran, but had one attempt
-  EXPECT_EQ(s.all<Refuse>().size(), 1u);
-  s.at(5, {ended(1, 1, s.all_sends[2].engine, Outcome::kTurnedAway)});
+  EXPECT_EQ(s.all<Reject>().size(), 1u);
+  s.at(5, {ended(1, 1, s.all_sends[2].engine, Outcome::kRejected)});
   EXPECT_TRUE(s.sends().empty());
   EXPECT_EQ(s.answers(), 1u);
 }
@@ -1794,12 +1800,12 @@
   s.at(2, {query(2, 8)});
   const auto broken = s.sends()[0].engine;
   ASSERT_NE(broken, home);
-  s.at(3, {ended(2, 0, broken, Outcome::kNoConnection)});
-  EXPECT_EQ(s.router().avoided(3), 1u);
+  s.at(3, {ended(2, 0, broken, Outcome::kConnectFailed)});
+  EXPECT_EQ(s.router().avoided_engines(3), 1u);
   auto settings = basic();
-  settings.classes[0].worth = 5;
-  s.router().change(settings);
-  EXPECT_EQ(s.router().avoided(3), 1u);
+  settings.classes[0].priority_weight = 5;
+  s.router().update_settings(settings);
+  EXPECT_EQ(s.router().avoided_engines(3), 1u);
   s.at(4, {query(3, 7)});
   ASSERT_EQ(s.sends().size(), 1u);
   EXPECT_EQ(s.sends()[0].engine, home);
@@ -1810,18 +1816,18 @@
   s.list(0, {engine(0)});
   auto settings = basic();
   settings.max_attempts = 0;
-  EXPECT_THROW(s.router().change(settings), BadSettings);
+  EXPECT_THROW(s.router().update_settings(settings), InvalidSettings);
   s.at(1, {query(1)});
-  s.at(2, {ended(1, 0, 0, Outcome::kTurnedAway)});
+  s.at(2, {ended(1, 0, 0, Outcome::kRejected)});
   EXPECT_EQ(s.answers(), 0u);
 }
 
 TEST(Avoided, CountsWhatIsListedAndGetsNothing) {
   Script s(basic());
   auto draining = engine(1), gone = engine(2);
-  draining.state = EngineState::kDraining, gone.state = EngineState::kGone;
+  draining.state = EngineState::kDraining, gone.state = EngineState::kRemoved;
   s.list(0, {engine(0), draining, gone});
-  EXPECT_EQ(s.router().avoided(0), 1u);
+  EXPECT_EQ(s.router().avoided_engines(0), 1u);
 }
 
 }  // namespace
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -89,14 +89,14 @@
     from = to == text.npos ? 0 : to + 1;
   }
   const auto s = parse_settings(7, pairs);
-  EXPECT_EQ(s.classes.at(0).worth, 2.5);
+  EXPECT_EQ(s.classes.at(0).priority_weight, 2.5);
   EXPECT_EQ(s.zone, 1u);
-  EXPECT_EQ(s.order_rest.value_or(0), 70);
-  EXPECT_EQ(s.attempt_budget.value().free, 5);
-  EXPECT_EQ(s.classes[0].zones_allowed.value(), (std::vector<std::uint32_t>{1, UINT32_MAX}));
-  EXPECT_FALSE(s.note_interval.has_value());
+  EXPECT_EQ(s.ordered_key_cooldown.value_or(0), 70);
+  EXPECT_EQ(s.retry_budget.value().min_retries, 5);
+  EXPECT_EQ(s.classes[0].allowed_zones.value(), (std::vector<std::uint32_t>{1, UINT32_MAX}));
+  EXPECT_FALSE(s.progress_interval.has_value());
   EXPECT_FALSE(s.reports_load);
-  EXPECT_FALSE(s.cold.has_value());
+  EXPECT_FALSE(s.slow_start.has_value());
 }
 
 TEST(Wire, MalformedTextNamesLineAndFault) {
