--- a/bench/access_load.cpp
+++ b/bench/access_load.cpp
@@ -13,10 +13,10 @@
 #include <iostream>
 #include <thread>
 
-#include "front/frames.h"
-#include "standins/callers.h"
-#include "standins/lines_engine.h"
-#include "standins/standins.h"
+#include "fakes/callers.h"
+#include "fakes/lines_engine.h"
+#include "fakes/standins.h"
+#include "frontend/frames.h"
 
 namespace {
 
--- a/bench/access_micro.cpp
+++ b/bench/access_micro.cpp
@@ -6,9 +6,9 @@
 #include <map>
 #include <ostream>
 
-#include "access/gatekeeper.h"
-#include "standins/callers.h"
-#include "standins/standins.h"
+#include "auth/gatekeeper.h"
+#include "fakes/callers.h"
+#include "fakes/standins.h"
 
 namespace {
 
@@ -28,7 +28,7 @@
     settings.rules = {{"https://id.test"}, "rookproxy", 0s, 0s};
     settings.keys_file = folder + "/keys.json";
     settings.checks.burst = 24h * 365;
-    gate = std::make_unique<access::Gatekeeper>(loop, log, figures, settings, 7);
+    gate = std::make_unique<auth::Gatekeeper>(loop, log, figures, settings, 7);
   }
   ~Set() { std::filesystem::remove_all(folder); }
   std::string folder;
@@ -37,8 +37,8 @@
   std::ostream nowhere{nullptr};
   Log log{nowhere, Level::kError, "-", "bench"};
   AccessFigures figures;
-  access::AccessSettings settings;
-  std::unique_ptr<access::Gatekeeper> gate;
+  auth::AccessSettings settings;
+  std::unique_ptr<auth::Gatekeeper> gate;
 };
 
 Set& set() {
@@ -46,10 +46,10 @@
   return one;
 }
 
-access::Proof check(const std::string& token) {
-  access::Gatekeeper::CheckKey key = 0;
+auth::Proof check(const std::string& token) {
+  auth::Gatekeeper::CheckKey key = 0;
   return *set().gate->check(
-      token, 1, set().loop.now() + 1s, [](access::Proof) {}, key);
+      token, 1, set().loop.now() + 1s, [](auth::Proof) {}, key);
 }
 
 // One of 10,000 tokens that were checked before, as many as the cache holds.
@@ -57,7 +57,7 @@
   std::vector<std::string> tokens;
   for (int i = 0; i < 10'000; ++i) {
     tokens.push_back(set().callers.token("EdDSA", "student", {{"sub", "s-" + std::to_string(i)}}));
-    if (check(tokens.back()).denial != decide::Denial::kNone) state.SkipWithError("not taken");
+    if (check(tokens.back()).denial != policy::Denial::kNone) state.SkipWithError("not taken");
   }
   std::size_t at = 0;
   for (auto _ : state) {
@@ -73,7 +73,7 @@
     static std::uint64_t number = 0;
     const std::string token = set().callers.token(key, "student", {{"jti", std::to_string(++number)}});
     state.ResumeTiming();
-    if (check(token).denial != decide::Denial::kNone) state.SkipWithError("not taken");
+    if (check(token).denial != policy::Denial::kNone) state.SkipWithError("not taken");
   }
 }
 BENCHMARK_CAPTURE(uncached, es256, "ES256")->Iterations(5000);
@@ -104,9 +104,9 @@
 }
 
 void cache_of_its_own(benchmark::State& state) {
-  decide::TokenCache cache({20'000, 64u << 20, 16, 5s}, 42);
+  policy::TokenCache cache({20'000, 64u << 20, 16, 5s}, 42);
   const auto list = texts();
-  for (const auto& one : list) cache.put(one, std::make_shared<decide::Proven>());
+  for (const auto& one : list) cache.put(one, std::make_shared<policy::Proven>());
   std::size_t at = 0;
   for (auto _ : state) {
     benchmark::DoNotOptimize(cache.find(list[at], Time()));
@@ -116,9 +116,9 @@
 BENCHMARK(cache_of_its_own);
 
 void cache_ordered_map(benchmark::State& state) {
-  std::map<std::string, std::shared_ptr<decide::Proven>, std::less<>> cache;
+  std::map<std::string, std::shared_ptr<policy::Proven>, std::less<>> cache;
   const auto list = texts();
-  for (const auto& one : list) cache[one] = std::make_shared<decide::Proven>();
+  for (const auto& one : list) cache[one] = std::make_shared<policy::Proven>();
   std::size_t at = 0;
   for (auto _ : state) {
     benchmark::DoNotOptimize(cache.find(list[at]));
@@ -128,7 +128,7 @@
 BENCHMARK(cache_ordered_map);
 
 void cache_sha256(benchmark::State& state) {
-  std::map<std::string, std::shared_ptr<decide::Proven>, std::less<>> cache;
+  std::map<std::string, std::shared_ptr<policy::Proven>, std::less<>> cache;
   const auto digest = [](const std::string& text) {
     std::string out(32, '\0');
     SHA256(reinterpret_cast<const unsigned char*>(text.data()), text.size(),
@@ -136,7 +136,7 @@
     return out;
   };
   const auto list = texts();
-  for (const auto& one : list) cache[digest(one)] = std::make_shared<decide::Proven>();
+  for (const auto& one : list) cache[digest(one)] = std::make_shared<policy::Proven>();
   std::size_t at = 0;
   for (auto _ : state) {
     benchmark::DoNotOptimize(cache.find(digest(list[at])));
--- a/include/lemonshift/router.h
+++ b/include/rookproxy/routing/router.h
@@ -1,4 +1,4 @@
-// lemonshift: the public interface of the decision module (decisions live in src/logic.cpp).
+// The public interface of the decision module (decisions live in src/routing).
 //
 // A host creates one Router per gateway process and feeds it batches of events; the router appends the
 // actions to carry out, in order. An instance is used by one thread at a time and instances share nothing.
@@ -14,7 +14,7 @@
 #include <variant>
 #include <vector>
 
-namespace lemonshift {
+namespace rookproxy::routing {
 
 using Time = std::int64_t;
 using RequestId = std::uint64_t;  // chosen by the host, never reused in an instance's life
@@ -269,4 +269,4 @@
   std::unique_ptr<Impl> impl_;
 };
 
-}  // namespace lemonshift
+}  // namespace rookproxy::routing
--- a/src/ops/call.cpp
+++ b/src/admin/call.cpp
@@ -1,4 +1,4 @@
-#include "ops/call.h"
+#include "admin/call.h"
 
 namespace rookproxy {
 namespace {
--- a/src/ops/ops.cpp
+++ b/src/admin/ops.cpp
@@ -1,4 +1,4 @@
-#include "ops/ops.h"
+#include "admin/ops.h"
 
 #include <algorithm>
 
--- a/src/ops/ops.h
+++ b/src/admin/ops.h
@@ -7,7 +7,7 @@
 #include <utility>
 #include <vector>
 
-#include "core/figures.h"
+#include "dispatcher/figures.h"
 #include "net/stream.h"
 
 namespace rookproxy {
--- a/src/agent/supervisor.h
+++ b/src/agent/supervisor.h
@@ -7,9 +7,9 @@
 #include <string>
 #include <vector>
 
+#include "admin/call.h"
 #include "config/agent_config.h"
 #include "net/loop.h"
-#include "ops/call.h"
 
 namespace rookproxy {
 
--- a/src/app/app.cpp
+++ b/src/app/app.cpp
@@ -1,8 +1,8 @@
 #include "app/app.h"
 
-#include "decide/descriptor_shares.h"
-#include "decide/drains.h"
-#include "decide/poll_schedule.h"
+#include "policy/descriptor_shares.h"
+#include "policy/drains.h"
+#include "policy/poll_schedule.h"
 
 #include <algorithm>
 #include <cerrno>
@@ -12,8 +12,8 @@
 namespace {
 
 // What the process itself may open can be less than what it is told.
-decide::DescriptorBudget descriptor_shares_of(std::size_t sockets) {
-  return decide::descriptor_budget(std::min(sockets, descriptor_limit()));
+policy::DescriptorBudget descriptor_shares_of(std::size_t sockets) {
+  return policy::descriptor_budget(std::min(sockets, descriptor_limit()));
 }
 std::size_t client_descriptors(std::size_t sockets) { return descriptor_shares_of(sockets).clients; }
 std::size_t engine_descriptors(std::size_t sockets) { return descriptor_shares_of(sockets).engines; }
@@ -55,8 +55,8 @@
   limits.max_buffered_bytes = buffer_budget_bytes(config.memory_mb);
   limits.default_retry_after = config.rejection_retry_after;
   limits.cancel_report_delay = config.timer_resolution;
-  limits.drain_margin = decide::drain_margin(
-      config.nameserver ? decide::PollSchedule(config.discovery_poll_interval).max_pause() : Duration(0));
+  limits.drain_margin = policy::drain_margin(
+      config.nameserver ? policy::PollSchedule(config.discovery_poll_interval).max_pause() : Duration(0));
   return limits;
 }
 
@@ -66,15 +66,15 @@
   ClusterSettings settings;
   settings.peers.listen_address = config.peers->listen;
   for (const auto& [name, at] : config.peers->peers) settings.peers.members.push_back(at);
-  settings.peers.self = static_cast<decide::fleet::MemberId>(config.cluster->self_index);
+  settings.peers.self = static_cast<cluster::MemberId>(config.cluster->self_index);
   settings.peers.broadcast_address = config.peers->broadcast_address;
   settings.peers.bytes_per_second = config.cluster->bytes_per_second;
   const std::pair<const char*, const std::string&> files[] = {
       {"fleet.key", config.cluster->key_file}, {"fleet.former_key", config.cluster->former_key_file}};
   for (const auto& [key, file] : files) {
     try {
-      if (!file.empty()) settings.peers.keys.push_back(peers::read_peer_key(file));
-    } catch (const peers::KeyError& fault) {
+      if (!file.empty()) settings.peers.keys.push_back(cluster::transport::read_peer_key(file));
+    } catch (const cluster::transport::KeyError& fault) {
       throw ConfigError(key, fault.what());
     }
   }
@@ -151,7 +151,7 @@
   if (config.tls) tls_context_ = tls::ServerContext::load(config.tls->server);
   if (config.access) {
     authenticator_ =
-        std::make_unique<access::Authenticator>(loop, log, metrics_.auth, *config.access, config.seed);
+        std::make_unique<auth::Authenticator>(loop, log, metrics_.auth, *config.access, config.seed);
   }
   dispatcher_.update_endpoints(config.initial_endpoints, true);
   dispatcher_.process_events();
@@ -361,7 +361,7 @@
   Duration longest{};
   for (const auto& cls : config_.settings.classes)
     longest = std::max(longest, from_routing_duration(cls.timeout));
-  shutdown_times_ = decide::shutdown_times(longest);
+  shutdown_times_ = policy::shutdown_times(longest);
   advance_shutdown();
 }
 
@@ -371,7 +371,7 @@
 }
 
 void App::advance_shutdown() {
-  decide::ShutdownState state;
+  policy::ShutdownState state;
   state.elapsed = loop_.now() - drain_started_;
   state.was_ready = ready_;
   state.listener_is_shared =
@@ -385,23 +385,23 @@
   state.open_requests = dispatcher_.open_request_count();
   if (state.open_requests > 0) last_request_open_ = loop_.now();
   state.idle_for = loop_.now() - last_request_open_;
-  const decide::ShutdownAction order = decide::next_shutdown_step(shutdown_times_, state);
-  if (order.step == decide::ShutdownStep::kExit) {
+  const policy::ShutdownAction order = policy::next_shutdown_step(shutdown_times_, state);
+  if (order.step == policy::ShutdownStep::kExit) {
     log_.write(LogLevel::kNotice, "stop", "idle, so done", {});
     return loop_.stop();
   }
-  if (order.step == decide::ShutdownStep::kCloseClients) {
+  if (order.step == policy::ShutdownStep::kCloseClients) {
     closing_clients_ = true;
     log_.write(LogLevel::kInfo, "stop", "ending clients", {{"open", std::to_string(state.open_requests)}});
   }
   if (closing_clients_) {  // also those let in since
-    const Duration bound = decide::client_close_timeout(shutdown_times_, state.elapsed);
+    const Duration bound = policy::client_close_timeout(shutdown_times_, state.elapsed);
     if (platform_frontend_) platform_frontend_->close_all_gracefully(bound);
     if (mysql_frontend_) mysql_frontend_->close_all_gracefully(bound);
   }
   if (platform_frontend_) platform_frontend_->set_accepting(order.accept_clients);
   if (mysql_frontend_ && state.successor_ready) mysql_frontend_->close_after_next_response();
-  observes_iteration_ = order.step == decide::ShutdownStep::kDrainInput;
+  observes_iteration_ = order.step == policy::ShutdownStep::kDrainInput;
   loop_.run_at(loop_.now() + (observes_iteration_ ? Duration(0) : kShutdownCheckInterval),
                [this] { advance_shutdown(); });
 }
--- a/src/app/app.h
+++ b/src/app/app.h
@@ -3,19 +3,19 @@
 
 #include <memory>
 
-#include "access/gatekeeper.h"
+#include "admin/ops.h"
 #include "app/hot_restart.h"
+#include "auth/gatekeeper.h"
+#include "cluster/runtime/fleet.h"
 #include "config/config.h"
-#include "core/dispatcher.h"
-#include "decide/shutdown.h"
-#include "directory/directory.h"
-#include "fleet/fleet.h"
-#include "front/frames.h"
-#include "front/mysql.h"
-#include "link/lines.h"
-#include "link/mysql.h"
+#include "discovery/directory.h"
+#include "dispatcher/dispatcher.h"
+#include "frontend/frames.h"
+#include "frontend/mysql.h"
 #include "net/file_watch.h"
-#include "ops/ops.h"
+#include "policy/shutdown.h"
+#include "upstream/lines.h"
+#include "upstream/mysql.h"
 
 namespace rookproxy {
 
@@ -56,7 +56,7 @@
   Config config_;  // as last taken over
   Metrics metrics_;
   Dispatcher dispatcher_;
-  std::unique_ptr<access::Authenticator> authenticator_;  // where callers are identified
+  std::unique_ptr<auth::Authenticator> authenticator_;  // where callers are identified
   std::shared_ptr<const tls::ServerContext> tls_context_;
   std::unique_ptr<FileWatcher> credential_watch_;
   std::unique_ptr<ConnectionPool> connection_pool_;
@@ -68,7 +68,7 @@
   std::optional<ProcessLease>
       process_lease_;  // where the clients' socket was passed: without, there can be none
   Time drain_started_{}, last_request_open_{};  // told to end; a request was open
-  decide::ShutdownTimes shutdown_times_;        // by the classes' deadlines as they were then
+  policy::ShutdownTimes shutdown_times_;        // by the classes' deadlines as they were then
   bool ready_ = false, draining_ = false, resources_shared_ = false;
   bool observes_iteration_ = false;  // the turn that follows waits for nothing, to see what there is
   bool closing_clients_ = false;     // clients are being ended
--- a/src/access/base64url.cpp
+++ b/src/auth/base64url.cpp
@@ -1,9 +1,9 @@
-#include "access/base64url.h"
+#include "auth/base64url.h"
 
 #include <array>
 #include <cstdint>
 
-namespace rookproxy::access {
+namespace rookproxy::auth {
 namespace {
 
 constexpr std::string_view kAlphabet = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_";
@@ -51,4 +51,4 @@
   return out;
 }
 
-}  // namespace rookproxy::access
+}  // namespace rookproxy::auth
--- a/src/access/base64url.h
+++ b/src/auth/base64url.h
@@ -6,10 +6,10 @@
 #include <string>
 #include <string_view>
 
-namespace rookproxy::access {
+namespace rookproxy::auth {
 
 std::string encode_base64url(std::string_view bytes);
 // Nothing if any character or bit is out of place: each string of bytes has one text.
 std::optional<std::string> decode_base64url(std::string_view text);
 
-}  // namespace rookproxy::access
+}  // namespace rookproxy::auth
--- a/src/access/certificate.h
+++ b/src/auth/certificate.h
@@ -2,10 +2,10 @@
 // change.
 #pragma once
 
-#include "access/gatekeeper.h"
+#include "auth/gatekeeper.h"
 #include "tls/context.h"
 
-namespace rookproxy::access {
+namespace rookproxy::auth {
 
 class CertificateAuthenticator {
  public:
@@ -19,8 +19,8 @@
     revision_ = authenticator_.revision();
     result_ = AuthenticationResult();
     const auto facts = channel_ ? channel_->peer_certificate() : std::nullopt;
-    result_.denial = facts ? channel_->verify_peer(context) : decide::Denial::kNoCredentials;
-    if (result_.denial == decide::Denial::kNone)
+    result_.denial = facts ? channel_->verify_peer(context) : policy::Denial::kNoCredentials;
+    if (result_.denial == policy::Denial::kNone)
       result_ = authenticator_.authenticate_certificate(*facts, context.revocation_known_until());
     return result_;
   }
@@ -35,4 +35,4 @@
   AuthenticationResult result_;
 };
 
-}  // namespace rookproxy::access
+}  // namespace rookproxy::auth
--- a/src/access/gatekeeper.cpp
+++ b/src/auth/gatekeeper.cpp
@@ -1,12 +1,12 @@
-#include "access/gatekeeper.h"
+#include "auth/gatekeeper.h"
 
 #include <algorithm>
 #include <utility>
 
-namespace rookproxy::access {
+namespace rookproxy::auth {
 namespace {
 
-using decide::Denial;
+using policy::Denial;
 
 // Checks a turn, so that the loop's other work has its share of each.
 constexpr int kMaxChecksPerIteration = 1;
@@ -78,9 +78,9 @@
   jwt = parse_jwt(token, settings_.claim_names);
   if (!jwt) return reject(Denial::kMalformed, source);
   const auto choice =
-      decide::select_key(jwt->header, files_.keys.metadata(), now, settings_.token_rules.leeway);
+      policy::select_key(jwt->header, files_.keys.metadata(), now, settings_.token_rules.leeway);
   if (choice.denial != Denial::kNone) return reject(choice.denial, source);
-  const Denial denial = decide::validate_claims(jwt->claims, settings_.token_rules, files_.revocations, now);
+  const Denial denial = policy::validate_claims(jwt->claims, settings_.token_rules, files_.revocations, now);
   if (denial != Denial::kNone) return reject(denial, source);
   key = choice.key_index;
   return std::nullopt;
@@ -101,9 +101,9 @@
     proof.denial = Denial::kInvalidSignature;
     return proof;
   }
-  const decide::KeyMetadata& facts = files_.keys.metadata()[key];
-  proof.credential = std::make_shared<const decide::VerifiedCredential>(
-      decide::VerifiedCredential{decide::identity_from_claims(jwt.claims, settings_.token_rules, facts),
+  const policy::KeyMetadata& facts = files_.keys.metadata()[key];
+  proof.credential = std::make_shared<const policy::VerifiedCredential>(
+      policy::VerifiedCredential{policy::identity_from_claims(jwt.claims, settings_.token_rules, facts),
                                  jwt.claims, facts.id, facts.fingerprint});
   cache_.put(token, proof.credential);
   return proof;
@@ -117,11 +117,11 @@
   if (auto proof = check_without_signature(token, source, jwt, place)) return proof;
   const CheckId made = next_check_id_++;
   switch (queue_.admit(made, source, loop_.now())) {
-    case decide::CheckQueue::Admission::kRunNow:
+    case policy::CheckQueue::Admission::kRunNow:
       return verify_signature(token, source, *jwt, place);
-    case decide::CheckQueue::Admission::kRejected:
+    case policy::CheckQueue::Admission::kRejected:
       return AuthenticationResult{Denial::kBusy, nullptr, queue_.retry_after(), false};
-    case decide::CheckQueue::Admission::kWait:
+    case policy::CheckQueue::Admission::kWait:
       break;
   }
   key = made;
@@ -181,23 +181,23 @@
 
 void Authenticator::remove_source(SourceId source) { queue_.remove_source(source); }
 
-AuthenticationResult Authenticator::revalidate(const decide::VerifiedCredential& proven) const {
-  if (proven.identity.credential_kind == decide::CredentialKind::kPassword)
+AuthenticationResult Authenticator::revalidate(const policy::VerifiedCredential& proven) const {
+  if (proven.identity.credential_kind == policy::CredentialKind::kPassword)
     return authenticate_user(proven.identity.subject);
   std::size_t key = 0;
   AuthenticationResult proof;
-  proof.denial = decide::revalidate_credential(proven, files_.keys.metadata(), settings_.token_rules,
+  proof.denial = policy::revalidate_credential(proven, files_.keys.metadata(), settings_.token_rules,
                                                files_.revocations, wall_clock_now(), &key);
   if (proof.denial != Denial::kNone) return proof;
-  auto fresh = std::make_shared<decide::VerifiedCredential>(proven);
+  auto fresh = std::make_shared<policy::VerifiedCredential>(proven);
   fresh->identity =
-      decide::identity_from_claims(proven.claims, settings_.token_rules, files_.keys.metadata()[key]);
+      policy::identity_from_claims(proven.claims, settings_.token_rules, files_.keys.metadata()[key]);
   proof.credential = std::move(fresh);
   return proof;
 }
 
 AuthenticationResult Authenticator::authenticate_mapped(const IdentityMapping* standing,
-                                                        decide::Identity identity) const {
+                                                        policy::Identity identity) const {
   AuthenticationResult proof;
   if (!standing) {
     proof.denial = Denial::kUnmappedIdentity;
@@ -205,21 +205,21 @@
   }
   identity.tenant = standing->tenant;
   identity.roles = standing->roles;
-  proof.credential = std::make_shared<const decide::VerifiedCredential>(
-      decide::VerifiedCredential{std::move(identity), {}, "", ""});
+  proof.credential = std::make_shared<const policy::VerifiedCredential>(
+      policy::VerifiedCredential{std::move(identity), {}, "", ""});
   return proof;
 }
 
 AuthenticationResult Authenticator::authenticate_user(const std::string& name) const {
   const auto found = settings_.users.find(name);
-  decide::Identity identity;
-  identity.credential_kind = decide::CredentialKind::kPassword;
+  policy::Identity identity;
+  identity.credential_kind = policy::CredentialKind::kPassword;
   identity.subject = name;
   identity.credential_id = "password";
   return authenticate_mapped(found == settings_.users.end() ? nullptr : &found->second, std::move(identity));
 }
 
-AuthenticationResult Authenticator::authenticate_certificate(const decide::CertificateInfo& facts,
+AuthenticationResult Authenticator::authenticate_certificate(const policy::CertificateInfo& facts,
                                                              std::optional<Time> known_until) const {
   // Alternative names come first: they are what a certificate is issued for (RFC 6125).
   const IdentityMapping* found = nullptr;
@@ -236,8 +236,8 @@
     if (at != settings_.certificates.end()) found = &at->second;
     name = facts.subject;
   }
-  decide::Identity identity;
-  identity.credential_kind = decide::CredentialKind::kCertificate;
+  policy::Identity identity;
+  identity.credential_kind = policy::CredentialKind::kCertificate;
   identity.subject = name;
   identity.credential_id = facts.serial;
   identity.not_after = facts.not_after;
@@ -245,9 +245,9 @@
   return authenticate_mapped(found, std::move(identity));
 }
 
-void Authenticator::audit_denial(Denial denial, const decide::Identity& identity, std::string_view class_name,
+void Authenticator::audit_denial(Denial denial, const policy::Identity& identity, std::string_view class_name,
                                  const AuditContext& asked, std::string_view detail) {
-  ++figures_.denied_by_code[std::string(decide::reason_code(denial))];
+  ++figures_.denied_by_code[std::string(policy::reason_code(denial))];
   // A flood must not push other lines out of the log: what is over its share of a second is counted.
   if (loop_.now() - audit_window_start_ >= std::chrono::seconds(1)) {
     audit_window_start_ = loop_.now();
@@ -261,8 +261,8 @@
     ++suppressed_audit_lines_;
     return;
   }
-  log_.write(LogLevel::kNotice, "access", decide::reason_message(denial),
-             {{"denied", std::string(decide::reason_code(denial))},
+  log_.write(LogLevel::kNotice, "access", policy::reason_message(denial),
+             {{"denied", std::string(policy::reason_code(denial))},
               {"subject", identity.subject},
               {"tenant", identity.tenant},
               {"credential", identity.credential_id},
@@ -272,11 +272,11 @@
               {"detail", std::string(detail)}});
 }
 
-Denial Authenticator::authorize(const decide::Identity& identity, std::string_view class_name,
-                                bool class_may_write, const decide::StatementAnalysis& facts,
+Denial Authenticator::authorize(const policy::Identity& identity, std::string_view class_name,
+                                bool class_may_write, const policy::StatementAnalysis& facts,
                                 const AuditContext& asked) {
   std::string schema;
-  const Denial denial = decide::authorize(settings_.policy, identity, {class_name, class_may_write, &facts},
+  const Denial denial = policy::authorize(settings_.policy, identity, {class_name, class_may_write, &facts},
                                           wall_clock_now(), &schema);
   if (denial != Denial::kNone)
     audit_denial(denial, identity, class_name, asked,
@@ -284,17 +284,17 @@
   return denial;
 }
 
-Denial Authenticator::authorize_schema(const decide::Identity& identity, std::string_view schema,
+Denial Authenticator::authorize_schema(const policy::Identity& identity, std::string_view schema,
                                        const AuditContext& asked) {
-  const Denial denial = decide::authorize_schema(settings_.policy, identity, schema, wall_clock_now());
+  const Denial denial = policy::authorize_schema(settings_.policy, identity, schema, wall_clock_now());
   if (denial != Denial::kNone) audit_denial(denial, identity, "", asked, schema);
   return denial;
 }
 
-Denial Authenticator::authorize_identity(const decide::Identity& identity, const AuditContext& asked) {
-  const Denial denial = decide::authorize_identity(settings_.policy, identity, wall_clock_now());
+Denial Authenticator::authorize_identity(const policy::Identity& identity, const AuditContext& asked) {
+  const Denial denial = policy::authorize_identity(settings_.policy, identity, wall_clock_now());
   if (denial != Denial::kNone) audit_denial(denial, identity, "", asked);
   return denial;
 }
 
-}  // namespace rookproxy::access
+}  // namespace rookproxy::auth
--- a/src/access/gatekeeper.h
+++ b/src/auth/gatekeeper.h
@@ -11,17 +11,17 @@
 #include <string_view>
 #include <unordered_map>
 
-#include "access/settings.h"
-#include "core/figures.h"
+#include "auth/settings.h"
+#include "dispatcher/figures.h"
 #include "log/log.h"
 #include "net/loop.h"
 #include "sql/tables.h"
 
-namespace rookproxy::access {
+namespace rookproxy::auth {
 
 struct AuthenticationResult {
-  decide::Denial denial = decide::Denial::kNone;
-  std::shared_ptr<const decide::VerifiedCredential> credential;  // where nothing is denied
+  policy::Denial denial = policy::Denial::kNone;
+  std::shared_ptr<const policy::VerifiedCredential> credential;  // where nothing is denied
   std::optional<Duration> retry_after;                           // of 'busy': when to come back
   bool close_connection = false;  // its source has sent nothing but bad tokens: end the connection
 };
@@ -33,7 +33,7 @@
 
 class Authenticator {
  public:
-  using SourceId = decide::CheckQueue::SourceId;
+  using SourceId = policy::CheckQueue::SourceId;
   using CheckId = std::uint64_t;  // 0: none
   using CheckCallback = std::function<void(AuthenticationResult)>;
 
@@ -55,22 +55,22 @@
   void remove_source(SourceId source);
 
   // May it? A denial is counted and written to the audit.
-  decide::Denial authorize(const decide::Identity& identity, std::string_view class_name,
-                           bool class_may_write, const decide::StatementAnalysis& facts,
+  policy::Denial authorize(const policy::Identity& identity, std::string_view class_name,
+                           bool class_may_write, const policy::StatementAnalysis& facts,
                            const AuditContext& asked);
-  decide::Denial authorize_schema(const decide::Identity& identity, std::string_view schema,
+  policy::Denial authorize_schema(const policy::Identity& identity, std::string_view schema,
                                   const AuditContext& asked);
-  decide::Denial authorize_identity(const decide::Identity& identity, const AuditContext& asked);
+  policy::Denial authorize_identity(const policy::Identity& identity, const AuditContext& asked);
   // What was proven by a token or a password under another revision, judged by this one.
-  AuthenticationResult revalidate(const decide::VerifiedCredential& proven) const;
+  AuthenticationResult revalidate(const policy::VerifiedCredential& proven) const;
   // Who logged in by password, and whom a verified certificate stands for. `known_until`: whether it was
   // revoked.
   AuthenticationResult authenticate_user(const std::string& name) const;
-  AuthenticationResult authenticate_certificate(const decide::CertificateInfo& facts,
+  AuthenticationResult authenticate_certificate(const policy::CertificateInfo& facts,
                                                 std::optional<Time> known_until) const;
   bool accepts_tokens() const { return !settings_.keys_file.empty(); }
   // One that was denied before it became a caller.
-  void audit_denial(decide::Denial denial, const decide::Identity& identity, std::string_view class_name,
+  void audit_denial(policy::Denial denial, const policy::Identity& identity, std::string_view class_name,
                     const AuditContext& asked, std::string_view detail = "");
 
  private:
@@ -84,8 +84,8 @@
                                                               std::optional<Jwt>& jwt, std::size_t& key);
   AuthenticationResult verify_signature(std::string_view token, SourceId source, const Jwt& jwt,
                                         std::size_t key);
-  AuthenticationResult reject(decide::Denial denial, SourceId source);
-  AuthenticationResult authenticate_mapped(const IdentityMapping* standing, decide::Identity identity) const;
+  AuthenticationResult reject(policy::Denial denial, SourceId source);
+  AuthenticationResult authenticate_mapped(const IdentityMapping* standing, policy::Identity identity) const;
   void run_queued_checks();
   void schedule_wake_up();
   void complete_check(CheckId key, AuthenticationResult proof);
@@ -96,8 +96,8 @@
   AuthSettings settings_;
   AuthFiles files_;
   std::uint64_t revision_ = 1;
-  decide::TokenCache cache_;
-  decide::CheckQueue queue_;
+  policy::TokenCache cache_;
+  policy::CheckQueue queue_;
   Time audit_window_start_{};
   int audit_lines_in_window_ = 0;
   std::uint64_t suppressed_audit_lines_ = 0;
@@ -109,4 +109,4 @@
 // The time that credentials are judged by: the system's clock, as those who issued them go by theirs.
 Time wall_clock_now();
 
-}  // namespace rookproxy::access
+}  // namespace rookproxy::auth
--- a/src/access/jwt.cpp
+++ b/src/auth/jwt.cpp
@@ -1,12 +1,12 @@
-#include "access/jwt.h"
+#include "auth/jwt.h"
 
 #include <algorithm>
 #include <cctype>
 
-#include "access/base64url.h"
-#include "access/strict_json.h"
+#include "auth/base64url.h"
+#include "auth/strict_json.h"
 
-namespace rookproxy::access {
+namespace rookproxy::auth {
 namespace {
 
 using nlohmann::json;
@@ -96,4 +96,4 @@
   }
 }
 
-}  // namespace rookproxy::access
+}  // namespace rookproxy::auth
--- a/src/access/jwt.h
+++ b/src/auth/jwt.h
@@ -5,9 +5,9 @@
 #include <string>
 #include <string_view>
 
-#include "decide/token.h"
+#include "policy/token.h"
 
-namespace rookproxy::access {
+namespace rookproxy::auth {
 
 // Longer ones are not looked into.
 constexpr std::size_t kMaxTokenBytes = 8 * 1024;
@@ -18,12 +18,12 @@
 };
 
 struct Jwt {
-  decide::TokenHeader header;
-  decide::TokenClaims claims;
+  policy::TokenHeader header;
+  policy::TokenClaims claims;
   std::string_view signing_input;  // of the token that was read
   std::string signature;
 };
 // Nothing if anything in it is not as it must be; what it says is not judged here.
 std::optional<Jwt> parse_jwt(std::string_view token, const ClaimNames& names);
 
-}  // namespace rookproxy::access
+}  // namespace rookproxy::auth
--- a/src/access/keys.cpp
+++ b/src/auth/keys.cpp
@@ -1,4 +1,4 @@
-#include "access/keys.h"
+#include "auth/keys.h"
 
 #include <openssl/core_names.h>
 #include <openssl/ecdsa.h>
@@ -10,14 +10,14 @@
 #include <nlohmann/json.hpp>
 #include <optional>
 
-#include "access/base64url.h"
-#include "access/strict_json.h"
+#include "auth/base64url.h"
+#include "auth/strict_json.h"
 
-namespace rookproxy::access {
+namespace rookproxy::auth {
 namespace {
 
-using decide::Algorithm;
 using nlohmann::json;
+using policy::Algorithm;
 
 constexpr std::size_t kMaxKeys = 256;
 constexpr int kMinRsaBits = 2048, kMaxRsaBits = 8192;  // more would be a way to burn our time
@@ -175,7 +175,7 @@
     try {
       if (!one.is_object()) throw KeyError("not an object");
       check_key_use(one);
-      decide::KeyMetadata facts;
+      policy::KeyMetadata facts;
       facts.id = text_member(one, "kid");
       if (facts.id.empty() || facts.id.size() > 256) throw KeyError("kid: empty, or over 256 bytes");
       for (const auto& other : set.metadata_) {
@@ -195,9 +195,9 @@
       } else {
         throw KeyError("kty: only EC, RSA and OKP ('" + kind + "')");
       }
-      if (one.contains("alg") && text_member(one, "alg") != decide::algorithm_name(facts.algorithm)) {
+      if (one.contains("alg") && text_member(one, "alg") != policy::algorithm_name(facts.algorithm)) {
         throw KeyError("alg: '" + text_member(one, "alg") + "', only " +
-                       std::string(decide::algorithm_name(facts.algorithm)) + " is taken for such a key");
+                       std::string(policy::algorithm_name(facts.algorithm)) + " is taken for such a key");
       }
       facts.not_before = time_member(one, "nbf");
       facts.not_after = time_member(one, "exp");
@@ -229,4 +229,4 @@
   return EVP_DigestVerify(context.get(), bytes(signature), signature.size(), bytes(text), text.size()) == 1;
 }
 
-}  // namespace rookproxy::access
+}  // namespace rookproxy::auth
--- a/src/access/settings.cpp
+++ b/src/auth/settings.cpp
@@ -1,13 +1,13 @@
-#include "access/settings.h"
+#include "auth/settings.h"
 
 #include <algorithm>
 #include <fstream>
 #include <sstream>
 #include <string_view>
 
-#include "access/strict_json.h"
+#include "auth/strict_json.h"
 
-namespace rookproxy::access {
+namespace rookproxy::auth {
 namespace {
 
 constexpr std::size_t kMaxFileBytes = 4u << 20;
@@ -59,4 +59,4 @@
   return files;
 }
 
-}  // namespace rookproxy::access
+}  // namespace rookproxy::auth
--- a/src/access/settings.h
+++ b/src/auth/settings.h
@@ -5,14 +5,14 @@
 #include <string>
 #include <vector>
 
-#include "access/jwt.h"
-#include "access/keys.h"
-#include "decide/access.h"
-#include "decide/check_queue.h"
-#include "decide/token.h"
-#include "decide/token_cache.h"
+#include "auth/jwt.h"
+#include "auth/keys.h"
+#include "policy/access.h"
+#include "policy/check_queue.h"
+#include "policy/token.h"
+#include "policy/token_cache.h"
 
-namespace rookproxy::access {
+namespace rookproxy::auth {
 
 struct IdentityMapping {
   std::string tenant;
@@ -20,8 +20,8 @@
 };
 
 struct AuthSettings {
-  decide::AccessPolicy policy;
-  decide::TokenRules token_rules;
+  policy::AccessPolicy policy;
+  policy::TokenRules token_rules;
   ClaimNames claim_names;
   std::string token_field = "token";             // of a frame
   std::string keys_file, revocation_file;        // empty: no tokens are taken; nothing is revoked
@@ -29,8 +29,8 @@
   // By a certificate's alternative name ('URI:', 'DNS:' or 'email:' and the name) or its subject ('CN=a,O=b',
   // RFC 2253).
   std::map<std::string, IdentityMapping> certificates;
-  decide::TokenCache::Limits token_cache_limits;
-  decide::CheckQueue::Limits check_queue_limits;
+  policy::TokenCache::Limits token_cache_limits;
+  policy::CheckQueue::Limits check_queue_limits;
   std::vector<std::string> watched_files() const {  // which are watched
     std::vector<std::string> list;
     for (const auto& file : {keys_file, revocation_file}) {
@@ -43,8 +43,8 @@
 // Its files as read; throws KeyError with the file's name.
 struct AuthFiles {
   KeySet keys;
-  decide::RevocationList revocations;
+  policy::RevocationList revocations;
 };
 AuthFiles load_auth_files(const AuthSettings& settings);
 
-}  // namespace rookproxy::access
+}  // namespace rookproxy::auth
--- a/src/access/sign.cpp
+++ b/src/auth/sign.cpp
@@ -1,4 +1,4 @@
-#include "access/sign.h"
+#include "auth/sign.h"
 
 #include <openssl/bio.h>
 #include <openssl/core_names.h>
@@ -6,12 +6,12 @@
 #include <openssl/evp.h>
 #include <openssl/pem.h>
 
-#include "access/base64url.h"
+#include "auth/base64url.h"
 
-namespace rookproxy::access {
+namespace rookproxy::auth {
 namespace {
 
-using decide::Algorithm;
+using policy::Algorithm;
 
 struct OpenSslDeleter {
   void operator()(BIO* one) const { BIO_free(one); }
@@ -75,7 +75,7 @@
 
 nlohmann::json to_public_jwk(evp_pkey_st* key, const std::string& id) {
   const Algorithm algorithm = algorithm_of(key);
-  nlohmann::json jwk{{"kid", id}, {"use", "sig"}, {"alg", decide::algorithm_name(algorithm)}};
+  nlohmann::json jwk{{"kid", id}, {"use", "sig"}, {"alg", policy::algorithm_name(algorithm)}};
   if (algorithm == Algorithm::kEs256) {
     jwk["kty"] = "EC";
     jwk["crv"] = "P-256";
@@ -124,10 +124,10 @@
 std::string sign_token(evp_pkey_st* key, const std::string& id, const nlohmann::json& claims,
                        nlohmann::json header) {
   const Algorithm algorithm = algorithm_of(key);
-  if (!header.contains("alg")) header["alg"] = decide::algorithm_name(algorithm);
+  if (!header.contains("alg")) header["alg"] = policy::algorithm_name(algorithm);
   if (!header.contains("kid")) header["kid"] = id;
   const std::string text = encode_base64url(header.dump()) + "." + encode_base64url(claims.dump());
   return text + "." + encode_base64url(sign(key, algorithm, text));
 }
 
-}  // namespace rookproxy::access
+}  // namespace rookproxy::auth
--- a/src/access/strict_json.h
+++ b/src/auth/strict_json.h
@@ -8,7 +8,7 @@
 #include <string_view>
 #include <vector>
 
-namespace rookproxy::access {
+namespace rookproxy::auth {
 
 inline std::optional<nlohmann::json> parse_strict_json(std::string_view text, int most_depth = 16) {
   using Event = nlohmann::json::parse_event_t;
@@ -28,4 +28,4 @@
   return document;
 }
 
-}  // namespace rookproxy::access
+}  // namespace rookproxy::auth
--- a/src/decide/fleet/agreement.cpp
+++ b/src/cluster/agreement.cpp
@@ -1,4 +1,4 @@
-#include "decide/fleet/agreement.h"
+#include "cluster/agreement.h"
 
 #define XXH_INLINE_ALL
 #include <xxhash.h>
@@ -7,7 +7,7 @@
 #include <type_traits>
 #include <utility>
 
-namespace rookproxy::decide::fleet {
+namespace rookproxy::cluster {
 
 namespace {
 
@@ -635,4 +635,4 @@
   return out;
 }
 
-}  // namespace rookproxy::decide::fleet
+}  // namespace rookproxy::cluster
--- a/src/decide/fleet/agreement.h
+++ b/src/cluster/agreement.h
@@ -48,9 +48,9 @@
 #include <string>
 #include <vector>
 
-#include "decide/fleet/types.h"
+#include "cluster/types.h"
 
-namespace rookproxy::decide::fleet {
+namespace rookproxy::cluster {
 
 enum class ProposalState : std::uint8_t {
   kNone = 0,        // nothing was proposed yet
@@ -262,4 +262,4 @@
   bool lease_expiry_counted_ = true;                  // its running out is in the figures
 };
 
-}  // namespace rookproxy::decide::fleet
+}  // namespace rookproxy::cluster
--- a/src/decide/fleet/membership.cpp
+++ b/src/cluster/membership.cpp
@@ -1,10 +1,10 @@
-#include "decide/fleet/membership.h"
+#include "cluster/membership.h"
 
 #include <algorithm>
 #include <cmath>
 #include <stdexcept>
 
-namespace rookproxy::decide::fleet {
+namespace rookproxy::cluster {
 
 namespace {
 constexpr std::size_t kMaxProbes = 16;        // under way; more only if ticks come far too late
@@ -443,4 +443,4 @@
   return out;
 }
 
-}  // namespace rookproxy::decide::fleet
+}  // namespace rookproxy::cluster
--- a/src/decide/fleet/membership.h
+++ b/src/cluster/membership.h
@@ -23,9 +23,9 @@
 #include <vector>
 
 #include "base/time.h"
-#include "decide/fleet/types.h"
+#include "cluster/types.h"
 
-namespace rookproxy::decide::fleet {
+namespace rookproxy::cluster {
 
 struct MembershipSettings {
   MemberId self = 0;
@@ -160,4 +160,4 @@
   Metrics metrics_;
 };
 
-}  // namespace rookproxy::decide::fleet
+}  // namespace rookproxy::cluster
--- a/src/decide/fleet/replay.cpp
+++ b/src/cluster/replay.cpp
@@ -1,6 +1,6 @@
-#include "decide/fleet/replay.h"
+#include "cluster/replay.h"
 
-namespace rookproxy::decide::fleet {
+namespace rookproxy::cluster {
 namespace {
 constexpr std::uint64_t kWindowSize = 64;
 }
@@ -39,4 +39,4 @@
   return Result::kNew;
 }
 
-}  // namespace rookproxy::decide::fleet
+}  // namespace rookproxy::cluster
--- a/src/decide/fleet/replay.h
+++ b/src/cluster/replay.h
@@ -8,9 +8,9 @@
 #include <vector>
 
 #include "base/time.h"
-#include "decide/fleet/types.h"
+#include "cluster/types.h"
 
-namespace rookproxy::decide::fleet {
+namespace rookproxy::cluster {
 
 // A window of 64 sequences below the highest that was taken, as in RFC 4303, section 3.4.3: what is older
 // than the window can't be told from a repeat and is none the better for being late.
@@ -49,4 +49,4 @@
   std::array<std::uint64_t, kResultCount> counts_{};
 };
 
-}  // namespace rookproxy::decide::fleet
+}  // namespace rookproxy::cluster
--- a/src/fleet/fleet.cpp
+++ b/src/cluster/runtime/fleet.cpp
@@ -1,4 +1,4 @@
-#include "fleet/fleet.h"
+#include "cluster/runtime/fleet.h"
 
 #define XXH_INLINE_ALL
 #include <xxhash.h>
@@ -8,12 +8,12 @@
 #include <cstring>
 #include <set>
 
-#include "peers/proof.h"
+#include "cluster/transport/proof.h"
 
 namespace rookproxy {
 namespace {
 
-using namespace decide::fleet;
+using namespace cluster;
 
 // A due time that has passed is taken up in the next turn, but never sooner than this: one that stays in the
 // past must not keep a core busy.
@@ -105,7 +105,7 @@
                  initial_plan(own_fingerprint_), loop.now()),
       socket_(
           loop, settings_.peers, process_incarnation_,
-          [this](const peers::Envelope& envelope) { on_message(envelope); },
+          [this](const cluster::transport::Envelope& envelope) { on_message(envelope); },
           [this](MemberId to, std::size_t room) { return membership_.gossip_for(to, room); }) {
   log_.write(LogLevel::kNotice, "fleet", "one of a fleet",
              {{"members", std::to_string(settings_.peers.members.size())},
@@ -124,7 +124,7 @@
 }
 
 // Everything that was heard counts as its sender's sign of life; what is not membership's own is agreement's.
-void Cluster::on_message(const peers::Envelope& envelope) {
+void Cluster::on_message(const cluster::transport::Envelope& envelope) {
   if (has_left_) return;
   const Time now = loop_.now();
   apply(membership_.receive(now, envelope.sender, envelope.incarnation, envelope.body, envelope.gossip));
@@ -280,9 +280,9 @@
       {"fleet.received", of_socket.received},
       {"fleet.received_bytes", of_socket.received_bytes},
   };
-  for (std::size_t i = 0; i < peers::kDropReasonCount; ++i) {  // those that happened
+  for (std::size_t i = 0; i < cluster::transport::kDropReasonCount; ++i) {  // those that happened
     if (of_socket.dropped_by_reason[i] > 0)
-      all.emplace_back("fleet.dropped." + std::string(peers::kDropReasonNames[i]),
+      all.emplace_back("fleet.dropped." + std::string(cluster::transport::kDropReasonNames[i]),
                        of_socket.dropped_by_reason[i]);
   }
   return all;
--- a/src/fleet/fleet.h
+++ b/src/cluster/runtime/fleet.h
@@ -10,15 +10,15 @@
 #include <utility>
 #include <vector>
 
-#include "decide/fleet/agreement.h"
-#include "decide/fleet/membership.h"
+#include "cluster/agreement.h"
+#include "cluster/membership.h"
+#include "cluster/transport/socket.h"
 #include "log/log.h"
-#include "peers/socket.h"
 
 namespace rookproxy {
 
 struct ClusterSettings {
-  peers::TransportSettings peers;
+  cluster::transport::TransportSettings peers;
   Duration probe_interval = std::chrono::milliseconds(500);  // between two probes of members
   Duration lease_duration = std::chrono::seconds(4);  // of the plan's bold parts, without a majority's word
   // What the plan's numbers stand for: dispatchers with another list don't read them.
@@ -27,10 +27,9 @@
 
 // The deciders' times, in proportion to `period` and `lease`: with 500 ms and 4 s they are their own
 // defaults. Throws SettingsError.
-decide::fleet::MembershipSettings make_membership_settings(const ClusterSettings& settings);
-decide::fleet::Consensus::Settings make_consensus_settings(const ClusterSettings& settings,
-                                                           decide::fleet::Incarnation life,
-                                                           std::uint64_t seed);
+cluster::MembershipSettings make_membership_settings(const ClusterSettings& settings);
+cluster::Consensus::Settings make_consensus_settings(const ClusterSettings& settings,
+                                                     cluster::Incarnation life, std::uint64_t seed);
 
 // Of the names that the plan numbers by their places.
 std::uint32_t plan_fingerprint(const std::vector<std::string>& names);
@@ -50,7 +49,7 @@
   enum class QuorumState { kNoQuorum = 0, kLeaseExpired = 1, kLeaseHeld = 2 };
   QuorumState quorum_state() const;
   // The last plan known; its numbers mean nothing where `reads_plan` is false.
-  const decide::fleet::ClusterConfig& plan() const { return consensus_.plan(); }
+  const cluster::ClusterConfig& plan() const { return consensus_.plan(); }
   bool is_plan_readable() const { return plan().fingerprint == own_fingerprint_; }
 
   // The operator's file has changed. What may be turned down comes first (throws SettingsError); what is made
@@ -60,7 +59,7 @@
   // since it may be the one with the old file.
   struct PreparedReload {
     std::vector<std::string> zones;
-    peers::Codec codec;
+    cluster::transport::Codec codec;
   };
   PreparedReload prepare_reload(const ClusterSettings& fresh) const;
   void apply_reload(PreparedReload change);
@@ -72,9 +71,9 @@
   std::vector<MetricValue> metrics() const;
 
  private:
-  void on_message(const peers::Envelope& envelope);
-  void apply(decide::fleet::Membership::Result step);
-  void send(const std::vector<decide::fleet::OutgoingMessage>& messages);
+  void on_message(const cluster::transport::Envelope& envelope);
+  void apply(cluster::Membership::Result step);
+  void send(const std::vector<cluster::OutgoingMessage>& messages);
   void propose_zones();
   void on_timer();
   void log_state_changes();
@@ -86,10 +85,10 @@
   Logger& log_;
   ClusterSettings settings_;
   std::uint32_t own_fingerprint_;
-  decide::fleet::Incarnation process_incarnation_;
-  decide::fleet::Membership membership_;
-  decide::fleet::Consensus consensus_;
-  peers::PeerSocket socket_;
+  cluster::Incarnation process_incarnation_;
+  cluster::Membership membership_;
+  cluster::Consensus consensus_;
+  cluster::transport::PeerSocket socket_;
   TimerId timer_{};
   QuorumState logged_state_ = QuorumState::kNoQuorum;
   std::uint32_t logged_epoch_ = 0;
--- a/src/peers/budget.h
+++ b/src/cluster/transport/budget.h
@@ -7,7 +7,7 @@
 
 #include "base/time.h"
 
-namespace rookproxy::peers {
+namespace rookproxy::cluster::transport {
 
 class ByteRateLimiter {
  public:
@@ -30,4 +30,4 @@
   Time refilled_at_{};
 };
 
-}  // namespace rookproxy::peers
+}  // namespace rookproxy::cluster::transport
--- a/src/peers/codec.cpp
+++ b/src/cluster/transport/codec.cpp
@@ -1,14 +1,14 @@
-#include "peers/codec.h"
+#include "cluster/transport/codec.h"
 
 #include <algorithm>
 #include <limits>
 #include <nlohmann/json.hpp>
 #include <type_traits>
 
-namespace rookproxy::peers {
+namespace rookproxy::cluster::transport {
 namespace {
 
-using namespace fleet;
+using namespace cluster;
 using nlohmann::json;
 using Millis = std::chrono::milliseconds;
 
@@ -419,4 +419,4 @@
               : 0;
 }
 
-}  // namespace rookproxy::peers
+}  // namespace rookproxy::cluster::transport
--- a/src/peers/codec.h
+++ b/src/cluster/transport/codec.h
@@ -8,22 +8,20 @@
 #include <variant>
 #include <vector>
 
-#include "decide/fleet/types.h"
-#include "peers/proof.h"
-#include "peers/reason.h"
+#include "cluster/transport/proof.h"
+#include "cluster/transport/reason.h"
+#include "cluster/types.h"
 
-namespace rookproxy::peers {
-
-namespace fleet = decide::fleet;
+namespace rookproxy::cluster::transport {
 
 constexpr std::size_t kMaxDatagramBytes = 256;  // the platform's bound for a datagram between dispatchers
 
 struct Envelope {
-  fleet::MemberId sender = 0;
-  fleet::Incarnation incarnation = 0;
+  cluster::MemberId sender = 0;
+  cluster::Incarnation incarnation = 0;
   std::uint64_t sequence = 0;  // of the sender's process, one more each datagram
-  fleet::MessageBody body;
-  std::vector<fleet::GossipUpdate> gossip;
+  cluster::MessageBody body;
+  std::vector<cluster::GossipUpdate> gossip;
   bool operator==(const Envelope&) const = default;
 };
 
@@ -31,25 +29,26 @@
  public:
   // `fleet`: a fingerprint of the list of peers, since members are known by their places in it. `self`: our
   // own place, out of that many members.
-  Codec(std::uint32_t fleet, fleet::MemberId self, std::size_t members, const std::vector<std::string>& keys);
+  Codec(std::uint32_t fleet, cluster::MemberId self, std::size_t members,
+        const std::vector<std::string>& keys);
 
   // At most kMostBytes, or why not. `to` nobody: for every member. Who it is for is under the proof, so that
   // a datagram for one can't be shown to another.
   std::variant<std::string, DropReason> encode(const Envelope& envelope,
-                                               std::optional<fleet::MemberId> to) const;
+                                               std::optional<cluster::MemberId> to) const;
   // Looks into nothing that is not proved, where a key is set; throws nothing, whatever comes.
   std::variant<Envelope, DropReason> decode(std::string_view bytes) const;
   // How many rumours fit beside this envelope's body, whatever they are; those that it has don't count.
   std::size_t gossip_capacity(Envelope envelope) const;
 
  private:
-  std::string authenticated_prefix(std::optional<fleet::MemberId> to) const;
+  std::string authenticated_prefix(std::optional<cluster::MemberId> to) const;
   std::optional<DropReason> validate(const Envelope& envelope) const;
 
   std::uint32_t cluster_fingerprint_;
-  fleet::MemberId self_;
+  cluster::MemberId self_;
   std::size_t members_;
   MessageAuthenticator authenticator_;
 };
 
-}  // namespace rookproxy::peers
+}  // namespace rookproxy::cluster::transport
--- a/src/peers/proof.cpp
+++ b/src/cluster/transport/proof.cpp
@@ -1,4 +1,4 @@
-#include "peers/proof.h"
+#include "cluster/transport/proof.h"
 
 #include <fcntl.h>
 #include <openssl/core_names.h>
@@ -13,7 +13,7 @@
 
 #include "net/fd.h"
 
-namespace rookproxy::peers {
+namespace rookproxy::cluster::transport {
 namespace {
 
 const unsigned char* bytes(std::string_view text) {
@@ -99,4 +99,4 @@
   return accepted;
 }
 
-}  // namespace rookproxy::peers
+}  // namespace rookproxy::cluster::transport
--- a/src/peers/proof.h
+++ b/src/cluster/transport/proof.h
@@ -10,7 +10,7 @@
 
 struct evp_mac_ctx_st;
 
-namespace rookproxy::peers {
+namespace rookproxy::cluster::transport {
 
 struct KeyError : SettingsError {
   using SettingsError::SettingsError;
@@ -44,4 +44,4 @@
   std::vector<std::unique_ptr<evp_mac_ctx_st, Deleter>> contexts_;  // keyed, and begun anew for each text
 };
 
-}  // namespace rookproxy::peers
+}  // namespace rookproxy::cluster::transport
--- a/src/peers/reason.h
+++ b/src/cluster/transport/reason.h
@@ -5,7 +5,7 @@
 #include <cstdint>
 #include <string_view>
 
-namespace rookproxy::peers {
+namespace rookproxy::cluster::transport {
 
 enum class DropReason : std::uint8_t {
   // Of the bytes, before anything in them is believed.
@@ -88,4 +88,4 @@
   return kDropReasonNames[static_cast<std::size_t>(reason)];
 }
 
-}  // namespace rookproxy::peers
+}  // namespace rookproxy::cluster::transport
--- a/src/peers/socket.cpp
+++ b/src/cluster/transport/socket.cpp
@@ -1,4 +1,4 @@
-#include "peers/socket.h"
+#include "cluster/transport/socket.h"
 
 #include <sys/epoll.h>
 #include <sys/socket.h>
@@ -8,7 +8,7 @@
 
 #include <cerrno>
 
-namespace rookproxy::peers {
+namespace rookproxy::cluster::transport {
 namespace {
 
 constexpr int kMaxDatagramsPerIteration = 64;  // datagrams a turn, so that a flood can't starve the clients
@@ -17,9 +17,9 @@
 TransportSettings validated(TransportSettings settings) {
   const auto& peers = settings.members;
   if (peers.empty()) throw SettingsError("peers: empty, though peer_listen is set");
-  if (peers.size() > fleet::kMaxMembers) {
+  if (peers.size() > cluster::kMaxMembers) {
     throw SettingsError("peers: " + std::to_string(peers.size()) + " of them, at most " +
-                        std::to_string(fleet::kMaxMembers) + " are taken");
+                        std::to_string(cluster::kMaxMembers) + " are taken");
   }
   if (settings.self >= peers.size())
     throw SettingsError("peers: this dispatcher's own address is not among them");
@@ -31,13 +31,13 @@
 }
 
 // Agreement goes before probes, which are asked again anyway and of which a lost one is no news.
-bool is_urgent(const fleet::MessageBody& body) {
-  return !std::holds_alternative<fleet::Ping>(body) && !std::holds_alternative<fleet::PingRequest>(body) &&
-         !std::holds_alternative<fleet::Ack>(body);
+bool is_urgent(const cluster::MessageBody& body) {
+  return !std::holds_alternative<cluster::Ping>(body) &&
+         !std::holds_alternative<cluster::PingRequest>(body) && !std::holds_alternative<cluster::Ack>(body);
 }
 
-DropReason drop_reason_of(fleet::ReplayWindow::Result verdict) {
-  using Verdict = fleet::ReplayWindow::Result;
+DropReason drop_reason_of(cluster::ReplayWindow::Result verdict) {
+  using Verdict = cluster::ReplayWindow::Result;
   switch (verdict) {
     case Verdict::kDuplicate:
       return DropReason::kDuplicate;
@@ -60,7 +60,7 @@
   return XXH32(text.data(), text.size(), 0);
 }
 
-PeerSocket::PeerSocket(EventLoop& loop, TransportSettings settings, fleet::Incarnation incarnation,
+PeerSocket::PeerSocket(EventLoop& loop, TransportSettings settings, cluster::Incarnation incarnation,
                        MessageHandler heard, GossipSource rumours)
     : loop_(loop),
       settings_(validated(std::move(settings))),
@@ -72,7 +72,7 @@
       on_message_(std::move(heard)),
       gossip_source_(std::move(rumours)) {
   for (std::size_t i = 0; i < settings_.members.size(); ++i) {
-    if (!member_by_address_.emplace(settings_.members[i], static_cast<fleet::MemberId>(i)).second)
+    if (!member_by_address_.emplace(settings_.members[i], static_cast<cluster::MemberId>(i)).second)
       throw SettingsError("peers: " + settings_.members[i].to_string() + " is there twice");
   }
   open();
@@ -154,7 +154,7 @@
     return;
   }
   const auto verdict = replay_.check(envelope.sender, envelope.incarnation, envelope.sequence, loop_.now());
-  if (verdict != fleet::ReplayWindow::Result::kNew) {
+  if (verdict != cluster::ReplayWindow::Result::kNew) {
     count_drop(drop_reason_of(verdict));
     return;
   }
@@ -162,24 +162,24 @@
   on_message_(envelope);
 }
 
-std::optional<DropReason> PeerSocket::send(fleet::MemberId to, const fleet::MessageBody& body) {
+std::optional<DropReason> PeerSocket::send(cluster::MemberId to, const cluster::MessageBody& body) {
   if (to >= settings_.members.size()) return count_drop(DropReason::kUnknownMember);
   if (to == settings_.self) return count_drop(DropReason::kOwnMessage);
   return send_to(settings_.members[to], to, body);
 }
 
-std::optional<DropReason> PeerSocket::send_all(const fleet::MessageBody& body) {
+std::optional<DropReason> PeerSocket::send_all(const cluster::MessageBody& body) {
   if (settings_.broadcast_address) return send_to(*settings_.broadcast_address, std::nullopt, body);
   std::optional<DropReason> last;
   for (std::size_t i = 0; i < settings_.members.size(); ++i) {
     if (i == settings_.self) continue;
-    if (const auto reason = send(static_cast<fleet::MemberId>(i), body)) last = reason;
+    if (const auto reason = send(static_cast<cluster::MemberId>(i), body)) last = reason;
   }
   return last;
 }
 
-std::optional<DropReason> PeerSocket::send_to(const SocketAddress& at, std::optional<fleet::MemberId> to,
-                                              const fleet::MessageBody& body) {
+std::optional<DropReason> PeerSocket::send_to(const SocketAddress& at, std::optional<cluster::MemberId> to,
+                                              const cluster::MessageBody& body) {
   if (!fd_) return count_drop(DropReason::kSocketClosed);
   // Asked before the rumours, which count each telling: room for the longest there may be.
   if (!rate_limiter_.allows(kMaxDatagramBytes, is_urgent(body), loop_.now()))
@@ -206,4 +206,4 @@
   return std::nullopt;
 }
 
-}  // namespace rookproxy::peers
+}  // namespace rookproxy::cluster::transport
--- a/src/peers/socket.h
+++ b/src/cluster/transport/socket.h
@@ -8,17 +8,17 @@
 #include <string>
 #include <vector>
 
-#include "decide/fleet/replay.h"
+#include "cluster/replay.h"
+#include "cluster/transport/budget.h"
+#include "cluster/transport/codec.h"
 #include "net/loop.h"
-#include "peers/budget.h"
-#include "peers/codec.h"
 
-namespace rookproxy::peers {
+namespace rookproxy::cluster::transport {
 
 struct TransportSettings {
   SocketAddress listen_address;        // port 0: the kernel chooses, for tests
   std::vector<SocketAddress> members;  // of all members, ours too: a place in this list is a MemberId
-  fleet::MemberId self = 0;
+  cluster::MemberId self = 0;
   std::optional<SocketAddress>
       broadcast_address;          // reaches every member at once; none: they are told one by one
   std::vector<std::string> keys;  // the first proves what we send, any of them what we hear; none: no proof
@@ -43,11 +43,12 @@
   using MessageHandler = std::function<void(const Envelope&)>;
   // Rumours worth telling that member, the most urgent first; more than `room` are cut off. Asked for only
   // once the message is sure to be written: who is asked counts each telling.
-  using GossipSource = std::function<std::vector<fleet::GossipUpdate>(fleet::MemberId to, std::size_t room)>;
+  using GossipSource =
+      std::function<std::vector<cluster::GossipUpdate>(cluster::MemberId to, std::size_t room)>;
 
   // Throws SettingsError: on an empty or too long list, one with an address twice, or a place that is not in
   // it. `incarnation`: of this process, see types.h.
-  PeerSocket(EventLoop& loop, TransportSettings settings, fleet::Incarnation incarnation,
+  PeerSocket(EventLoop& loop, TransportSettings settings, cluster::Incarnation incarnation,
              MessageHandler heard, GossipSource rumours = nullptr);
   ~PeerSocket();
   PeerSocket(const PeerSocket&) = delete;
@@ -62,34 +63,34 @@
   SocketAddress local() const { return {settings_.listen_address.ip, local_port(fd_)}; }
 
   // Each datagram goes once, or not at all; why not is counted and returned.
-  std::optional<DropReason> send(fleet::MemberId to, const fleet::MessageBody& body);
+  std::optional<DropReason> send(cluster::MemberId to, const cluster::MessageBody& body);
   // To all others: the reason is the last one's. No rumours ride on a datagram for all: what is held against
   // a member is for that one, and news would count as told though they went out once.
-  std::optional<DropReason> send_all(const fleet::MessageBody& body);
+  std::optional<DropReason> send_all(const cluster::MessageBody& body);
 
   // The keys' files were changed: see PeerSettings::keys. In two steps, so that what may fail comes before
   // anything is taken: the first throws KeyError, the second nothing.
   Codec make_codec(const std::vector<std::string>& keys) const;
   void set_codec(Codec codec) { codec_ = std::move(codec); }
   void set_keys(const std::vector<std::string>& keys) { set_codec(make_codec(keys)); }
-  void set_incarnation(fleet::Incarnation incarnation) { incarnation_ = incarnation; }
+  void set_incarnation(cluster::Incarnation incarnation) { incarnation_ = incarnation; }
   const TransportMetrics& metrics() const { return metrics_; }
 
  private:
   void on_ready(std::uint32_t events) override;
   void process_datagram(const SocketAddress& from, std::string_view bytes);
-  std::optional<DropReason> send_to(const SocketAddress& at, std::optional<fleet::MemberId> to,
-                                    const fleet::MessageBody& body);
+  std::optional<DropReason> send_to(const SocketAddress& at, std::optional<cluster::MemberId> to,
+                                    const cluster::MessageBody& body);
   DropReason count_drop(DropReason reason);
 
   EventLoop& loop_;
   TransportSettings settings_;
-  fleet::Incarnation incarnation_;
+  cluster::Incarnation incarnation_;
   std::uint64_t sequence_ = 0;  // goes on over a new incarnation of the same process
   Codec codec_;
-  fleet::ReplayWindow replay_;
+  cluster::ReplayWindow replay_;
   ByteRateLimiter rate_limiter_;
-  std::map<SocketAddress, fleet::MemberId> member_by_address_;
+  std::map<SocketAddress, cluster::MemberId> member_by_address_;
   MessageHandler on_message_;
   GossipSource gossip_source_;
   FileDescriptor fd_;
@@ -99,4 +100,4 @@
   TransportMetrics metrics_;
 };
 
-}  // namespace rookproxy::peers
+}  // namespace rookproxy::cluster::transport
--- a/src/decide/fleet/types.h
+++ b/src/cluster/types.h
@@ -9,7 +9,7 @@
 
 #include "base/time.h"
 
-namespace rookproxy::decide::fleet {
+namespace rookproxy::cluster {
 
 // A dispatcher's place in the configured list of all of them, which is the same list at each. From 0 up.
 using MemberId = std::uint16_t;
@@ -163,4 +163,4 @@
   bool operator==(const OutgoingMessage&) const = default;
 };
 
-}  // namespace rookproxy::decide::fleet
+}  // namespace rookproxy::cluster
--- a/src/config/access_config.cpp
+++ b/src/config/access_config.cpp
@@ -8,7 +8,7 @@
 
 std::vector<std::string> texts(const nlohmann::json& list) { return list.get<std::vector<std::string>>(); }
 
-decide::GroupRange group_range(const std::string& text, const std::string& path) {
+policy::GroupRange group_range(const std::string& text, const std::string& path) {
   const auto dash = text.find('-');
   const auto first = parse_number<std::uint64_t>(std::string_view(text).substr(0, dash));
   const auto last =
@@ -20,10 +20,10 @@
 }  // namespace
 
 // The schema has seen to types and bounds; what is checked here is how the parts hang together.
-access::AuthSettings read_access(const nlohmann::json& section, const lemonshift::Settings& settings) {
+auth::AuthSettings read_access(const nlohmann::json& section, const routing::Settings& settings) {
   check_schema(section, "access");
   const ConfigReader reader(section, "access");
-  access::AuthSettings access;
+  auth::AuthSettings access;
   access.keys_file = reader.text_or("keys", "");
   access.revocation_file = reader.text_or("revoked", "");
   if (reader.has("issuers")) access.token_rules.issuers = texts(reader.required("issuers"));
@@ -50,7 +50,7 @@
   std::size_t number = 0;
   for (const auto& one : reader.required("roles")) {
     const std::string path = "access.roles." + std::to_string(number++);
-    decide::Role role{one.at("name"), texts(one.at("classes")), one.value("writes", false)};
+    policy::Role role{one.at("name"), texts(one.at("classes")), one.value("writes", false)};
     if (access.policy.find_role(role.name))
       throw ConfigError(path + ".name", "there twice ('" + role.name + "')");
     for (const auto& name : role.classes) {
@@ -63,7 +63,7 @@
   number = 0;
   for (const auto& one : reader.required("tenants")) {
     const std::string path = "access.tenants." + std::to_string(number++);
-    decide::Tenant tenant{one.at("name"), texts(one.at("schemas")), {}};
+    policy::Tenant tenant{one.at("name"), texts(one.at("schemas")), {}};
     if (access.policy.find_tenant(tenant.name))
       throw ConfigError(path + ".name", "there twice ('" + tenant.name + "')");
     for (const auto& range : one.value("groups", nlohmann::json::array()))
@@ -71,12 +71,12 @@
     access.policy.tenants.push_back(std::move(tenant));
   }
   const auto standings = [&](const char* key) {
-    std::map<std::string, access::IdentityMapping> list;
+    std::map<std::string, auth::IdentityMapping> list;
     if (!reader.has(key)) return list;
     std::size_t at = 0;
     for (const auto& one : reader.required(key)) {
       const std::string path = std::string("access.") + key + "." + std::to_string(at++);
-      access::IdentityMapping standing{one.at("tenant"), texts(one.at("roles"))};
+      auth::IdentityMapping standing{one.at("tenant"), texts(one.at("roles"))};
       if (!access.policy.find_tenant(standing.tenant))
         throw ConfigError(path + ".tenant", "no tenant '" + standing.tenant + "' in access.tenants");
       for (const auto& role : standing.roles) {
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -10,7 +10,7 @@
 
 #include "base/numbers.h"
 #include "config/reader.h"
-#include "wire.h"
+#include "simulator/adapter.h"
 
 namespace rookproxy {
 namespace {
@@ -89,9 +89,9 @@
   const std::vector<std::string_view> views(pairs.begin(), pairs.end());
   check_classes(ConfigReader(settings, "settings"));
   try {
-    config.settings = lemonshift::wire::parse_settings(config.seed, views);
+    config.settings = rookproxy::simulator::parse_settings(config.seed, views);
     // The module has checks of its own. A running one could not be talked into half of what it turns down.
-    const lemonshift::Router trial(config.settings);
+    const routing::Router trial(config.settings);
   } catch (const std::exception& fault) {
     throw ConfigError("settings", fault.what());
   }
@@ -126,10 +126,10 @@
       static_cast<std::size_t>(permissions.integer_or("multiplex", 32, 1, 10'000));
 }
 
-lemonshift::EngineState read_engine_state(const std::string& word, const std::string& path) {
-  if (word == "up") return lemonshift::EngineState::kServing;
-  if (word == "draining") return lemonshift::EngineState::kDraining;
-  if (word == "removed") return lemonshift::EngineState::kRemoved;
+routing::EngineState read_engine_state(const std::string& word, const std::string& path) {
+  if (word == "up") return routing::EngineState::kServing;
+  if (word == "draining") return routing::EngineState::kDraining;
+  if (word == "removed") return routing::EngineState::kRemoved;
   throw ConfigError(path, "unknown state '" + word + "'");
 }
 
@@ -148,7 +148,7 @@
       EngineEndpoint member =
           read_engine_endpoint(entry, topology.path("members." + std::to_string(number++)));
       std::erase_if(members, [&](const EngineEndpoint& old) { return old.id == member.id; });
-      if (member.state != lemonshift::EngineState::kRemoved) members.push_back(std::move(member));
+      if (member.state != routing::EngineState::kRemoved) members.push_back(std::move(member));
     }
   }
   config.initial_endpoints = std::move(members);
@@ -178,7 +178,7 @@
   const auto* read = class_of("read_class");
   const auto* load = class_of("load_class");
   // A statement not known to only read must not be sent twice, so its class must be one that forbids it.
-  if (load->idempotency != lemonshift::Idempotency::kNonIdempotent) {
+  if (load->idempotency != routing::Idempotency::kNonIdempotent) {
     throw ConfigError(mysql.path("load_class"),
                       "class '" + load->name + "' may be repeated; it must be side_effect");
   }
@@ -229,7 +229,7 @@
   member.id = reader.text("id");
   if (member.id.empty()) throw ConfigError(reader.path("id"), "empty");
   member.state = read_engine_state(reader.text_or("phase", "up"), reader.path("phase"));
-  if (member.state != lemonshift::EngineState::kRemoved || reader.has("host_port")) {
+  if (member.state != routing::EngineState::kRemoved || reader.has("host_port")) {
     member.address = reader.endpoint("host_port");
   }
   member.zone = reader.text_or("locality", "");
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -9,9 +9,9 @@
 #include <string>
 #include <vector>
 
-#include "access/settings.h"
+#include "auth/settings.h"
 #include "base/errors.h"
-#include "core/interfaces.h"
+#include "dispatcher/interfaces.h"
 #include "log/log.h"
 #include "tls/context.h"
 
@@ -85,7 +85,7 @@
   Duration discovery_poll_interval = std::chrono::milliseconds(200);
   std::uint64_t initial_endpoints_version = 0;
   std::vector<EngineEndpoint> initial_endpoints;
-  lemonshift::Settings settings;
+  routing::Settings settings;
   std::vector<std::string> zones;
   Duration keepalive = std::chrono::seconds(30), connect_timeout = std::chrono::milliseconds(250);
   std::size_t streams_per_connection = 32;
@@ -98,7 +98,7 @@
   EngineProtocol engine_protocol = EngineProtocol::kLines;
   MysqlEnginesConfig mysql_engines;
   std::optional<MysqlFrontConfig> mysql;
-  std::optional<access::AuthSettings> access;  // absent: callers are not identified
+  std::optional<auth::AuthSettings> access;  // absent: callers are not identified
   std::optional<TlsConfig> tls;
   std::optional<ClusterOptions> cluster;                               // absent: every dispatcher for itself
   Duration credential_poll_interval = std::chrono::milliseconds(250);  // how often its files are looked at
@@ -119,7 +119,7 @@
 Config load_config(const Environment& environment, const std::string& operators, const Config& running);
 Config read_config(const nlohmann::json& document);
 // The section [access]; its files are named and not read. Throws ConfigError.
-access::AuthSettings read_access(const nlohmann::json& section, const lemonshift::Settings& settings);
+auth::AuthSettings read_access(const nlohmann::json& section, const routing::Settings& settings);
 TlsConfig read_tls(const nlohmann::json& section);
 // `peers`, `peers_all` and `peer_listen`; nothing if there are none or the settings allow to send nothing.
 // Throws ConfigError, also where nothing may be sent.
--- a/src/ctl/keys.cpp
+++ b/src/ctl/keys.cpp
@@ -16,11 +16,11 @@
 #include <regex>
 #include <sstream>
 
-#include "access/base64url.h"
-#include "access/gatekeeper.h"
-#include "access/settings.h"
-#include "access/sign.h"
-#include "access/strict_json.h"
+#include "auth/base64url.h"
+#include "auth/gatekeeper.h"
+#include "auth/settings.h"
+#include "auth/sign.h"
+#include "auth/strict_json.h"
 #include "config/config.h"
 
 namespace rookproxy {
@@ -36,8 +36,7 @@
 };
 
 std::int64_t seconds_now() {
-  return std::chrono::duration_cast<std::chrono::seconds>(access::wall_clock_now().time_since_epoch())
-      .count();
+  return std::chrono::duration_cast<std::chrono::seconds>(auth::wall_clock_now().time_since_epoch()).count();
 }
 
 // '90s', '10m', '12h', '30d' or plain seconds.
@@ -98,16 +97,16 @@
   if (may_be_missing && !fs::exists(path)) return {{"keys", json::array()}};
   const std::string text = read_text_file(path);
   try {
-    access::KeySet::parse(text);  // nothing is built on a set that no dispatcher would take
-  } catch (const access::KeyError& fault) {
+    auth::KeySet::parse(text);  // nothing is built on a set that no dispatcher would take
+  } catch (const auth::KeyError& fault) {
     throw CommandError(path + ": " + fault.what());
   }
-  return *access::parse_strict_json(text);
+  return *auth::parse_strict_json(text);
 }
 
 void write_set(const std::string& path, const json& set) {
   const std::string text = set.dump(2) + "\n";
-  access::KeySet::parse(text);
+  auth::KeySet::parse(text);
   write_file_atomically(path, text, 0644);
 }
 
@@ -128,15 +127,15 @@
 // A new pair: its private half in a file for the issuer alone, its public half for the set.
 json make(const KeyOptions& options, std::int64_t from) {
   check_id(options.id);
-  const auto algorithm = decide::parse_algorithm(options.algorithm);
+  const auto algorithm = policy::parse_algorithm(options.algorithm);
   if (!algorithm) throw CommandError("--alg '" + options.algorithm + "': one of ES256, RS256, EdDSA");
   const std::string path = private_path(options.folder, options.id);
   if (fs::exists(path)) throw CommandError(path + ": there already; a key is not written over");
-  const auto key = access::generate_key(*algorithm);
-  json jwk = access::to_public_jwk(key.get(), options.id);
+  const auto key = auth::generate_key(*algorithm);
+  json jwk = auth::to_public_jwk(key.get(), options.id);
   if (from > 0) jwk["nbf"] = from;
   if (options.life) jwk["exp"] = (from > 0 ? from : seconds_now()) + parse_duration_seconds(*options.life);
-  write_file_atomically(path, access::to_private_pem(key.get()), 0600);
+  write_file_atomically(path, auth::to_private_pem(key.get()), 0600);
   return jwk;
 }
 
@@ -206,7 +205,7 @@
 };
 
 int mint(const TokenOptions& options) {
-  const auto key = access::parse_private_pem(read_text_file(options.key));
+  const auto key = auth::parse_private_pem(read_text_file(options.key));
   const std::int64_t now = seconds_now();
   json claims{{"iss", options.issuer},
               {"aud", options.audience},
@@ -220,7 +219,7 @@
   if (!extra.is_object()) throw CommandError("--claims: not a JSON object");
   claims.merge_patch(extra);
   const std::string id = options.id.empty() ? fs::path(options.key).stem().string() : options.id;
-  std::cout << access::sign_token(key.get(), id, claims) << "\n";
+  std::cout << auth::sign_token(key.get(), id, claims) << "\n";
   return kDone;
 }
 
@@ -232,8 +231,8 @@
 }
 
 json decoded(std::string_view part) {
-  const auto bytes = access::decode_base64url(part);
-  const auto document = bytes ? access::parse_strict_json(*bytes) : std::nullopt;
+  const auto bytes = auth::decode_base64url(part);
+  const auto document = bytes ? auth::parse_strict_json(*bytes) : std::nullopt;
   if (!document) throw CommandError("no token: its parts are not JSON in base64url");
   return *document;
 }
@@ -258,29 +257,29 @@
 int check(const TokenOptions& options) {
   const Config config = load_config(Environment(), options.file);
   if (!config.access) throw CommandError(options.file + ": has no [access]");
-  const auto files = access::load_auth_files(*config.access);
+  const auto files = auth::load_auth_files(*config.access);
   const std::string text = token_text(options);
-  const auto jwt = access::parse_jwt(text, config.access->claim_names);
-  const Time now = access::wall_clock_now();
-  decide::Denial denial = decide::Denial::kMalformed;
-  decide::Identity identity;
+  const auto jwt = auth::parse_jwt(text, config.access->claim_names);
+  const Time now = auth::wall_clock_now();
+  policy::Denial denial = policy::Denial::kMalformed;
+  policy::Identity identity;
   if (jwt) {
     const auto choice =
-        decide::select_key(jwt->header, files.keys.metadata(), now, config.access->token_rules.leeway);
+        policy::select_key(jwt->header, files.keys.metadata(), now, config.access->token_rules.leeway);
     denial = choice.denial;
-    if (denial == decide::Denial::kNone)
-      denial = decide::validate_claims(jwt->claims, config.access->token_rules, files.revocations, now);
-    if (denial == decide::Denial::kNone &&
+    if (denial == policy::Denial::kNone)
+      denial = policy::validate_claims(jwt->claims, config.access->token_rules, files.revocations, now);
+    if (denial == policy::Denial::kNone &&
         !files.keys.verify(choice.key_index, jwt->signing_input, jwt->signature))
-      denial = decide::Denial::kInvalidSignature;
-    if (denial == decide::Denial::kNone) {
-      identity = decide::identity_from_claims(jwt->claims, config.access->token_rules,
+      denial = policy::Denial::kInvalidSignature;
+    if (denial == policy::Denial::kNone) {
+      identity = policy::identity_from_claims(jwt->claims, config.access->token_rules,
                                               files.keys.metadata()[choice.key_index]);
-      denial = decide::authorize_identity(config.access->policy, identity, now);
+      denial = policy::authorize_identity(config.access->policy, identity, now);
     }
   }
-  if (denial != decide::Denial::kNone) {
-    std::cout << "denied: " << decide::reason_code(denial) << ": " << decide::reason_message(denial) << "\n";
+  if (denial != policy::Denial::kNone) {
+    std::cout << "denied: " << policy::reason_code(denial) << ": " << policy::reason_message(denial) << "\n";
     return kRefused;
   }
   std::cout << "good: " << identity.subject << " of " << identity.tenant << ", until "
--- a/src/demo/main.cpp
+++ b/src/demo/main.cpp
@@ -10,8 +10,8 @@
 #include <iostream>
 #include <stdexcept>
 
+#include "fakes/standins.h"
 #include "mysql/protocol.h"
-#include "standins/standins.h"
 
 namespace {
 
--- a/src/directory/directory.cpp
+++ b/src/discovery/directory.cpp
@@ -1,4 +1,4 @@
-#include "directory/directory.h"
+#include "discovery/directory.h"
 
 #include <sys/epoll.h>
 #include <sys/socket.h>
@@ -9,8 +9,8 @@
 
 namespace rookproxy {
 namespace {
-using decide::DiscoveryPath;
-using decide::EndpointListVersion;
+using policy::DiscoveryPath;
+using policy::EndpointListVersion;
 
 constexpr std::size_t kMaxPendingQueries = 64;  // questions; more than two sockets in doubt are asked
 }  // namespace
@@ -63,7 +63,7 @@
   loop_.cancel(poll_timer_);
   server_ = server;
   service_ = std::move(service);
-  schedule_ = decide::PollSchedule(poll);
+  schedule_ = policy::PollSchedule(poll);
   path_ = DiscoveryPath();
   pending_queries_.clear();  // an answer of the former server can't arrive any more
   // Both are closed before one is opened: their descriptors are what the new ones take.
@@ -124,7 +124,7 @@
   const Time asked_at = asked->sent_at;
   pending_queries_.erase(asked);
   has_endpoint_list_ = true;
-  list_effective_since_ = decide::announced_since(first_unanswered_at_, schedule_.max_pause(), loop_.now());
+  list_effective_since_ = policy::announced_since(first_unanswered_at_, schedule_.max_pause(), loop_.now());
   // What was asked before may be answered late, but with no news that this answer had not.
   const auto later = std::find_if(pending_queries_.begin(), pending_queries_.end(),
                                   [asked_at](const PendingQuery& q) { return q.sent_at > asked_at; });
--- a/src/directory/directory.h
+++ b/src/discovery/directory.h
@@ -9,13 +9,13 @@
 #include <string>
 #include <vector>
 
-#include "core/interfaces.h"
-#include "decide/directory_path.h"
-#include "decide/list_order.h"
-#include "decide/poll_schedule.h"
-#include "directory/dns.h"
+#include "discovery/dns.h"
+#include "dispatcher/interfaces.h"
 #include "log/log.h"
 #include "net/loop.h"
+#include "policy/directory_path.h"
+#include "policy/list_order.h"
+#include "policy/poll_schedule.h"
 
 namespace rookproxy {
 
@@ -57,15 +57,15 @@
   void send_query(const std::string& query);
   void read_responses(Socket& socket);
   void handle_response(std::string_view message);
-  void report_path_state(decide::DiscoveryPath::Event news, std::string_view why);
+  void report_path_state(policy::DiscoveryPath::Event news, std::string_view why);
 
   EventLoop& loop_;
   Logger& log_;
   SocketAddress server_;
   std::string service_;
-  decide::PollSchedule schedule_;
-  decide::DiscoveryPath path_;
-  decide::EndpointListVersion order_;
+  policy::PollSchedule schedule_;
+  policy::DiscoveryPath path_;
+  policy::EndpointListVersion order_;
   std::mt19937_64 random_;
   UpdateHandler update_handler_;
   // Both are held from the start on, so that a fresh one takes the place of one of ours: clients and engines
--- a/src/directory/dns.cpp
+++ b/src/discovery/dns.cpp
@@ -1,4 +1,4 @@
-#include "directory/dns.h"
+#include "discovery/dns.h"
 
 #include <algorithm>
 #include <cctype>
@@ -99,8 +99,7 @@
     member.zone = service.target.substr(dot + 1, end == std::string::npos ? end : end - dot - 1);
   }
   member.address = {*host.ip, service.port};
-  member.state =
-      service.priority == 0 ? lemonshift::EngineState::kServing : lemonshift::EngineState::kDraining;
+  member.state = service.priority == 0 ? routing::EngineState::kServing : routing::EngineState::kDraining;
   member.weight = service.weight / 10.0;
   if (const auto kind = host.texts.find("kind"); kind != host.texts.end()) member.machine_type = kind->second;
   member.cell = static_cast<std::uint32_t>(non_negative_or_zero(host.texts, "cell"));
--- a/src/directory/dns.h
+++ b/src/discovery/dns.h
@@ -7,7 +7,7 @@
 #include <string_view>
 #include <vector>
 
-#include "core/interfaces.h"
+#include "dispatcher/interfaces.h"
 
 namespace rookproxy {
 
--- a/src/core/dispatcher.cpp
+++ b/src/dispatcher/dispatcher.cpp
@@ -1,8 +1,8 @@
-#include "core/dispatcher.h"
+#include "dispatcher/dispatcher.h"
 
-#include "core/rules.h"
-#include "decide/drains.h"
+#include "dispatcher/rules.h"
 #include "net/clock.h"
+#include "policy/drains.h"
 
 #include <algorithm>
 #include <utility>
@@ -10,7 +10,7 @@
 namespace rookproxy {
 namespace {
 
-using lemonshift::EngineState;
+using routing::EngineState;
 
 // A module that went on acting on what its own actions caused would hold the turn up for ever.
 constexpr int kMaxRoundsPerIteration = 16;
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-Dispatcher::Dispatcher(EventLoop& loop, Logger& log, Metrics& figures, const lemonshift::Settings& settings,
+Dispatcher::Dispatcher(EventLoop& loop, Logger& log, Metrics& figures, const routing::Settings& settings,
                        std::vector<std::string> zones, DispatcherLimits limits)
     : loop_(loop),
       log_(log),
@@ -38,7 +38,7 @@
   apply_settings(settings);
 }
 
-std::optional<lemonshift::ClassIndex> Dispatcher::find_class(std::string_view name) const {
+std::optional<routing::ClassIndex> Dispatcher::find_class(std::string_view name) const {
   const auto found = class_index_by_name_.find(name);
   if (found == class_index_by_name_.end()) return std::nullopt;
   return found->second;
@@ -56,7 +56,7 @@
   apply_settings(configured_settings_);
 }
 
-void Dispatcher::change_settings(const lemonshift::Settings& fresh, std::vector<std::string> zones,
+void Dispatcher::change_settings(const routing::Settings& fresh, std::vector<std::string> zones,
                                  DispatcherLimits limits) {
   process_events();  // what has come so far goes by the former settings
   zones_ = std::move(zones);
@@ -74,10 +74,10 @@
 
 // A class whose rules are others than before becomes a new one, to which its name leads from now on; requests
 // that are open stay with the former, whose place is given to another once nobody uses it.
-void Dispatcher::apply_settings(const lemonshift::Settings& fresh) {
+void Dispatcher::apply_settings(const routing::Settings& fresh) {
   auto table = active_settings_.classes;
-  std::map<std::string, lemonshift::ClassIndex, std::less<>> names;
-  std::vector<lemonshift::ClassSettings> added;
+  std::map<std::string, routing::ClassIndex, std::less<>> names;
+  std::vector<routing::ClassSettings> added;
   std::vector<bool> kept(table.size(), false);
   for (std::size_t i = 0; i < table.size(); ++i) kept[i] = requests_by_class_[i] > 0;
   for (auto cls : fresh.classes) {
@@ -93,7 +93,7 @@
   for (auto& cls : added) {
     const auto free = std::find(kept.begin(), kept.end(), false);
     const auto at = static_cast<std::size_t>(free - kept.begin());
-    names[cls.name] = static_cast<lemonshift::ClassIndex>(at);
+    names[cls.name] = static_cast<routing::ClassIndex>(at);
     if (free == kept.end()) {
       kept.push_back(true);
       table.push_back(std::move(cls));
@@ -103,7 +103,7 @@
     }
   }
   while (!kept.empty() && !kept.back()) kept.pop_back(), table.pop_back();
-  lemonshift::Settings next = fresh;
+  routing::Settings next = fresh;
   next.classes = table;
   // The rule counts what all send; another process of ours sends as well.
   if (next.slow_start) next.slow_start->overload_factor /= static_cast<double>(process_count_);
@@ -119,7 +119,7 @@
   requests_by_class_.resize(active_settings_.classes.size());
   for (const auto& cls : active_settings_.classes) metrics_.by_class[cls.name];  // shown from the start, as 0
   // Kinds and zones are known by their places in the settings, which may have changed.
-  lemonshift::EngineList list;
+  routing::EngineList list;
   for (EngineId id = 0; id < engines_.size(); ++id) {
     if (engines_[id].endpoint.state != EngineState::kRemoved) list.entries.push_back(engine_entry(id));
     // The grace may be a shorter one now.
@@ -129,7 +129,7 @@
   if (!engines_.empty()) queue_event(std::move(list));
 }
 
-void Dispatcher::queue_event(lemonshift::Event event) { events_.push_back(std::move(event)); }
+void Dispatcher::queue_event(routing::Event event) { events_.push_back(std::move(event)); }
 
 RequestKey Dispatcher::submit(const IncomingRequest& arrival, ResponseHandler& asker, std::uint64_t ticket) {
   Request request;
@@ -163,9 +163,9 @@
         if (!open || open->is_completed) return;
         log_.write(LogLevel::kWarning, "core", "deadline passed without a decision", {});
         finish(key, {ResponseStatus::kFailed, "", std::nullopt, ResponseCause::kDeadline, ""});
-        queue_event(lemonshift::ClientDisconnected{key});
+        queue_event(routing::ClientDisconnected{key});
       });
-  lemonshift::RequestArrived event;
+  routing::RequestArrived event;
   event.id = key;
   event.class_index = kept.class_index;
   event.deadline = to_routing_time(kept.deadline);
@@ -183,13 +183,13 @@
   if (!request || request->is_completed) return;
   request->handler = nullptr;
   finish(key, {});
-  queue_event(lemonshift::ClientDisconnected{key});
+  queue_event(routing::ClientDisconnected{key});
 }
 
 void Dispatcher::update_endpoints(const std::vector<EngineEndpoint>& members, bool remembered,
                                   std::optional<Time> told) {
-  lemonshift::EngineList list;
-  list.kind = remembered ? lemonshift::EngineListKind::kCached : lemonshift::EngineListKind::kSnapshot;
+  routing::EngineList list;
+  list.kind = remembered ? routing::EngineListKind::kCached : routing::EngineListKind::kSnapshot;
   std::vector<bool> named(engines_.size(), false);
   for (const auto& member : members) {
     const auto [at, fresh] = engine_ids_.try_emplace(member.id, static_cast<EngineId>(engines_.size()));
@@ -222,9 +222,9 @@
   queue_event(std::move(list));
 }
 
-lemonshift::EngineEntry Dispatcher::engine_entry(EngineId id) const {
+routing::EngineEntry Dispatcher::engine_entry(EngineId id) const {
   const EngineEndpoint& member = engines_[id].endpoint;
-  lemonshift::EngineEntry entry;
+  routing::EngineEntry entry;
   entry.id = id;
   entry.name = member.id;
   entry.started_at = member.started_at ? to_routing_time(*member.started_at) : 0;
@@ -255,7 +255,7 @@
 }
 
 Time Dispatcher::latest_drain_start(Time told) const {
-  return decide::latest_drain_start(told, from_routing_duration(active_settings_.drain_grace_period),
+  return policy::latest_drain_start(told, from_routing_duration(active_settings_.drain_grace_period),
                                     limits_.drain_margin);
 }
 
@@ -269,16 +269,16 @@
   end_attempt(key.request, key.number, std::move(end));
 }
 
-void Dispatcher::on_attempt_note(AttemptKey key, lemonshift::AttemptUpdateKind kind, double amount) {
+void Dispatcher::on_attempt_note(AttemptKey key, routing::AttemptUpdateKind kind, double amount) {
   const Attempt* known = find_attempt(key);
   if (!known || !known->in_flight) return;
-  queue_event(lemonshift::AttemptUpdate{key.request, key.number, known->engine, kind, amount});
+  queue_event(routing::AttemptUpdate{key.request, key.number, known->engine, kind, amount});
 }
 
 void Dispatcher::on_probe_ended(EngineId engine, Outcome outcome, std::optional<LoadReport> report) {
   if (engine >= engines_.size() || !engines_[engine].probe_sent) return;
   const Time sent = *std::exchange(engines_[engine].probe_sent, std::nullopt);
-  queue_event(lemonshift::ProbeEnded{engine, outcome, to_routing_duration(loop_.now() - sent), report});
+  queue_event(routing::ProbeEnded{engine, outcome, to_routing_duration(loop_.now() - sent), report});
 }
 
 void Dispatcher::end_attempt(RequestKey key, std::uint32_t number, AttemptResult end) {
@@ -289,7 +289,7 @@
   ended->in_flight = false;
   ended->may_have_run = !never_ran(end.outcome);
   --request->attempts_in_flight;
-  lemonshift::AttemptEnded event;
+  routing::AttemptEnded event;
   event.request = key;
   event.attempt = number;
   event.engine = ended->engine;
@@ -355,13 +355,11 @@
   }
 }
 
-void Dispatcher::record_rejection(lemonshift::ClassIndex cls, ResponseStatus verdict,
-                                  std::string_view tenant) {
+void Dispatcher::record_rejection(routing::ClassIndex cls, ResponseStatus verdict, std::string_view tenant) {
   record_response(cls, verdict, tenant);
 }
 
-void Dispatcher::record_response(lemonshift::ClassIndex cls, ResponseStatus verdict,
-                                 std::string_view tenant) {
+void Dispatcher::record_response(routing::ClassIndex cls, ResponseStatus verdict, std::string_view tenant) {
   const auto add = [verdict](ClassMetrics& figures) {
     ++(verdict == ResponseStatus::kServed     ? figures.served
        : verdict == ResponseStatus::kRejected ? figures.rejected
@@ -392,28 +390,28 @@
 
 void Dispatcher::process_events() {
   for (int round = 0; !events_.empty() && round < kMaxRoundsPerIteration; ++round) {
-    std::vector<lemonshift::Event> events;
+    std::vector<routing::Event> events;
     events.swap(events_);
     actions_.clear();
     router_.handle(to_routing_time(loop_.now()), events, actions_);
     for (const auto& action : actions_) execute(action);
     for (const auto& event : events) {
-      if (const auto* ended = std::get_if<lemonshift::AttemptEnded>(&event)) release_if_done(ended->request);
-      if (const auto* dropped = std::get_if<lemonshift::ClientDisconnected>(&event))
+      if (const auto* ended = std::get_if<routing::AttemptEnded>(&event)) release_if_done(ended->request);
+      if (const auto* dropped = std::get_if<routing::ClientDisconnected>(&event))
         release_if_done(dropped->request);
     }
     for (const auto& action : actions_) {
-      if (const auto* refused = std::get_if<lemonshift::Reject>(&action)) release_if_done(refused->request);
-      if (const auto* failed = std::get_if<lemonshift::Fail>(&action)) release_if_done(failed->request);
+      if (const auto* refused = std::get_if<routing::Reject>(&action)) release_if_done(refused->request);
+      if (const auto* failed = std::get_if<routing::Fail>(&action)) release_if_done(failed->request);
     }
   }
   if (!events_.empty()) loop_.run_at(loop_.now(), [] {});  // what is left is taken up in the next turn
 }
 
-void Dispatcher::execute(const lemonshift::Action& action) {
-  if (const auto* order = std::get_if<lemonshift::Send>(&action)) {
+void Dispatcher::execute(const routing::Action& action) {
+  if (const auto* order = std::get_if<routing::Send>(&action)) {
     start_attempt(*order);
-  } else if (const auto* terms = std::get_if<lemonshift::SetExecutionOptions>(&action)) {
+  } else if (const auto* terms = std::get_if<routing::SetExecutionOptions>(&action)) {
     Request* request = requests_.find(terms->request);
     if (!request) return;
     request->memory_grant_mb = terms->memory_mb;
@@ -422,15 +420,15 @@
     for (std::uint32_t i = 0; i < request->attempts.size(); ++i) {
       if (request->attempts[i].in_flight) transport_->set_priority({terms->request, i}, terms->priority);
     }
-  } else if (const auto* cancel = std::get_if<lemonshift::Cancel>(&action)) {
+  } else if (const auto* cancel = std::get_if<routing::Cancel>(&action)) {
     cancel_attempt(cancel->request, cancel->attempt);
-  } else if (const auto* refuse = std::get_if<lemonshift::Reject>(&action)) {
+  } else if (const auto* refuse = std::get_if<routing::Reject>(&action)) {
     const Request* request = requests_.find(refuse->request);
     if (!request) return;
     // The rule on refusals, whatever the module says.
     const bool ran = std::any_of(request->attempts.begin(), request->attempts.end(),
                                  [](const Attempt& a) { return a.may_have_run; });
-    if (!decide::may_reject(retry_rule(*request), ran)) {
+    if (!policy::may_reject(retry_rule(*request), ran)) {
       log_.write(LogLevel::kError, "core", "refusal of a request that may have run turned into a failure",
                  {});
       return finish(refuse->request,
@@ -441,27 +439,27 @@
     const auto again =
         refuse->retry_after ? from_routing_duration(*refuse->retry_after) : limits_.default_retry_after;
     finish(refuse->request, {ResponseStatus::kRejected, "", again, ResponseCause::kDecision, ""});
-  } else if (const auto* fail = std::get_if<lemonshift::Fail>(&action)) {
+  } else if (const auto* fail = std::get_if<routing::Fail>(&action)) {
     finish(fail->request, {ResponseStatus::kFailed, "", std::nullopt, ResponseCause::kDecision, ""});
-  } else if (const auto* wake = std::get_if<lemonshift::SetTimer>(&action)) {
+  } else if (const auto* wake = std::get_if<routing::SetTimer>(&action)) {
     loop_.run_at(from_routing_time(wake->at),
-                 [this, token = wake->token] { queue_event(lemonshift::TimerFired{token}); });
-  } else if (const auto* probe = std::get_if<lemonshift::Probe>(&action)) {
+                 [this, token = wake->token] { queue_event(routing::TimerFired{token}); });
+  } else if (const auto* probe = std::get_if<routing::Probe>(&action)) {
     if (probe->engine >= engines_.size() || engines_[probe->engine].probe_sent) return;
     engines_[probe->engine].probe_sent = loop_.now();
     transport_->probe(probe->engine);
-  } else if (const auto* text = std::get_if<lemonshift::Log>(&action)) {
+  } else if (const auto* text = std::get_if<routing::Log>(&action)) {
     log_.write(LogLevel::kInfo, "module", text->text, {});
   }
   // FollowList asks for what a directory here always does.
 }
 
-decide::RetryRule Dispatcher::retry_rule(const Request& request) const {
-  using decide::RetryScope;
-  using lemonshift::Idempotency;
-  using lemonshift::IdempotencyScope;
+policy::RetryRule Dispatcher::retry_rule(const Request& request) const {
+  using policy::RetryScope;
+  using routing::Idempotency;
+  using routing::IdempotencyScope;
   const auto& cls = class_settings(request.incoming.class_index);
-  decide::RetryRule rule;
+  policy::RetryRule rule;
   rule.hedging_allowed = active_settings_.hedging;
   if (cls.idempotency == Idempotency::kIdempotent) {
     rule.scope = RetryScope::kAnywhere;
@@ -483,10 +481,10 @@
                                                         : latest_drain_start(engine.closing_since);
 }
 
-decide::AttemptGuard Dispatcher::attempt_guard(const Request& request, EngineId id,
+policy::AttemptGuard Dispatcher::attempt_guard(const Request& request, EngineId id,
                                                std::size_t number) const {
   const Engine& engine = engines_[id];
-  decide::AttemptGuard sending(retry_rule(request), {engine.endpoint.zone, engine.endpoint.cell},
+  policy::AttemptGuard sending(retry_rule(request), {engine.endpoint.zone, engine.endpoint.cell},
                                request.incoming.deadline, accepts_work_until(engine));
   for (std::size_t i = 0; i < request.attempts.size(); ++i) {
     const Attempt& other = request.attempts[i];
@@ -499,7 +497,7 @@
 
 // Why this send may not go out; nothing if it may. The module keeps these rules itself; this is the net below
 // it.
-std::string_view Dispatcher::attempt_violation(const Request* request, const lemonshift::Send& order) const {
+std::string_view Dispatcher::attempt_violation(const Request* request, const routing::Send& order) const {
   if (!request || request->is_completed) return "request is over";
   if (order.engine >= engines_.size()) return "unknown engine";
   if (request->attempts.size() >= class_settings(request->incoming.class_index).max_attempts)
@@ -529,7 +527,7 @@
   return true;
 }
 
-void Dispatcher::start_attempt(const lemonshift::Send& order) {
+void Dispatcher::start_attempt(const routing::Send& order) {
   Request* request = requests_.find(order.request);
   const auto reason = attempt_violation(request, order);
   if (!reason.empty()) {
--- a/src/core/dispatcher.h
+++ b/src/dispatcher/dispatcher.h
@@ -8,11 +8,11 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/figures.h"
-#include "core/interfaces.h"
-#include "decide/sending.h"
+#include "dispatcher/figures.h"
+#include "dispatcher/interfaces.h"
 #include "log/log.h"
 #include "net/loop.h"
+#include "policy/sending.h"
 
 namespace rookproxy {
 
@@ -34,7 +34,7 @@
 
 class Dispatcher final : public EngineTransportCallbacks {
  public:
-  Dispatcher(EventLoop& loop, Logger& log, Metrics& figures, const lemonshift::Settings& settings,
+  Dispatcher(EventLoop& loop, Logger& log, Metrics& figures, const routing::Settings& settings,
              std::vector<std::string> zones, DispatcherLimits limits);
 
   void set_transport(EngineTransport& links) { transport_ = &links; }
@@ -44,10 +44,10 @@
   }
   // The rules of a class; its index is good until the caller returns to the loop, or as long as a request of
   // it is open.
-  const lemonshift::ClassSettings& class_settings(lemonshift::ClassIndex cls) const {
+  const routing::ClassSettings& class_settings(routing::ClassIndex cls) const {
     return active_settings_.classes[cls];
   }
-  std::optional<lemonshift::ClassIndex> find_class(std::string_view name) const;
+  std::optional<routing::ClassIndex> find_class(std::string_view name) const;
   // Whether the settings tell tenants apart, and know this one.
   bool has_tenants() const { return !tenant_index_by_name_.empty(); }
   std::optional<std::uint32_t> find_tenant(std::string_view name) const;
@@ -55,7 +55,7 @@
   bool in_settings_transition() const { return in_settings_transition_; }
   // Other settings from now on: the stricter of both at once, the new ones alone once clients go by them.
   // What is open keeps the rules under which it came.
-  void change_settings(const lemonshift::Settings& fresh, std::vector<std::string> zones,
+  void change_settings(const routing::Settings& fresh, std::vector<std::string> zones,
                        DispatcherLimits limits);
 
   // ---- from fronts. Each accepted request gets exactly one on_answer, unless its asker takes it back first.
@@ -64,7 +64,7 @@
   // Also those that are answered, or left by their clients, and still run: stopping would cut a load in half.
   std::size_t open_request_count() const { return requests_.size(); }
   // A front has answered by itself what never became a request; its class is known.
-  void record_rejection(lemonshift::ClassIndex cls, ResponseStatus verdict, std::string_view tenant = "");
+  void record_rejection(routing::ClassIndex cls, ResponseStatus verdict, std::string_view tenant = "");
   Gauges gauges() const;
   // So many processes stand in for this dispatcher now: each has its part of what may be held and of what an
   // engine that has just started may be sent.
@@ -78,7 +78,7 @@
   // ---- from links
   bool may_start(AttemptKey key) override;
   void on_attempt_ended(AttemptKey key, AttemptResult end) override;
-  void on_attempt_note(AttemptKey key, lemonshift::AttemptUpdateKind kind, double amount) override;
+  void on_attempt_note(AttemptKey key, routing::AttemptUpdateKind kind, double amount) override;
   void on_probe_ended(EngineId engine, Outcome outcome, std::optional<LoadReport> report) override;
 
   // Hands the module what has come in and carries out its answer; once a turn.
@@ -112,17 +112,17 @@
     std::optional<Time> probe_sent;
   };
 
-  void apply_settings(const lemonshift::Settings& fresh);
-  lemonshift::EngineEntry engine_entry(EngineId id) const;
+  void apply_settings(const routing::Settings& fresh);
+  routing::EngineEntry engine_entry(EngineId id) const;
   void start_drain(EngineId id, Time told);
   void schedule_drain_end(EngineId id);
   Time latest_drain_start(Time told) const;
-  void queue_event(lemonshift::Event event);
-  void execute(const lemonshift::Action& action);
-  void start_attempt(const lemonshift::Send& send);
-  decide::RetryRule retry_rule(const Request& request) const;
-  decide::AttemptGuard attempt_guard(const Request& request, EngineId engine, std::size_t number) const;
-  std::string_view attempt_violation(const Request* request, const lemonshift::Send& send) const;
+  void queue_event(routing::Event event);
+  void execute(const routing::Action& action);
+  void start_attempt(const routing::Send& send);
+  policy::RetryRule retry_rule(const Request& request) const;
+  policy::AttemptGuard attempt_guard(const Request& request, EngineId engine, std::size_t number) const;
+  std::string_view attempt_violation(const Request* request, const routing::Send& send) const;
   Time accepts_work_until(const Engine& engine) const;
   bool cancel_unsent_attempt(RequestKey key, std::uint32_t number);
   void end_attempt(RequestKey key, std::uint32_t number, AttemptResult end);
@@ -130,30 +130,29 @@
   void cancel_attempt(RequestKey key, std::uint32_t number);
   void finish(RequestKey key, Response answer);
   void release_if_done(RequestKey key);
-  void record_response(lemonshift::ClassIndex cls, ResponseStatus verdict, std::string_view tenant);
+  void record_response(routing::ClassIndex cls, ResponseStatus verdict, std::string_view tenant);
   Attempt* find_attempt(AttemptKey key);
 
   EventLoop& loop_;
   Logger& log_;
   Metrics& metrics_;
-  lemonshift::Settings configured_settings_;  // as last bound, classes as the operator names them
-  lemonshift::Settings
-      active_settings_;  // the same with the classes by which open requests go on: never moved
+  routing::Settings configured_settings_;  // as last bound, classes as the operator names them
+  routing::Settings active_settings_;  // the same with the classes by which open requests go on: never moved
   std::vector<std::size_t> requests_by_class_;  // of each such class, requests
-  std::map<std::string, lemonshift::ClassIndex, std::less<>> class_index_by_name_;
+  std::map<std::string, routing::ClassIndex, std::less<>> class_index_by_name_;
   std::map<std::string, std::uint32_t, std::less<>> tenant_index_by_name_;
   TimerId settings_transition_timer_{};
   bool in_settings_transition_ = false;
   std::vector<std::string> zones_;
   DispatcherLimits limits_;
-  lemonshift::Router router_;
+  routing::Router router_;
   EngineTransport* transport_ = nullptr;
   SlotMap<Request> requests_;
   std::size_t unanswered_requests_ = 0, buffered_bytes_ = 0, process_count_ = 1;
   std::unordered_map<std::string, EngineId> engine_ids_;
   std::vector<Engine> engines_;
-  std::vector<lemonshift::Event> events_;
-  std::vector<lemonshift::Action> actions_;
+  std::vector<routing::Event> events_;
+  std::vector<routing::Action> actions_;
 };
 
 }  // namespace rookproxy
--- a/src/core/interfaces.h
+++ b/src/dispatcher/interfaces.h
@@ -10,16 +10,16 @@
 #include <vector>
 
 #include "base/time.h"
-#include "core/module_time.h"
-#include "lemonshift/router.h"
+#include "dispatcher/module_time.h"
 #include "net/fd.h"
 #include "net/slots.h"
+#include "rookproxy/routing/router.h"
 
 namespace rookproxy {
 
-using lemonshift::EngineId;
-using lemonshift::LoadReport;
-using lemonshift::Outcome;
+using routing::EngineId;
+using routing::LoadReport;
+using routing::Outcome;
 using RequestKey = SlotKey;  // sorts by arrival, never reused
 
 // What is asked of an engine. Links read it, the core only carries it.
@@ -46,7 +46,7 @@
 
 struct IncomingRequest {
   std::shared_ptr<const Query> query;
-  lemonshift::ClassIndex class_index = 0;
+  routing::ClassIndex class_index = 0;
   std::uint64_t table_group = 0;
   Time deadline;
   std::optional<Duration> estimated_work;
@@ -123,7 +123,7 @@
   // Asked right before its first byte is handed to the kernel; changes nothing. If not, it ends as not sent.
   virtual bool may_start(AttemptKey key) = 0;
   virtual void on_attempt_ended(AttemptKey key, AttemptResult end) = 0;
-  virtual void on_attempt_note(AttemptKey key, lemonshift::AttemptUpdateKind kind, double amount) = 0;
+  virtual void on_attempt_note(AttemptKey key, routing::AttemptUpdateKind kind, double amount) = 0;
   virtual void on_probe_ended(EngineId engine, Outcome outcome, std::optional<LoadReport> report) = 0;
 
  protected:
@@ -134,7 +134,7 @@
 struct EngineEndpoint {
   std::string id;
   SocketAddress address;
-  lemonshift::EngineState state = lemonshift::EngineState::kServing;
+  routing::EngineState state = routing::EngineState::kServing;
   std::string zone, machine_type;
   std::uint32_t cell = 0;
   double weight = 1;
--- a/src/core/rules.cpp
+++ b/src/dispatcher/rules.cpp
@@ -1,12 +1,12 @@
-#include "core/rules.h"
+#include "dispatcher/rules.h"
 
 #include <algorithm>
 
 namespace rookproxy {
 namespace {
 
-using lemonshift::ClassSettings;
-using lemonshift::Idempotency;
+using routing::ClassSettings;
+using routing::Idempotency;
 
 // Safe, keyed and unsafe stand in the order of what they forbid; of two keyed ones the narrower binds.
 void restrict_retries(ClassSettings& cls, const ClassSettings& former) {
@@ -29,8 +29,8 @@
 
 }  // namespace
 
-lemonshift::Settings merge_stricter(const lemonshift::Settings& former, const lemonshift::Settings& fresh) {
-  lemonshift::Settings both = fresh;
+routing::Settings merge_stricter(const routing::Settings& former, const routing::Settings& fresh) {
+  routing::Settings both = fresh;
   for (const auto& old : former.classes) {
     const auto same = std::find_if(both.classes.begin(), both.classes.end(),
                                    [&](const ClassSettings& cls) { return cls.name == old.name; });
--- a/src/standins/authority.cpp
+++ b/src/fakes/authority.cpp
@@ -1,4 +1,4 @@
-#include "standins/authority.h"
+#include "fakes/authority.h"
 
 #include <openssl/bio.h>
 #include <openssl/pem.h>
@@ -6,7 +6,7 @@
 
 #include <stdexcept>
 
-#include "access/sign.h"
+#include "auth/sign.h"
 
 namespace rookproxy::test {
 namespace {
@@ -34,7 +34,7 @@
 
 Certificate blank(const std::string& common_name, long serial, int from, int to) {
   Certificate made;
-  made.key = access::generate_key(decide::Algorithm::kEs256);
+  made.key = auth::generate_key(policy::Algorithm::kEs256);
   made.certificate = std::shared_ptr<X509>(X509_new(), X509_free);
   X509* one = made.certificate.get();
   X509_set_version(one, 2);
@@ -55,7 +55,7 @@
   return text_of(out);
 }
 
-std::string Certificate::private_key_pem() const { return access::to_private_pem(key.get()); }
+std::string Certificate::private_key_pem() const { return auth::to_private_pem(key.get()); }
 
 CertificateAuthority::CertificateAuthority(const std::string& name) : root_(blank(name, 1, -3600, 86400)) {
   X509* one = root_.certificate.get();
--- a/src/standins/authority.h
+++ b/src/fakes/authority.h
@@ -6,14 +6,14 @@
 #include <string>
 #include <vector>
 
-#include "access/keys.h"
+#include "auth/keys.h"
 
 struct x509_st;
 
 namespace rookproxy::test {
 
 struct Certificate {
-  access::Pkey key;
+  auth::Pkey key;
   std::shared_ptr<x509_st> certificate;
   std::string pem() const;
   std::string private_key_pem() const;
--- a/src/standins/callers.cpp
+++ b/src/fakes/callers.cpp
@@ -1,4 +1,4 @@
-#include "standins/callers.h"
+#include "fakes/callers.h"
 
 #include <chrono>
 #include <filesystem>
@@ -43,7 +43,7 @@
 }
 
 void CredentialFixture::make_key(const std::string& name, const std::string& algorithm) {
-  keys_[name] = access::generate_key(decide::parse_algorithm(algorithm).value());
+  keys_[name] = auth::generate_key(policy::parse_algorithm(algorithm).value());
 }
 
 void CredentialFixture::publish_keys(const std::vector<std::string>& specs) const {
@@ -54,7 +54,7 @@
     std::getline(parts, name, ':');
     std::getline(parts, from, ':');
     std::getline(parts, to);
-    json jwk = access::to_public_jwk(key(name), name);
+    json jwk = auth::to_public_jwk(key(name), name);
     if (!from.empty() && from != "-") jwk["nbf"] = unix_now() + std::stod(from);
     if (!to.empty() && to != "-") jwk["exp"] = unix_now() + std::stod(to);
     list.push_back(std::move(jwk));
@@ -73,7 +73,7 @@
     if (claims.contains(name) && claims[name].is_string())
       claims[name] = unix_now() + std::stod(claims[name].get<std::string>());
   }
-  return access::sign_token(key(key_name), key_name, claims);
+  return auth::sign_token(key(key_name), key_name, claims);
 }
 
 json CredentialFixture::tls_section(bool frames, const std::string& mysql, const std::string& clients,
--- a/src/standins/callers.h
+++ b/src/fakes/callers.h
@@ -6,8 +6,8 @@
 #include <string>
 #include <vector>
 
-#include "access/sign.h"
-#include "standins/authority.h"
+#include "auth/sign.h"
+#include "fakes/authority.h"
 
 namespace rookproxy::test {
 
@@ -42,7 +42,7 @@
   std::string directory_;
   CertificateAuthority authority_{"Test CA"}, untrusted_authority_{"Test CA"};
   std::map<std::string, Certificate> certificates_;
-  std::map<std::string, access::Pkey> keys_;
+  std::map<std::string, auth::Pkey> keys_;
   nlohmann::json revocations_ = nlohmann::json::object();
 };
 
--- a/src/standins/lines_engine.cpp
+++ b/src/fakes/lines_engine.cpp
@@ -1,4 +1,4 @@
-#include "standins/lines_engine.h"
+#include "fakes/lines_engine.h"
 
 #include <memory>
 
--- a/src/standins/relay.cpp
+++ b/src/fakes/relay.cpp
@@ -1,4 +1,4 @@
-#include "standins/relay.h"
+#include "fakes/relay.h"
 
 #include <sys/epoll.h>
 #include <sys/eventfd.h>
--- a/src/standins/standins.cpp
+++ b/src/fakes/standins.cpp
@@ -1,4 +1,4 @@
-#include "standins/standins.h"
+#include "fakes/standins.h"
 
 #include <poll.h>
 #include <sys/socket.h>
@@ -129,7 +129,7 @@
   std::vector<std::size_t> targets;
   for (const EngineEndpoint& member : members) {
     std::string data;
-    append_big_endian_16(data, member.state == lemonshift::EngineState::kServing ? 0 : 1);
+    append_big_endian_16(data, member.state == routing::EngineState::kServing ? 0 : 1);
     append_big_endian_16(data, 10);
     append_big_endian_16(data, member.address.port);
     const std::string zone = member.zone.empty() ? "z" : member.zone;
--- a/src/standins/standins.h
+++ b/src/fakes/standins.h
@@ -13,10 +13,10 @@
 #include <thread>
 #include <vector>
 
-#include "directory/dns.h"
+#include "discovery/dns.h"
+#include "fakes/tls_peer.h"
 #include "mysql/protocol.h"
 #include "net/fd.h"
-#include "standins/tls_peer.h"
 
 namespace rookproxy::test {
 
--- a/src/standins/tls_peer.cpp
+++ b/src/fakes/tls_peer.cpp
@@ -1,4 +1,4 @@
-#include "standins/tls_peer.h"
+#include "fakes/tls_peer.h"
 
 #include <openssl/err.h>
 #include <openssl/pem.h>
--- a/src/front/frames.cpp
+++ b/src/frontend/frames.cpp
@@ -1,4 +1,4 @@
-#include "front/frames.h"
+#include "frontend/frames.h"
 
 #include <algorithm>
 #include <cmath>
@@ -152,7 +152,7 @@
              std::unique_ptr<tls::ServerChannel> channel)
       : front_(front),
         key_(key),
-        certificate_(front.authenticator_ && channel ? std::make_unique<access::CertificateAuthenticator>(
+        certificate_(front.authenticator_ && channel ? std::make_unique<auth::CertificateAuthenticator>(
                                                            *front.authenticator_, channel.get())
                                                      : nullptr),
         stream_(front.loop_, std::move(fd), *this, false, frames::kMaxFrameLength + 4096,
@@ -236,8 +236,8 @@
   // Who showed a certificate that is not good any more is told to go, whether it asks for something or not.
   void recheck_certificate() {
     if (!certificate_ || !certificate_->is_presented()) return;
-    const decide::Denial denial = certificate_->authenticate(*front_.tls_).denial;
-    if (denial != decide::Denial::kNone) close_for_denial(denial);
+    const policy::Denial denial = certificate_->authenticate(*front_.tls_).denial;
+    if (denial != policy::Denial::kNone) close_for_denial(denial);
   }
   // Nothing more is taken nor written. Only who does not take its answers is closed otherwise (drop).
   void close_gracefully() {
@@ -340,8 +340,8 @@
   }
 
   // Nothing more is taken here, for that reason; once nothing is open the connection ends.
-  void close_for_denial(decide::Denial reason) {
-    if (closing_ || denial_ != decide::Denial::kNone) return;
+  void close_for_denial(policy::Denial reason) {
+    if (closing_ || denial_ != policy::Denial::kNone) return;
     denial_ = reason;
     front_.loop_.cancel(idle_timer_);
     send_go_away();
@@ -353,7 +353,7 @@
       if (open_requests_.empty()) close_gracefully();
       return;
     }
-    if (denial_ != decide::Denial::kNone) {
+    if (denial_ != policy::Denial::kNone) {
       // Once, whatever else it sends: what crosses the word to go away is still refused by name.
       if (!open_requests_.empty() || idle_timer_.second != 0) return;
       idle_timer_ = front_.loop_.run_at(front_.loop_.now() + front_.linger_timeout_,
@@ -441,12 +441,12 @@
     };
     const auto call = field("call"), op = field("op"), ttl_text = field("ttl");
     const auto cls = op ? front_.dispatcher_.find_class(*op) : std::nullopt;
-    if (denial_ != decide::Denial::kNone) {
+    if (denial_ != policy::Denial::kNone) {
       front_.authenticator_->audit_denial(denial_, {}, op.value_or(""), {"frames", call.value_or("")});
       if (cls) front_.dispatcher_.record_rejection(*cls, ResponseStatus::kRejected);
       return respond(frame.stream_id, frames::kRejected,
-                     {{"denied", std::string(decide::reason_code(denial_))}},
-                     decide::reason_message(denial_));
+                     {{"denied", std::string(policy::reason_code(denial_))}},
+                     policy::reason_message(denial_));
     }
     std::string tenant;
     const auto unusable = [&](std::string_view why) {
@@ -477,7 +477,7 @@
     }
     // Where repeats do no harm the field means nothing, and engines expect none.
     const auto dedupe =
-        settings.idempotency == lemonshift::Idempotency::kIdempotent ? std::nullopt : field("dedupe");
+        settings.idempotency == routing::Idempotency::kIdempotent ? std::nullopt : field("dedupe");
     if (dedupe && !is_idempotency_key(*dedupe)) return unusable("field dedupe: not a plain word");
     // Engines know requests by it: under one that is open, another statement would end or answer the wrong
     // one.
@@ -496,7 +496,7 @@
     query->class_name = *op;
     if (dedupe) query->idempotency_key = *dedupe;
     query->statement = body;
-    query->writes = settings.idempotency == lemonshift::Idempotency::kNonIdempotent;
+    query->writes = settings.idempotency == routing::Idempotency::kNonIdempotent;
     arrival.query = std::move(query);
     arrival.class_index = *cls;
     arrival.table_group = sql::table_group(body);
@@ -534,21 +534,21 @@
   // The token goes no further than this.
   void authenticate(SlotKey ticket, IncomingRequest arrival, std::optional<std::string_view> token) {
     if (!token) {
-      access::AuthenticationResult proof;
-      proof.denial = decide::Denial::kNoCredentials;
+      auth::AuthenticationResult proof;
+      proof.denial = policy::Denial::kNoCredentials;
       if (certificate_) proof = certificate_->authenticate(*front_.tls_);
       proof.close_connection =
-          proof.denial != decide::Denial::kNone && certificate_ && certificate_->is_presented();
+          proof.denial != policy::Denial::kNone && certificate_ && certificate_->is_presented();
       return authorize(ticket, std::move(arrival), std::move(proof));
     }
     const std::size_t bytes = arrival.query->bytes();
     if (front_.bytes_in_check_ + bytes > front_.limits_.max_partial_frame_bytes) {
       return authorize(ticket, std::move(arrival),
-                       {decide::Denial::kBusy, nullptr, front_.dispatcher_.overload_retry_after(), false});
+                       {policy::Denial::kBusy, nullptr, front_.dispatcher_.overload_retry_after(), false});
     }
     auto waiting = std::make_shared<IncomingRequest>(std::move(arrival));
     // It is destroyed with its check, which ends with this connection at the latest.
-    const auto done = [this, ticket, waiting](access::AuthenticationResult proof) {
+    const auto done = [this, ticket, waiting](auth::AuthenticationResult proof) {
       front_.finish_check(*front_.pending_requests_.find(ticket));
       // The settings may have changed meanwhile, and a class's place with them.
       const auto cls = front_.dispatcher_.find_class(waiting->query->class_name);
@@ -558,7 +558,7 @@
       waiting->class_index = *cls;
       authorize(ticket, std::move(*waiting), std::move(proof));
     };
-    access::Authenticator::CheckId check = 0;
+    auth::Authenticator::CheckId check = 0;
     const Time until = std::max(front_.loop_.now(), waiting->deadline - kResponseMargin);
     auto proof = front_.authenticator_->check_token(*token, key_, until, done, check);
     if (proof) return authorize(ticket, std::move(*waiting), std::move(*proof));
@@ -568,41 +568,41 @@
     front_.bytes_in_check_ += bytes;
   }
 
-  void authorize(SlotKey ticket, IncomingRequest arrival, access::AuthenticationResult proof) {
-    static const decide::Identity kNobody;
+  void authorize(SlotKey ticket, IncomingRequest arrival, auth::AuthenticationResult proof) {
+    static const policy::Identity kNobody;
     const Query& query = *arrival.query;
-    const access::AuditContext asked{"frames", query.id};
-    decide::Denial denial = proof.denial;
-    if (denial != decide::Denial::kNone) {
+    const auth::AuditContext asked{"frames", query.id};
+    policy::Denial denial = proof.denial;
+    if (denial != policy::Denial::kNone) {
       front_.authenticator_->audit_denial(denial, kNobody, query.class_name, asked);
     } else {
       const bool may_write = front_.dispatcher_.class_settings(arrival.class_index).idempotency ==
-                             lemonshift::Idempotency::kNonIdempotent;
+                             routing::Idempotency::kNonIdempotent;
       // Which engine reads it, and how, is not known here.
       const auto facts = sql::analyze_statement(query.statement, "", sql::Dialect::kAny);
       denial = front_.authenticator_->authorize(proof.credential->identity, query.class_name, may_write,
                                                 facts, asked);
       arrival.tenant = proof.credential->identity.tenant;
     }
-    if (denial == decide::Denial::kNone) return submit(ticket, arrival);
+    if (denial == policy::Denial::kNone) return submit(ticket, arrival);
     const auto known = front_.take_pending_request(ticket);
     front_.dispatcher_.record_rejection(arrival.class_index, ResponseStatus::kRejected, arrival.tenant);
-    frames::Fields fields{{"denied", std::string(decide::reason_code(denial))}};
+    frames::Fields fields{{"denied", std::string(policy::reason_code(denial))}};
     if (proof.retry_after) fields.insert(retry_after_field(*proof.retry_after));
-    respond(known->stream_id, frames::kRejected, fields, decide::reason_message(denial));
+    respond(known->stream_id, frames::kRejected, fields, policy::reason_message(denial));
     if (proof.close_connection) close_for_denial(denial);
   }
 
   FramesFrontend& front_;
   SlotKey key_;
-  std::unique_ptr<access::CertificateAuthenticator> certificate_;  // of a connection in TLS
+  std::unique_ptr<auth::CertificateAuthenticator> certificate_;  // of a connection in TLS
   std::map<std::uint32_t, SlotKey> open_requests_;
   std::size_t bytes_to_skip_ = 0;
   bool closing_ = false;             // nothing more is taken
   bool framing_lost_ = false;        // nor read: where a frame begins is not known any more
   bool close_started_ = false;       // nor written
   bool waiting_for_reader_ = false;  // for the client to take them: until then nothing it asks is taken
-  decide::Denial denial_ = decide::Denial::kNone;
+  policy::Denial denial_ = policy::Denial::kNone;
   std::size_t reserved_bytes_ = 0;  // of the budget for large frames
   bool frame_in_progress_ = false;  // a frame, that is not yet whole
   Time accepted_at_ = front_.loop_.now(), last_bytes_at_ = accepted_at_, last_frame_at_{};
@@ -611,7 +611,7 @@
 };
 
 FramesFrontend::FramesFrontend(EventLoop& loop, Logger& log, Dispatcher& core, FileDescriptor listener,
-                               Limits limits, access::Authenticator* gate,
+                               Limits limits, auth::Authenticator* gate,
                                std::shared_ptr<const tls::ServerContext> tls)
     : loop_(loop),
       log_(log),
--- a/src/front/frames.h
+++ b/src/frontend/frames.h
@@ -9,8 +9,8 @@
 #include <unordered_set>
 #include <vector>
 
-#include "access/certificate.h"
-#include "core/dispatcher.h"
+#include "auth/certificate.h"
+#include "dispatcher/dispatcher.h"
 #include "net/stream.h"
 #include "net/sweep.h"
 
@@ -70,7 +70,7 @@
   // `gate`: identifies callers; without one nobody is told apart. `tls`: for every connection, from its first
   // byte.
   FramesFrontend(EventLoop& loop, Logger& log, Dispatcher& core, FileDescriptor listener, Limits limits,
-                 access::Authenticator* gate = nullptr,
+                 auth::Authenticator* gate = nullptr,
                  std::shared_ptr<const tls::ServerContext> tls = nullptr);
   ~FramesFrontend();
 
@@ -101,8 +101,8 @@
     std::uint32_t stream_id;
     RequestKey request;
     std::string call_id;
-    access::Authenticator::CheckId check = 0;  // its token waits to be checked
-    std::size_t bytes_in_check = 0;            // bytes that are held meanwhile
+    auth::Authenticator::CheckId check = 0;  // its token waits to be checked
+    std::size_t bytes_in_check = 0;          // bytes that are held meanwhile
   };
   void accept(FileDescriptor fd);
   void drop(SlotKey key);
@@ -124,7 +124,7 @@
   Logger& log_;
   Dispatcher& dispatcher_;
   Limits limits_;
-  access::Authenticator* authenticator_;
+  auth::Authenticator* authenticator_;
   std::shared_ptr<const tls::ServerContext> tls_;
   std::unique_ptr<IncrementalScan> certificate_scan_;  // made when it is first needed
   SlotMap<std::unique_ptr<Connection>> connections_;
--- a/src/front/mysql.cpp
+++ b/src/frontend/mysql.cpp
@@ -1,4 +1,4 @@
-#include "front/mysql.h"
+#include "frontend/mysql.h"
 
 #include <algorithm>
 #include <array>
@@ -102,13 +102,13 @@
   // Who showed a certificate that is not good any more is let go, once it waits for nothing.
   void recheck_certificate() {
     if (state_ != State::kReady || !certificate_ || !caller_ ||
-        caller_->identity.credential_kind != decide::CredentialKind::kCertificate) {
+        caller_->identity.credential_kind != policy::CredentialKind::kCertificate) {
       return;
     }
-    const decide::Denial denial = certificate_->authenticate(*front_.tls_).denial;
-    if (denial == decide::Denial::kNone) return;
+    const policy::Denial denial = certificate_->authenticate(*front_.tls_).denial;
+    if (denial == policy::Denial::kNone) return;
     sequence_ = 0;
-    fatal(mysql::kAccessDenied, std::string(decide::reason_message(denial)));
+    fatal(mysql::kAccessDenied, std::string(policy::reason_message(denial)));
   }
 
   std::optional<RequestKey> take_open_request() {
@@ -241,8 +241,8 @@
     }
     if (login_.plugin.empty()) login_.plugin = mysql::kNativePassword;
     if (has_client_certificate()) {
-      const access::AuthenticationResult proof = certificate_->authenticate(*front_.tls_);
-      return proof.denial == decide::Denial::kNone ? complete_login(proof.credential) : reject_login(proof);
+      const auth::AuthenticationResult proof = certificate_->authenticate(*front_.tls_);
+      return proof.denial == policy::Denial::kNone ? complete_login(proof.credential) : reject_login(proof);
     }
     if (expects_token()) {
       // Some clients send it unasked, as they were told to by their own settings.
@@ -262,8 +262,7 @@
       return fatal(mysql::kHandshakeError, "Bad handshake: TLS is not offered here");
     auto channel = std::make_unique<tls::ServerChannel>(front_.tls_);
     if (front_.authenticator_)
-      certificate_ =
-          std::make_unique<access::CertificateAuthenticator>(*front_.authenticator_, channel.get());
+      certificate_ = std::make_unique<auth::CertificateAuthenticator>(*front_.authenticator_, channel.get());
     stream_.install_channel(std::move(channel));
   }
 
@@ -295,10 +294,10 @@
     if (!expected || !mysql::constant_time_equal(*expected, proof) || user == front_.config_.users.end()) {
       return fatal(mysql::kAccessDenied, "Access denied for user '" + login_.user + "'");
     }
-    const access::AuthenticationResult known = front_.authenticator_
-                                                   ? front_.authenticator_->authenticate_user(login_.user)
-                                                   : access::AuthenticationResult();
-    if (known.denial != decide::Denial::kNone) return reject_login(known);
+    const auth::AuthenticationResult known = front_.authenticator_
+                                                 ? front_.authenticator_->authenticate_user(login_.user)
+                                                 : auth::AuthenticationResult();
+    if (known.denial != policy::Denial::kNone) return reject_login(known);
     if (login_.plugin == mysql::kCachingSha2 && !proof.empty()) reply("\x01\x03");
     complete_login(known.credential);
   }
@@ -306,12 +305,12 @@
   // ---- tokens
 
   // Other fronts' connections have the same numbers.
-  access::Authenticator::SourceId source() const { return key_ | std::uint64_t{1} << 63; }
+  auth::Authenticator::SourceId source() const { return key_ | std::uint64_t{1} << 63; }
 
   void check_token(std::string_view token) {
     if (token.ends_with('\0')) token.remove_suffix(1);
     state_ = State::kCheckingToken;
-    const auto done = [this](access::AuthenticationResult proof) {
+    const auto done = [this](auth::AuthenticationResult proof) {
       token_check_ = 0;
       stream_.set_read_paused(false);
       finish_token_check(std::move(proof));
@@ -324,37 +323,37 @@
     stream_.set_read_paused(true);
   }
 
-  void finish_token_check(access::AuthenticationResult proof) {
+  void finish_token_check(auth::AuthenticationResult proof) {
     // Who logs in as somebody is that one, or nobody.
-    if (proof.denial == decide::Denial::kNone && proof.credential->identity.subject != login_.user)
-      proof.denial = decide::Denial::kWrongUser;
-    proof.denial == decide::Denial::kNone ? complete_login(std::move(proof.credential)) : reject_login(proof);
+    if (proof.denial == policy::Denial::kNone && proof.credential->identity.subject != login_.user)
+      proof.denial = policy::Denial::kWrongUser;
+    proof.denial == policy::Denial::kNone ? complete_login(std::move(proof.credential)) : reject_login(proof);
   }
 
-  void reject_login(const access::AuthenticationResult& proof) {
-    decide::Identity identity;
+  void reject_login(const auth::AuthenticationResult& proof) {
+    policy::Identity identity;
     if (proof.credential) identity = proof.credential->identity;
     if (identity.subject.empty()) identity.subject = login_.user;
     front_.authenticator_->audit_denial(proof.denial, identity, "", {"mysql", ""});
-    if (proof.denial == decide::Denial::kBusy) return fatal(mysql::kServerNotAvailable, retry_message(proof));
+    if (proof.denial == policy::Denial::kBusy) return fatal(mysql::kServerNotAvailable, retry_message(proof));
     fatal(mysql::kAccessDenied, "Access denied for user '" + login_.user +
-                                    "': " + std::string(decide::reason_message(proof.denial)));
+                                    "': " + std::string(policy::reason_message(proof.denial)));
   }
 
-  static std::string retry_message(const access::AuthenticationResult& proof) {
+  static std::string retry_message(const auth::AuthenticationResult& proof) {
     const auto pause = std::chrono::ceil<std::chrono::milliseconds>(proof.retry_after.value_or(Duration(0)));
     return "Refused, nothing was run; try again in " + std::to_string(pause.count()) + " ms";
   }
 
-  void complete_login(std::shared_ptr<const decide::VerifiedCredential> caller) {
+  void complete_login(std::shared_ptr<const policy::VerifiedCredential> caller) {
     caller_ = std::move(caller);
     if (front_.authenticator_) {
       caller_revision_ = front_.authenticator_->revision();
-      const decide::Denial denial =
+      const policy::Denial denial =
           front_.authenticator_->authorize_identity(caller_->identity, {"mysql", ""});
-      if (denial != decide::Denial::kNone) {
+      if (denial != policy::Denial::kNone) {
         return fatal(mysql::kAccessDenied, "Access denied for user '" + login_.user +
-                                               "': " + std::string(decide::reason_message(denial)));
+                                               "': " + std::string(policy::reason_message(denial)));
       }
     }
     state_ = State::kReady;
@@ -383,16 +382,16 @@
   // client has been told why not.
   bool revalidate_caller() {
     if (!front_.authenticator_ || caller_revision_ == front_.authenticator_->revision()) return true;
-    const bool by_certificate = caller_->identity.credential_kind == decide::CredentialKind::kCertificate;
-    const access::AuthenticationResult proof = by_certificate ? certificate_->authenticate(*front_.tls_)
-                                                              : front_.authenticator_->revalidate(*caller_);
-    if (proof.denial == decide::Denial::kNone) {
+    const bool by_certificate = caller_->identity.credential_kind == policy::CredentialKind::kCertificate;
+    const auth::AuthenticationResult proof = by_certificate ? certificate_->authenticate(*front_.tls_)
+                                                            : front_.authenticator_->revalidate(*caller_);
+    if (proof.denial == policy::Denial::kNone) {
       caller_ = proof.credential;
       caller_revision_ = front_.authenticator_->revision();
       return true;
     }
     front_.authenticator_->audit_denial(proof.denial, caller_->identity, "", {"mysql", ""});
-    const std::string text = "Access denied: " + std::string(decide::reason_message(proof.denial));
+    const std::string text = "Access denied: " + std::string(policy::reason_message(proof.denial));
     by_certificate ? fatal(mysql::kAccessDenied, text) : error(mysql::kAccessDenied, text);
     return false;
   }
@@ -400,30 +399,30 @@
   bool authorize(Query::Kind kind, const std::string& statement) {
     if (!front_.authenticator_) return true;
     if (!revalidate_caller()) return false;
-    const access::AuditContext asked{"mysql", ""};
-    const decide::Identity& identity = caller_->identity;
+    const auth::AuditContext asked{"mysql", ""};
+    const policy::Identity& identity = caller_->identity;
     if (kind == Query::Kind::kUseSchema) {
-      const decide::Denial denial = front_.authenticator_->authorize_schema(identity, statement, asked);
-      if (denial == decide::Denial::kNone) return true;
-      error(denial == decide::Denial::kSchemaNotAllowed ? mysql::kDatabaseDenied : mysql::kAccessDenied,
+      const policy::Denial denial = front_.authenticator_->authorize_schema(identity, statement, asked);
+      if (denial == policy::Denial::kNone) return true;
+      error(denial == policy::Denial::kSchemaNotAllowed ? mysql::kDatabaseDenied : mysql::kAccessDenied,
             "Access denied for user '" + login_.user + "' to database '" + statement +
-                "': " + std::string(decide::reason_message(denial)));
+                "': " + std::string(policy::reason_message(denial)));
       return false;
     }
     // A prepare tells what its execution would need, so it is judged as that.
     const auto facts = sql::analyze_statement(statement, schema_, sql::Dialect::kMysql);
-    const bool writes = facts.effect == decide::StatementEffect::kWrites;
+    const bool writes = facts.effect == policy::StatementEffect::kWrites;
     const std::string& cls = writes ? front_.config_.load_class : front_.config_.read_class;
-    const decide::Denial denial = front_.authenticator_->authorize(identity, cls, writes, facts, asked);
-    if (denial == decide::Denial::kNone) return true;
+    const policy::Denial denial = front_.authenticator_->authorize(identity, cls, writes, facts, asked);
+    if (denial == policy::Denial::kNone) return true;
     front_.dispatcher_.record_rejection(front_.dispatcher_.find_class(cls).value(), ResponseStatus::kRejected,
                                         identity.tenant);
-    const bool of_caller = denial == decide::Denial::kExpired ||
-                           denial == decide::Denial::kRevocationUnknown ||
-                           denial == decide::Denial::kUnknownTenant || denial == decide::Denial::kNoKnownRole;
+    const bool of_caller = denial == policy::Denial::kExpired ||
+                           denial == policy::Denial::kRevocationUnknown ||
+                           denial == policy::Denial::kUnknownTenant || denial == policy::Denial::kNoKnownRole;
     error(of_caller ? mysql::kAccessDenied : mysql::kCommandDenied,
-          "Command denied to user '" + login_.user + "': " + std::string(decide::reason_message(denial)) +
-              (denial == decide::Denial::kUnresolvedTables ? " (" + facts.unresolved_reason + ")" : ""));
+          "Command denied to user '" + login_.user + "': " + std::string(policy::reason_message(denial)) +
+              (denial == policy::Denial::kUnresolvedTables ? " (" + facts.unresolved_reason + ")" : ""));
     return false;
   }
 
@@ -637,10 +636,10 @@
   std::uint8_t sequence_ = 0;
   mysql::Login login_;
   std::string schema_;
-  std::unique_ptr<access::CertificateAuthenticator> certificate_;  // in TLS
-  std::shared_ptr<const decide::VerifiedCredential> caller_;       // where callers are identified
+  std::unique_ptr<auth::CertificateAuthenticator> certificate_;  // in TLS
+  std::shared_ptr<const policy::VerifiedCredential> caller_;     // where callers are identified
   std::uint64_t caller_revision_ = 0;
-  access::Authenticator::CheckId token_check_ = 0;
+  auth::Authenticator::CheckId token_check_ = 0;
   bool autocommit_ = true;  // as the client asked for; every engine's session has it on
   std::map<std::uint32_t, Statement> statements_;
   std::uint32_t next_statement_ = 1;
@@ -655,7 +654,7 @@
 };
 
 MysqlFrontend::MysqlFrontend(EventLoop& loop, Logger& log, Dispatcher& core, FileDescriptor listener,
-                             const MysqlFrontConfig& config, std::uint64_t seed, access::Authenticator* gate,
+                             const MysqlFrontConfig& config, std::uint64_t seed, auth::Authenticator* gate,
                              std::shared_ptr<const tls::ServerContext> tls, bool only_tls)
     : loop_(loop),
       log_(log),
--- a/src/front/mysql.h
+++ b/src/frontend/mysql.h
@@ -5,9 +5,9 @@
 #include <memory>
 #include <string>
 
-#include "access/certificate.h"
+#include "auth/certificate.h"
 #include "config/config.h"
-#include "core/dispatcher.h"
+#include "dispatcher/dispatcher.h"
 #include "mysql/protocol.h"
 #include "net/stream.h"
 #include "net/sweep.h"
@@ -19,7 +19,7 @@
   // `gate`: identifies callers. `tls`: offered to clients; with `only_tls` those who don't ask for it are
   // turned away.
   MysqlFrontend(EventLoop& loop, Logger& log, Dispatcher& core, FileDescriptor listener,
-                const MysqlFrontConfig& config, std::uint64_t seed, access::Authenticator* gate = nullptr,
+                const MysqlFrontConfig& config, std::uint64_t seed, auth::Authenticator* gate = nullptr,
                 std::shared_ptr<const tls::ServerContext> tls = nullptr, bool only_tls = false);
   ~MysqlFrontend();
 
@@ -66,7 +66,7 @@
   Logger& log_;
   Dispatcher& dispatcher_;
   MysqlFrontConfig config_;
-  access::Authenticator* authenticator_;
+  auth::Authenticator* authenticator_;
   std::shared_ptr<const tls::ServerContext> tls_;
   bool tls_required_;
   std::unique_ptr<IncrementalScan> certificate_scan_;
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -3,8 +3,8 @@
 
 #include <csignal>
 
-#include "access/settings.h"
 #include "app/app.h"
+#include "auth/settings.h"
 #include "net/file_watch.h"
 #include "net/signals.h"
 #include "options/options.h"
@@ -31,7 +31,7 @@
         const Config config = load_config(read_environment(), options.config_file);
         if (options.check_only) {
           if (!config.peers_error.empty()) throw SettingsError(config.peers_error);
-          if (config.access) access::load_auth_files(*config.access);
+          if (config.access) auth::load_auth_files(*config.access);
           if (config.tls) std::cout << tls::describe(*tls::ServerContext::load(config.tls->server)) << "\n";
           if (config.cluster) cluster_settings(config);
           return report_valid_configuration();
--- a/src/decide/access.cpp
+++ b/src/policy/access.cpp
@@ -1,11 +1,11 @@
-#include "decide/access.h"
+#include "policy/access.h"
 
 #include <algorithm>
 #include <array>
 
 #include "base/numbers.h"
 
-namespace rookproxy::decide {
+namespace rookproxy::policy {
 namespace {
 
 struct DenialDescription {
@@ -138,4 +138,4 @@
   return policy.find_tenant(identity.tenant)->owns_schema(schema) ? Denial::kNone : Denial::kSchemaNotAllowed;
 }
 
-}  // namespace rookproxy::decide
+}  // namespace rookproxy::policy
--- a/src/decide/access.h
+++ b/src/policy/access.h
@@ -12,7 +12,7 @@
 
 #include "base/time.h"
 
-namespace rookproxy::decide {
+namespace rookproxy::policy {
 
 // ---- what a statement does (src/sql finds it out)
 
@@ -130,4 +130,4 @@
 Denial authorize_schema(const AccessPolicy& policy, const Identity& identity, std::string_view schema,
                         Time now);
 
-}  // namespace rookproxy::decide
+}  // namespace rookproxy::policy
--- a/src/decide/check_queue.cpp
+++ b/src/policy/check_queue.cpp
@@ -1,10 +1,10 @@
-#include "decide/check_queue.h"
+#include "policy/check_queue.h"
 
 #include <algorithm>
 #include <cmath>
 #include <utility>
 
-namespace rookproxy::decide {
+namespace rookproxy::policy {
 namespace {
 
 void add_to_balance(double& saved, double share, Duration span, Duration burst) {
@@ -176,4 +176,4 @@
   return std::clamp<Duration>(until, std::chrono::milliseconds(50), std::chrono::seconds(5));
 }
 
-}  // namespace rookproxy::decide
+}  // namespace rookproxy::policy
--- a/src/decide/check_queue.h
+++ b/src/policy/check_queue.h
@@ -15,7 +15,7 @@
 
 #include "base/time.h"
 
-namespace rookproxy::decide {
+namespace rookproxy::policy {
 
 class CheckQueue {
  public:
@@ -87,4 +87,4 @@
   std::map<std::pair<Time, CheckId>, SourceId> waiting_by_age_;
 };
 
-}  // namespace rookproxy::decide
+}  // namespace rookproxy::policy
--- a/src/decide/descriptor_shares.cpp
+++ b/src/policy/descriptor_shares.cpp
@@ -1,8 +1,8 @@
-#include "decide/descriptor_shares.h"
+#include "policy/descriptor_shares.h"
 
 #include <algorithm>
 
-namespace rookproxy::decide {
+namespace rookproxy::policy {
 
 DescriptorBudget descriptor_budget(std::size_t limit) {
   DescriptorBudget shares{};
@@ -16,4 +16,4 @@
   return shares;
 }
 
-}  // namespace rookproxy::decide
+}  // namespace rookproxy::policy
--- a/src/decide/descriptor_shares.h
+++ b/src/policy/descriptor_shares.h
@@ -4,7 +4,7 @@
 
 #include <cstddef>
 
-namespace rookproxy::decide {
+namespace rookproxy::policy {
 
 struct DescriptorBudget {
   // Standard streams, epoll and signals; a listener and its reserve for each front and the operators; the
@@ -20,4 +20,4 @@
 // within it.
 DescriptorBudget descriptor_budget(std::size_t limit);
 
-}  // namespace rookproxy::decide
+}  // namespace rookproxy::policy
--- a/src/decide/directory_path.cpp
+++ b/src/policy/directory_path.cpp
@@ -1,9 +1,9 @@
-#include "decide/directory_path.h"
+#include "policy/directory_path.h"
 
 #include <algorithm>
 #include <utility>
 
-namespace rookproxy::decide {
+namespace rookproxy::policy {
 
 DiscoveryPath::Event DiscoveryPath::report_fault(Event news) {
   return std::exchange(reported_fault_, news) == news ? Event::kNone : news;
@@ -36,4 +36,4 @@
 
 DiscoveryPath::Event DiscoveryPath::on_refused() { return report_fault(Event::kConnectionRefused); }
 
-}  // namespace rookproxy::decide
+}  // namespace rookproxy::policy
--- a/src/decide/directory_path.h
+++ b/src/policy/directory_path.h
@@ -9,7 +9,7 @@
 
 #include <cstddef>
 
-namespace rookproxy::decide {
+namespace rookproxy::policy {
 
 class DiscoveryPath {
  public:
@@ -51,4 +51,4 @@
   Event reported_fault_ = Event::kNone;        // the fault an operator knows of; none: all is well
 };
 
-}  // namespace rookproxy::decide
+}  // namespace rookproxy::policy
--- a/src/decide/drains.cpp
+++ b/src/policy/drains.cpp
@@ -1,8 +1,8 @@
-#include "decide/drains.h"
+#include "policy/drains.h"
 
 #include <algorithm>
 
-namespace rookproxy::decide {
+namespace rookproxy::policy {
 namespace {
 // A busy turn of the loop and a timer that fires late.
 constexpr Duration kIterationDelay = std::chrono::milliseconds(30);
@@ -14,4 +14,4 @@
   return told + std::max(Duration(0), grace - margin);
 }
 
-}  // namespace rookproxy::decide
+}  // namespace rookproxy::policy
--- a/src/decide/drains.h
+++ b/src/policy/drains.h
@@ -3,7 +3,7 @@
 
 #include "base/time.h"
 
-namespace rookproxy::decide {
+namespace rookproxy::policy {
 
 // How long after somebody else's word we may take it to have come, and act on it late.
 //
@@ -18,4 +18,4 @@
 // margin means that nothing more is sent.
 Time latest_drain_start(Time told, Duration grace, Duration margin);
 
-}  // namespace rookproxy::decide
+}  // namespace rookproxy::policy
--- a/src/decide/list_order.cpp
+++ b/src/policy/list_order.cpp
@@ -1,8 +1,8 @@
-#include "decide/list_order.h"
+#include "policy/list_order.h"
 
 #include <algorithm>
 
-namespace rookproxy::decide {
+namespace rookproxy::policy {
 namespace {
 // The protocol: whatever the directory has to tell counts as told 7 s later at the latest. What is older than
 // that is no list on its way.
@@ -34,4 +34,4 @@
   return first_unheard ? std::min(now, *first_unheard + pause) : now;
 }
 
-}  // namespace rookproxy::decide
+}  // namespace rookproxy::policy
--- a/src/decide/list_order.h
+++ b/src/policy/list_order.h
@@ -7,7 +7,7 @@
 
 #include "base/time.h"
 
-namespace rookproxy::decide {
+namespace rookproxy::policy {
 
 class EndpointListVersion {
  public:
@@ -35,4 +35,4 @@
 // between two questions, which the margin of a drain covers already (drains.h).
 Time announced_since(std::optional<Time> first_unheard, Duration pause, Time now);
 
-}  // namespace rookproxy::decide
+}  // namespace rookproxy::policy
--- a/src/decide/poll_schedule.cpp
+++ b/src/policy/poll_schedule.cpp
@@ -1,8 +1,8 @@
-#include "decide/poll_schedule.h"
+#include "policy/poll_schedule.h"
 
 #include <algorithm>
 
-namespace rookproxy::decide {
+namespace rookproxy::policy {
 
 namespace {
 constexpr double kJitter = 0.1;
@@ -20,4 +20,4 @@
   return std::chrono::duration_cast<Duration>(interval_ * (1 + kJitter));
 }
 
-}  // namespace rookproxy::decide
+}  // namespace rookproxy::policy
--- a/src/decide/poll_schedule.h
+++ b/src/policy/poll_schedule.h
@@ -5,7 +5,7 @@
 
 #include "base/time.h"
 
-namespace rookproxy::decide {
+namespace rookproxy::policy {
 
 class PollSchedule {
  public:
@@ -22,4 +22,4 @@
   bool is_first_ = true;
 };
 
-}  // namespace rookproxy::decide
+}  // namespace rookproxy::policy
--- a/src/decide/revocation.cpp
+++ b/src/policy/revocation.cpp
@@ -1,6 +1,6 @@
-#include "decide/revocation.h"
+#include "policy/revocation.h"
 
-namespace rookproxy::decide {
+namespace rookproxy::policy {
 
 RevocationStatus revocation_status(const std::optional<CrlTimes>& crl, Time now, Duration grace,
                                    Duration leeway) {
@@ -14,4 +14,4 @@
   return !former || fresh.this_update >= former->this_update;
 }
 
-}  // namespace rookproxy::decide
+}  // namespace rookproxy::policy
--- a/src/decide/revocation.h
+++ b/src/policy/revocation.h
@@ -6,7 +6,7 @@
 
 #include "base/time.h"
 
-namespace rookproxy::decide {
+namespace rookproxy::policy {
 
 struct CrlTimes {
   Time this_update{};
@@ -30,4 +30,4 @@
 // since.
 bool may_replace(const std::optional<CrlTimes>& former, const CrlTimes& fresh);
 
-}  // namespace rookproxy::decide
+}  // namespace rookproxy::policy
--- a/src/decide/sending.cpp
+++ b/src/policy/sending.cpp
@@ -1,6 +1,6 @@
-#include "decide/sending.h"
+#include "policy/sending.h"
 
-namespace rookproxy::decide {
+namespace rookproxy::policy {
 
 AttemptGuard::AttemptGuard(const RetryRule& rule, EngineLocation to, Time deadline, Time engine_until)
     : retry_rule_(rule), location_(to) {
@@ -31,4 +31,4 @@
   return now < latest_start_ ? std::string_view() : limit_reason_;
 }
 
-}  // namespace rookproxy::decide
+}  // namespace rookproxy::policy
--- a/src/decide/sending.h
+++ b/src/policy/sending.h
@@ -10,7 +10,7 @@
 
 #include "base/time.h"
 
-namespace rookproxy::decide {
+namespace rookproxy::policy {
 
 // Where a request that may have run may go once more, from wide to narrow.
 enum class RetryScope { kAnywhere, kZone, kCell, kNowhere };
@@ -57,4 +57,4 @@
   return !may_have_run || rule.scope == RetryScope::kAnywhere;
 }
 
-}  // namespace rookproxy::decide
+}  // namespace rookproxy::policy
--- a/src/decide/shutdown.cpp
+++ b/src/policy/shutdown.cpp
@@ -1,8 +1,8 @@
-#include "decide/shutdown.h"
+#include "policy/shutdown.h"
 
 #include <algorithm>
 
-namespace rookproxy::decide {
+namespace rookproxy::policy {
 namespace {
 
 using std::chrono::milliseconds;
@@ -54,4 +54,4 @@
   return {looks ? Step::kDrainInput : Step::kCloseClients, let_in};
 }
 
-}  // namespace rookproxy::decide
+}  // namespace rookproxy::policy
--- a/src/decide/shutdown.h
+++ b/src/policy/shutdown.h
@@ -30,7 +30,7 @@
 
 #include "base/time.h"
 
-namespace rookproxy::decide {
+namespace rookproxy::policy {
 
 // Since SIGTERM.
 struct ShutdownTimes {
@@ -65,4 +65,4 @@
 // Once kEndClients was carried out, `ending` holds.
 ShutdownAction next_shutdown_step(const ShutdownTimes& times, const ShutdownState& state);
 
-}  // namespace rookproxy::decide
+}  // namespace rookproxy::policy
--- a/src/decide/token.cpp
+++ b/src/policy/token.cpp
@@ -1,9 +1,9 @@
-#include "decide/token.h"
+#include "policy/token.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace rookproxy::decide {
+namespace rookproxy::policy {
 namespace {
 
 // Seconds beyond this (the year 2514) would overflow microseconds sooner or later, and mean nothing.
@@ -109,4 +109,4 @@
   return identity;
 }
 
-}  // namespace rookproxy::decide
+}  // namespace rookproxy::policy
--- a/src/decide/token.h
+++ b/src/policy/token.h
@@ -8,9 +8,9 @@
 #include <string_view>
 #include <vector>
 
-#include "decide/access.h"
+#include "policy/access.h"
 
-namespace rookproxy::decide {
+namespace rookproxy::policy {
 
 // The algorithms that are taken. Each key is for one of them, whatever a token says (RFC 8725, 3.1).
 enum class Algorithm { kEs256, kRs256, kEdDsa };
@@ -79,4 +79,4 @@
 // What a token whose signature verified has proven.
 Identity identity_from_claims(const TokenClaims& claims, const TokenRules& rules, const KeyMetadata& key);
 
-}  // namespace rookproxy::decide
+}  // namespace rookproxy::policy
--- a/src/decide/token_cache.cpp
+++ b/src/policy/token_cache.cpp
@@ -1,11 +1,11 @@
-#include "decide/token_cache.h"
+#include "policy/token_cache.h"
 
 #define XXH_INLINE_ALL  // no library to load for one function
 #include <xxhash.h>
 
 #include <algorithm>
 
-namespace rookproxy::decide {
+namespace rookproxy::policy {
 namespace {
 
 std::size_t entry_bytes(std::string_view token, const VerifiedCredential& proven) {
@@ -97,4 +97,4 @@
   return forgotten;
 }
 
-}  // namespace rookproxy::decide
+}  // namespace rookproxy::policy
--- a/src/decide/token_cache.h
+++ b/src/policy/token_cache.h
@@ -12,9 +12,9 @@
 #include <unordered_map>
 #include <vector>
 
-#include "decide/token.h"
+#include "policy/token.h"
 
-namespace rookproxy::decide {
+namespace rookproxy::policy {
 
 class TokenCache {
  public:
@@ -64,4 +64,4 @@
       invalid_entries_;  // a hash's place is given by it: a newer one takes an older one's
 };
 
-}  // namespace rookproxy::decide
+}  // namespace rookproxy::policy
--- a/src/logic/hash.h
+++ b/src/routing/hash.h
@@ -4,7 +4,7 @@
 #include <cstdint>
 #include <string>
 
-namespace lemonshift {
+namespace rookproxy::routing {
 
 inline std::uint64_t mix(std::uint64_t x) {  // splitmix64
   x += 0x9e3779b97f4a7c15ULL;
@@ -20,4 +20,4 @@
   return mix(hash);
 }
 
-}  // namespace lemonshift
+}  // namespace rookproxy::routing
--- a/src/logic/placement.cpp
+++ b/src/routing/placement.cpp
@@ -1,13 +1,13 @@
 // Decides the homes of groups; see placement.h.
-#include "logic/placement.h"
+#include "routing/placement.h"
 
 #include <algorithm>
 #include <cmath>
 #include <tuple>
 
-#include "logic/hash.h"
+#include "routing/hash.h"
 
-namespace lemonshift {
+namespace rookproxy::routing {
 namespace {
 constexpr double kSpan = 10'000'000;      // of a group's traffic by which it is planned
 constexpr std::size_t kMostGroups = 256;  // planned; the rest, least asked for, have the hash alone
@@ -70,4 +70,4 @@
   return 0;
 }
 
-}  // namespace lemonshift
+}  // namespace rookproxy::routing
--- a/src/logic/placement.h
+++ b/src/routing/placement.h
@@ -13,9 +13,9 @@
 #include <utility>
 #include <vector>
 
-#include "lemonshift/router.h"
+#include "rookproxy/routing/router.h"
 
-namespace lemonshift {
+namespace rookproxy::routing {
 
 constexpr EngineId kNoPreferredEngine = std::numeric_limits<EngineId>::max();
 
@@ -53,4 +53,4 @@
   std::map<std::uint64_t, std::vector<Assignment>> assignments_;
 };
 
-}  // namespace lemonshift
+}  // namespace rookproxy::routing
--- a/src/logic.cpp
+++ b/src/routing/router.cpp
@@ -1,5 +1,4 @@
-// lemonshift: every decision of the workload manager. The types are in include/lemonshift/router.h.
-// The design is the embed routing of "On Smart Query Routing" (3.4.2), see docs/design.md.
+// Every decision of the routing module, by the embed routing of "On Smart Query Routing" (section 3.4.2).
 #include <algorithm>
 #include <cmath>
 #include <deque>
@@ -8,18 +7,18 @@
 #include <numeric>
 #include <utility>
 
-#include "lemonshift/router.h"
-#include "logic/hash.h"
-#include "logic/placement.h"
-#include "logic/settings_check.h"
-#include "logic/state.h"
+#include "rookproxy/routing/router.h"
+#include "routing/hash.h"
+#include "routing/placement.h"
+#include "routing/settings_check.h"
+#include "routing/state.h"
 
-namespace lemonshift {
+namespace rookproxy::routing {
 namespace {
 
 using namespace state;
+using enum Idempotency;
 
-// ---- the mechanism ----
 constexpr double kSmoothing = 0.5;     // the paper's alpha: how much of an engine's mean a send keeps
 constexpr double kLoadFactor = 20;     // queries, all gateways', that weigh as much as one unit of distance
 constexpr double kOwnPart = 0.4;       // of n gateways, what we saw of a mean counts n to the minus this
@@ -48,7 +47,6 @@
 constexpr Time kReportFresh = 300'000, kLookFor = 15'000;    // a query waits so long for probes
 constexpr double kLookBelow = 1, kLookPrice = 0.02;  // no probe beyond: own queries at an engine, price
 constexpr std::size_t kLookAt = 2, kLookPaging = 3;  // engines asked for a query; where engines page
-// ---- guards ----
 constexpr double kColdMargin = 0.5;  // of our part of a cold engine's allowance: estimates may be at half
 constexpr double kColdShares = 2, kColdMost = 1.2;  // a part of fewer queries is dealt out in turns, ...
 constexpr double kColdUntold = 3;       // times its mean that one may take whose work nothing tells
@@ -59,7 +57,6 @@
 constexpr Time kStalled = 150'000;  // a timer of ours this late: we stood still, not the engines
 constexpr Time kDownPause = 400'000, kDownPauseMost = 3'000'000;  // after failed connections, doubling
 constexpr Time kAskPause = 300'000;                               // before a refused list call is made again
-// ---- estimates ----
 constexpr double kLearn = 0.05;                      // weight of one answer in a class's running means
 constexpr double kMeanOwn = 0.1;                     // weight of one look in the mean of our load per engine
 constexpr double kPaceLearn = 0.1, kPaceMost = 0.3;  // weight of one answer in an engine's pace: more ...
@@ -69,13 +66,12 @@
 constexpr double kShareSpan = 10'000'000;  // of arrivals by which our part of the traffic is told
 constexpr double kUneven = 2;              // times the even part: less may be an overload or chance
 constexpr double kQuotaSpan = 5;           // seconds of its share that a tenant may save up
-// ---- bad plans, silence, suspicion ----
-constexpr double kBadPlan = 6;           // an attempt this many times slower than its class's is a bad plan
-constexpr double kPaceStep = 0.03;       // step of the running median of a class's pace
-constexpr Time kBadPlanAfter = 350'000;  // progress before this says too little
-constexpr Time kHeldFor = 1'000'000;     // a load seen to hold a group is reckoned with for this long
-constexpr double kSilentNotes = 2.5;     // note intervals without a word: the attempt is taken for lost
-constexpr double kLostFrom = 0.03;       // share of lost attempts from which overdue ones aren't waited for:
+constexpr double kBadPlan = 6;             // an attempt this many times slower than its class's is a bad plan
+constexpr double kPaceStep = 0.03;         // step of the running median of a class's pace
+constexpr Time kBadPlanAfter = 350'000;    // progress before this says too little
+constexpr Time kHeldFor = 1'000'000;       // a load seen to hold a group is reckoned with for this long
+constexpr double kSilentNotes = 2.5;       // note intervals without a word: the attempt is taken for lost
+constexpr double kLostFrom = 0.03;  // share of lost attempts from which overdue ones aren't waited for:
 constexpr double kOverdue = 2.5, kOverdueAdd = 50'000;  // times the usual latency, plus this
 constexpr double kSlowFrom = 1.8, kSlowScore = 0.5;  // times slower than the median: score for each further
 constexpr double kDownScore = 100, kColdScore = 50;  // of one that does not answer; that may not be sent this
@@ -168,8 +164,6 @@
   }
 
  private:
-  // ---- affinity: the paper's load-balanced distance -------------------------------------------------------
-
   Request* request(RequestId id) {
     const auto found = requests_.find(id);
     return found == requests_.end() ? nullptr : &found->second;
@@ -222,10 +216,9 @@
            std::exp2(-static_cast<double>(now_ - e.reported_at) / (kReportHalf * e.over));
   }
 
-  // An engine that a fresh report shows with room, and that turns a query away as full: reports are old, and
-  // draw every gateway to the engine that looked idle seconds ago. All are trusted less for a while, and then
-  // again by themselves. Should also catch reports that are wrong. Could harm where engines cap their
-  // sessions far below what they can run: then we spread by our own sends, as without reports.
+  // An engine that rejects a query as full although a fresh report shows room proves that reports are stale:
+  // every instance is drawn to the engine that looked idle seconds ago. All reports are trusted less for a
+  // while. Engines that cap their sessions far below their capacity are then balanced without reports.
   double faith() const {
     if (doubt_ == 0) return 1;  // asked for each engine of each query
     return 1 - doubt_ * std::exp2(-static_cast<double>(now_ - doubted_at_) / kDoubtHalf);
@@ -248,9 +241,8 @@
       const double most = std::min(1.0, share);  // beyond 1: so many times the memory there is
       held = e.cores * std::max(most + 0.1 * most / (1.05 - most), 3 * share * (share > 1)) / mean_threads_;
     }
-    e.over = s_.memory_pressure == MemoryPressure::kPage
-                 ? std::max(1.0, report->memory_utilization.value_or(1))
-                 : 1;
+    const bool pages = s_.memory_pressure == MemoryPressure::kPage;
+    e.over = pages ? std::max(1.0, report->memory_utilization.value_or(1)) : 1;
     if (e.over > 1 && !stalled_) move_sum(open_ * kSumLine);
     e.reported = held + std::max(0.0, report->queries_waiting_for_memory.value_or(0));
     e.reported_at = now_;
@@ -270,8 +262,7 @@
     if (e.told.zone != s_.zone) sum += kPrice * s_.cross_zone_cost;
     if (down(e)) {
       // Shut engines are tried with one safe query at a time, or they would never be known to be well again.
-      sum += has_room(e, 0) && e.queue.empty() && c.idempotency == Idempotency::kIdempotent ? -kDownScore
-                                                                                            : kDownScore;
+      sum += has_room(e, 0) && e.queue.empty() && c.idempotency == kIdempotent ? -kDownScore : kDownScore;
     }
     const double slow = slowness(e);
     if (slow > kSlowFrom) sum += kSlowScore * (slow - 1);
@@ -320,8 +311,6 @@
     return r.look_until > 0;
   }
 
-  // ---- the gate: every send passes here -------------------------------------------------------------------
-
   bool allowed(const Engine& e, const Request& r) const {  // drain, placement, effect
     if (!serves(e)) return false;
     const auto& c = cls(r);
@@ -330,12 +319,11 @@
     };
     if (!among(c.allowed_zones, e.told.zone) || !among(c.allowed_machine_types, e.told.machine_type))
       return false;
-    if (c.idempotency == Idempotency::kIdempotent) return true;
+    if (c.idempotency == kIdempotent) return true;
     const auto scope = c.idempotency_scope.value_or(IdempotencyScope::kCell);
     return std::none_of(r.attempts.begin(), r.attempts.end(), [&](const Attempt& a) {
       if (!a.may_have_run) return false;
-      if (c.idempotency == Idempotency::kNonIdempotent || !c.idempotency_window ||
-          now_ - a.sent >= *c.idempotency_window)
+      if (c.idempotency == kNonIdempotent || !c.idempotency_window || now_ - a.sent >= *c.idempotency_window)
         return true;
       return (scope == IdempotencyScope::kZone && a.zone != e.told.zone) ||
              (scope == IdempotencyScope::kCell && a.cell != e.told.cell);
@@ -394,10 +382,9 @@
     if (!a.cold) threads_[a.level] += by * cls(r).threads;
   }
 
-  // Priority: short work of a high worth first; it is out again before the heavy notices. While answers are
-  // late, what earns most for its work instead, against the present mix: by class, a crowd of light queries
-  // took every engine from all reports, the small ones too. Should also guard where a class turns heavy or
-  // worthless. Could harm where estimates say nothing of the work.
+  // Priority: short work of a high weight first, as it finishes before heavy work is slowed. While responses
+  // are late, weight per unit of work against the present mix decides instead: by class alone, many light
+  // queries took every engine from the reports. It misjudges where estimates say nothing of the work.
   int level(const Request& r) const {
     if (!s_.priorities_supported) return 0;
     if (open_ >= 1) return cls(r).is_load ? 2 : cls(r).threads == 1 ? 3 : 1;
@@ -412,9 +399,8 @@
   void finish(Request& r, bool refused) {
     if (r.over) return;
     const auto& c = cls(r);
-    const bool harmless =
-        c.idempotency == Idempotency::kIdempotent || !has_run(r) ||
-        (c.idempotency == Idempotency::kKeyed && c.idempotency_scope == IdempotencyScope::kAll);
+    const bool harmless = c.idempotency == kIdempotent || !has_run(r) ||
+                          (c.idempotency == kKeyed && c.idempotency_scope == IdempotencyScope::kAll);
     actions_->push_back(refused && harmless ? Action(Reject{r.id, s_.max_retry_after}) : Action(Fail{r.id}));
     close(r);
   }
@@ -425,8 +411,7 @@
     // Nobody waits for what is still out, also when the client left by itself: it only slows others. An
     // unsafe one is let run to its end, since half an effect may be worse than a whole one.
     for (std::size_t i = 0; i < r.attempts.size(); ++i) {
-      if (r.attempts[i].out && cls(r).idempotency != Idempotency::kNonIdempotent)
-        cancel(r, static_cast<std::uint32_t>(i));
+      if (r.attempts[i].out && cls(r).idempotency != kNonIdempotent) cancel(r, static_cast<std::uint32_t>(i));
     }
     unqueue(r);
     settle_key(r);
@@ -445,8 +430,6 @@
     k.line.erase(std::remove(k.line.begin(), k.line.end(), &r), k.line.end());
   }
 
-  // ---- cold engines: what the fleet may push at one that has just started ---------------------------------
-
   bool is_cold(const Engine& e) const {
     return s_.slow_start && e.cold_since > 0 && now_ - e.cold_since < s_.slow_start->warm_up_period;
   }
@@ -474,23 +457,20 @@
       for (const auto& [at, weight] : e.cold_sent) sum += weight;
       return sum <= cold_budget(e);
     }
-    const double span = static_cast<double>(s_.slow_start->overload_window),
-                 capacity = kCapacityBusy * e.cores;
-    const double most = s_.slow_start->overload_factor * s_.slow_start->initial_share * capacity *
-                        span;  // may stay as it began
+    const double span = static_cast<double>(s_.slow_start->overload_window);
+    const double factor = s_.slow_start->overload_factor, initial = s_.slow_start->initial_share;
+    const double capacity = kCapacityBusy * e.cores;
+    const double most = factor * initial * capacity * span;  // may stay as it began
     if (!e.cold_sent.empty() || work > kColdPiece * most) return false;
-    const double use =
-        std::min(kColdTurns * s_.slow_start->overload_factor, kColdMost) * capacity / classes_.size();
+    const double use = std::min(kColdTurns * factor, kColdMost) * capacity / classes_.size();
     const double age = static_cast<double>(now_ - e.cold_since);  // over it, the mean of the share so far:
-    const double dealt = use * age * (2 * s_.slow_start->initial_share + capacity_share(e)) / 3;
+    const double dealt = use * age * (2 * initial + capacity_share(e)) / 3;
     const double all_turns = mean * s_.instance_count;  // work dealt until each has had one
     const double ours = (s_.instance_index + 0.5) / s_.instance_count + unit(mix(e.hash ^ r.cls));
     const double turn = dealt / all_turns - (ours - std::floor(ours));
     return turn >= 0 && (turn - std::floor(turn)) * all_turns <= use * capacity_share(e) * span;
   }
 
-  // ---- queues, windows, stealing, shedding ----------------------------------------------------------------
-
   double run_time(const Request& r) const { return r.work / cls(r).threads; }
 
   Time latest_start(const Request& r) const { return r.aim_at - static_cast<Time>(run_time(r) * 1.2); }
@@ -641,8 +621,6 @@
     return now_ + static_cast<Time>(std::max(1.0, classes_[r.cls].stretch) * run_time(r)) <= r.give_up_at;
   }
 
-  // ---- health ---------------------------------------------------------------------------------------------
-
   // Answers with an error are as good as none: an engine that fails at once would else look idle and draw
   // all. Where most look sick the fault is ours or everyone's: shutting them all would only add to it.
   bool down(const Engine& e) const { return e.failures > 0 || (e.bad > kBadFrom && !most_bad_); }
@@ -727,8 +705,6 @@
     }
   }
 
-  // ---- events ---------------------------------------------------------------------------------------------
-
   void on(const EngineList& list) {
     if (list.kind == EngineListKind::kRejected)
       return actions_->push_back(SetTimer{now_ + kAskPause, kAskToken});
@@ -903,7 +879,7 @@
 
   bool can_go_on(const Request& r) const {  // a spent budget only holds it back for a while
     if (r.attempts.size() >= most_attempts(r) || !time_left(r) || at_fault(r)) return false;
-    return cls(r).idempotency == Idempotency::kIdempotent || !has_run(r) ||
+    return cls(r).idempotency == kIdempotent || !has_run(r) ||
            std::any_of(engines_.begin(), engines_.end(), [&](auto& one) { return allowed(one.second, r); });
   }
 
@@ -1046,8 +1022,7 @@
   }
 
   void cancel_for_another(Request& r, std::uint32_t attempt) {
-    if (cls(r).idempotency == Idempotency::kIdempotent && attempt_allowed(r, 0) && time_left(r))
-      cancel(r, attempt);
+    if (cls(r).idempotency == kIdempotent && attempt_allowed(r, 0) && time_left(r)) cancel(r, attempt);
   }
 
   void on(const ProbeEnded& probe) {
@@ -1102,4 +1077,4 @@
 
 std::size_t Router::avoided_engines(Time now) const { return impl_->avoided(now); }
 
-}  // namespace lemonshift
+}  // namespace rookproxy::routing
--- a/src/logic/settings_check.cpp
+++ b/src/routing/settings_check.cpp
@@ -1,8 +1,8 @@
-#include "logic/settings_check.h"
+#include "routing/settings_check.h"
 
 #include <string>
 
-namespace lemonshift {
+namespace rookproxy::routing {
 
 Settings validated(Settings s) {
   const auto refuse = [](const char* name) { throw InvalidSettings(std::string("setting ") + name); };
@@ -24,4 +24,4 @@
   return s;
 }
 
-}  // namespace lemonshift
+}  // namespace rookproxy::routing
--- a/src/logic/settings_check.h
+++ b/src/routing/settings_check.h
@@ -1,10 +1,10 @@
 // Settings that contradict themselves are turned down by name. No decision.
 #pragma once
 
-#include "lemonshift/router.h"
+#include "rookproxy/routing/router.h"
 
-namespace lemonshift {
+namespace rookproxy::routing {
 
 Settings validated(Settings s);  // throws BadSettings, naming the setting
 
-}  // namespace lemonshift
+}  // namespace rookproxy::routing
--- a/src/logic/state.h
+++ b/src/routing/state.h
@@ -9,9 +9,9 @@
 #include <utility>
 #include <vector>
 
-#include "lemonshift/router.h"
+#include "rookproxy/routing/router.h"
 
-namespace lemonshift::state {
+namespace rookproxy::routing::state {
 
 constexpr Time kNever = std::numeric_limits<Time>::max();
 
@@ -112,4 +112,4 @@
   Time rest_until = 0;
 };
 
-}  // namespace lemonshift::state
+}  // namespace rookproxy::routing::state
--- a/src/wire.cpp
+++ b/src/simulator/adapter.cpp
@@ -1,4 +1,4 @@
-#include "wire.h"
+#include "simulator/adapter.h"
 
 #include <algorithm>
 #include <charconv>
@@ -7,7 +7,7 @@
 #include <optional>
 #include <ostream>
 
-namespace lemonshift::wire {
+namespace rookproxy::simulator {
 namespace {
 
 // How the wire packs an answer's bill: milliseconds of work times this, plus memory in units of 4 MB.
@@ -689,21 +689,21 @@
     try {
       if (!host.handle_line(line, reply)) continue;
     } catch (const std::exception& fault) {
-      err << "lemonshift: line " << at << ": " << fault.what() << std::endl;
+      err << "rookproxy-simulator-adapter: line " << at << ": " << fault.what() << std::endl;
       return 1;
     }
     out << reply << std::flush;
     reply.clear();
     if (!out) {
-      err << "lemonshift: line " << at << ": the reply could not be written" << std::endl;
+      err << "rookproxy-simulator-adapter: line " << at << ": the reply could not be written" << std::endl;
       return 1;
     }
   }
   if (host.is_inside_batch()) {
-    err << "lemonshift: end of input inside a batch" << std::endl;
+    err << "rookproxy-simulator-adapter: end of input inside a batch" << std::endl;
     return 1;
   }
   return 0;
 }
 
-}  // namespace lemonshift::wire
+}  // namespace rookproxy::simulator
--- a/src/wire.h
+++ b/src/simulator/adapter.h
@@ -11,9 +11,48 @@
 #include <unordered_map>
 #include <vector>
 
-#include "lemonshift/router.h"
+#include "rookproxy/routing/router.h"
 
-namespace lemonshift::wire {
+namespace rookproxy::simulator {
+
+using routing::Action;
+using routing::AttemptEnded;
+using routing::AttemptUpdate;
+using routing::AttemptUpdateKind;
+using routing::Cancel;
+using routing::ClassSettings;
+using routing::ClientDisconnected;
+using routing::EngineEntry;
+using routing::EngineId;
+using routing::EngineList;
+using routing::EngineListKind;
+using routing::EngineListMode;
+using routing::EngineState;
+using routing::Event;
+using routing::Fail;
+using routing::Idempotency;
+using routing::IdempotencyScope;
+using routing::LoadReport;
+using routing::Log;
+using routing::MachineTypeSettings;
+using routing::MemoryPressure;
+using routing::Outcome;
+using routing::Probe;
+using routing::ProbeEnded;
+using routing::Reject;
+using routing::RequestArrived;
+using routing::RequestId;
+using routing::ResponseStarted;
+using routing::RetryBudget;
+using routing::Router;
+using routing::Send;
+using routing::SetExecutionOptions;
+using routing::SetTimer;
+using routing::Settings;
+using routing::SlowStart;
+using routing::SubscribeEngineList;
+using routing::Time;
+using routing::TimerFired;
 
 struct FormatError : std::runtime_error {
   using std::runtime_error::runtime_error;
@@ -53,4 +92,4 @@
 // Runs the protocol between the streams; returns the process's exit code.
 int serve(std::istream& in, std::ostream& out, std::ostream& err);
 
-}  // namespace lemonshift::wire
+}  // namespace rookproxy::simulator
--- a/src/sql/tables.cpp
+++ b/src/sql/tables.cpp
@@ -9,8 +9,8 @@
 namespace rookproxy::sql {
 namespace {
 
-using decide::StatementAnalysis;
-using decide::StatementEffect;
+using policy::StatementAnalysis;
+using policy::StatementEffect;
 using Kind = Token::Kind;
 
 // Deeper than any client's statement; a bound on our own stack.
--- a/src/sql/tables.h
+++ b/src/sql/tables.h
@@ -4,7 +4,7 @@
 
 #include <string_view>
 
-#include "decide/access.h"
+#include "policy/access.h"
 
 namespace rookproxy::sql {
 
@@ -13,7 +13,7 @@
   kAny     // the engine is not known: what dialects read differently is unknown
 };
 // `schema` is the session's default, for tables that carry no schema's name.
-decide::StatementAnalysis analyze_statement(std::string_view statement, std::string_view schema,
+policy::StatementAnalysis analyze_statement(std::string_view statement, std::string_view schema,
                                             Dialect dialect);
 
 }  // namespace rookproxy::sql
--- a/src/tls/context.cpp
+++ b/src/tls/context.cpp
@@ -14,7 +14,7 @@
 namespace rookproxy::tls {
 namespace {
 
-using decide::Denial;
+using policy::Denial;
 
 template <class T, void (*free_it)(T*)>
 struct OpenSslDeleter {
@@ -100,11 +100,11 @@
       X509_STORE_get_ex_data(X509_STORE_CTX_get0_store(context), settings_index()));
   const X509_CRL* crl = X509_STORE_CTX_get0_current_crl(context);
   if (!settings || !crl) return 0;
-  const decide::CrlTimes times{to_time(X509_CRL_get0_lastUpdate(crl)).value_or(Time()),
+  const policy::CrlTimes times{to_time(X509_CRL_get0_lastUpdate(crl)).value_or(Time()),
                                to_time(X509_CRL_get0_nextUpdate(crl))};
   const auto standing =
-      decide::revocation_status(times, system_now(), settings->crl_grace_period, settings->clock_leeway);
-  if (decide::fails_closed(standing)) return 0;
+      policy::revocation_status(times, system_now(), settings->crl_grace_period, settings->clock_leeway);
+  if (policy::fails_closed(standing)) return 0;
   X509_STORE_CTX_set_error(context, X509_V_OK);
   return 1;
 }
@@ -218,7 +218,7 @@
     const CrlPtr crl(read);
     const auto made = to_time(X509_CRL_get0_lastUpdate(read));
     if (!made) reject_file(settings_.crl, "its times can't be read");
-    const decide::CrlTimes times{*made, to_time(X509_CRL_get0_nextUpdate(read))};
+    const policy::CrlTimes times{*made, to_time(X509_CRL_get0_nextUpdate(read))};
     // Of several, what is known is known as long as by the one that ends first.
     if (!crl_ || (times.next_update && (!crl_->next_update || *times.next_update < *crl_->next_update)))
       crl_ = times;
@@ -229,10 +229,10 @@
   if (end != 0 && ERR_GET_REASON(end) != PEM_R_NO_START_LINE)
     reject_file(settings_.crl, "a list in it can't be read");
   if (!crl_) reject_file(settings_.crl, "holds no list of revoked certificates (X509 CRL) in PEM");
-  if (former && !decide::may_replace(former->crl_, *crl_))
+  if (former && !policy::may_replace(former->crl_, *crl_))
     reject_file(settings_.crl, "is older than the list that is in force");
-  if (decide::revocation_status(crl_, system_now(), settings_.crl_grace_period, settings_.clock_leeway) ==
-      decide::RevocationStatus::kNotYetValid) {
+  if (policy::revocation_status(crl_, system_now(), settings_.crl_grace_period, settings_.clock_leeway) ==
+      policy::RevocationStatus::kNotYetValid) {
     reject_file(settings_.crl, "is good only from " + date_text(crl_->this_update) + " on");
   }
   X509_STORE_set_flags(store_.get(), X509_V_FLAG_CRL_CHECK | X509_V_FLAG_CRL_CHECK_ALL);
@@ -272,7 +272,7 @@
   return made;
 }
 
-decide::Denial ServerContext::verify_chain(x509_st* certificate,
+policy::Denial ServerContext::verify_chain(x509_st* certificate,
                                            const std::vector<std::shared_ptr<x509_st>>& chain) const {
   const StoreContextPtr context(X509_STORE_CTX_new());
   STACK_OF(X509)* others = sk_X509_new_null();
@@ -387,10 +387,10 @@
 
 bool ServerChannel::is_handshake_complete() const { return SSL_is_init_finished(ssl_.get()) == 1; }
 
-std::optional<decide::CertificateInfo> ServerChannel::peer_certificate() const {
+std::optional<policy::CertificateInfo> ServerChannel::peer_certificate() const {
   X509* certificate = SSL_get0_peer_certificate(ssl_.get());
   if (!certificate || SSL_get_verify_result(ssl_.get()) != X509_V_OK) return std::nullopt;
-  decide::CertificateInfo facts;
+  policy::CertificateInfo facts;
   facts.subject = name_text(X509_get_subject_name(certificate));
   facts.not_after = to_time(X509_get0_notAfter(certificate)).value_or(Time());
   if (BIGNUM* number = ASN1_INTEGER_to_BN(X509_get0_serialNumber(certificate), nullptr)) {
@@ -409,7 +409,7 @@
   return facts;
 }
 
-decide::Denial ServerChannel::verify_peer(const ServerContext& context) const {
+policy::Denial ServerChannel::verify_peer(const ServerContext& context) const {
   X509* certificate = SSL_get0_peer_certificate(ssl_.get());
   if (!certificate) return Denial::kNoCredentials;
   std::vector<std::shared_ptr<X509>> chain;
--- a/src/tls/context.h
+++ b/src/tls/context.h
@@ -13,9 +13,9 @@
 #include <vector>
 
 #include "base/errors.h"
-#include "decide/access.h"
-#include "decide/revocation.h"
 #include "net/channel.h"
+#include "policy/access.h"
+#include "policy/revocation.h"
 
 struct ssl_ctx_st;
 struct ssl_st;
@@ -46,7 +46,7 @@
   static std::shared_ptr<const ServerContext> load(const ServerSettings& settings,
                                                    const ServerContext* former = nullptr);
   // Is the chain good at this time, by this context's CA and list? As when it was shown, but anew.
-  decide::Denial verify_chain(x509_st* certificate, const std::vector<std::shared_ptr<x509_st>>& chain) const;
+  policy::Denial verify_chain(x509_st* certificate, const std::vector<std::shared_ptr<x509_st>>& chain) const;
   // Until when whether a certificate was revoked is known: the list's end and its grace. None: there is no
   // list.
   std::optional<Time> revocation_known_until() const;
@@ -61,7 +61,7 @@
   ServerSettings settings_;
   std::shared_ptr<ssl_ctx_st> context_;
   std::shared_ptr<x509_store_st> store_;
-  std::optional<decide::CrlTimes> crl_;
+  std::optional<policy::CrlTimes> crl_;
   Time expires_at_{};
 };
 
@@ -75,9 +75,9 @@
   bool is_handshake_complete() const override;
   std::string end_reason() const override { return end_reason_; }
   // The client's certificate, once is_ready(); nothing if it showed none.
-  std::optional<decide::CertificateInfo> peer_certificate() const;
+  std::optional<policy::CertificateInfo> peer_certificate() const;
   // Is it good by that context, now? It may be another than it was shown to.
-  decide::Denial verify_peer(const ServerContext& context) const;
+  policy::Denial verify_peer(const ServerContext& context) const;
 
  private:
   bool set_failure(const char* doing);
--- a/src/link/lines.cpp
+++ b/src/upstream/lines.cpp
@@ -1,4 +1,4 @@
-#include "link/lines.h"
+#include "upstream/lines.h"
 
 #include <algorithm>
 #include <cmath>
@@ -8,7 +8,7 @@
 namespace rookproxy {
 namespace {
 
-using lemonshift::AttemptUpdateKind;
+using routing::AttemptUpdateKind;
 
 constexpr std::size_t kMaxLineLength = 4096, kMaxBodyLength = 64 * 1024;
 constexpr std::size_t kMaxPages = 64;
--- a/src/link/lines.h
+++ b/src/upstream/lines.h
@@ -9,7 +9,7 @@
 #include <string_view>
 #include <vector>
 
-#include "link/pool.h"
+#include "upstream/pool.h"
 
 namespace rookproxy {
 
--- a/src/link/mysql.cpp
+++ b/src/upstream/mysql.cpp
@@ -1,4 +1,4 @@
-#include "link/mysql.h"
+#include "upstream/mysql.h"
 
 #include <algorithm>
 
--- a/src/link/mysql.h
+++ b/src/upstream/mysql.h
@@ -5,8 +5,8 @@
 #include <optional>
 #include <string>
 
-#include "link/pool.h"
 #include "mysql/protocol.h"
+#include "upstream/pool.h"
 
 namespace rookproxy {
 
--- a/src/link/pool.cpp
+++ b/src/upstream/pool.cpp
@@ -1,4 +1,4 @@
-#include "link/pool.h"
+#include "upstream/pool.h"
 
 #include <algorithm>
 #include <cerrno>
@@ -80,8 +80,7 @@
   pool_.events_.on_attempt_ended(attempt, std::move(end));
 }
 
-void EngineConnection::report_progress(AttemptKey attempt, lemonshift::AttemptUpdateKind kind,
-                                       double amount) {
+void EngineConnection::report_progress(AttemptKey attempt, routing::AttemptUpdateKind kind, double amount) {
   pool_.events_.on_attempt_note(attempt, kind, amount);
 }
 
--- a/src/link/pool.h
+++ b/src/upstream/pool.h
@@ -9,8 +9,8 @@
 #include <unordered_set>
 #include <vector>
 
-#include "core/figures.h"
-#include "core/interfaces.h"
+#include "dispatcher/figures.h"
+#include "dispatcher/interfaces.h"
 #include "log/log.h"
 #include "net/stream.h"
 
@@ -60,7 +60,7 @@
  protected:
   friend class ConnectionPool;
   void remember_request_id(const AttemptRequest& order);
-  void report_progress(AttemptKey attempt, lemonshift::AttemptUpdateKind kind, double amount);
+  void report_progress(AttemptKey attempt, routing::AttemptUpdateKind kind, double amount);
   void complete_probe(Outcome outcome, std::optional<LoadReport> report);
   void fail_connection(std::string_view why);
   // No byte of it has left: it goes over another connection, or provably never ran.
--- a/tests/dispatch/agent.cpp
+++ b/tests/agent/agent_test.cpp
@@ -11,7 +11,7 @@
 #include <sstream>
 
 #include "config/agent_config.h"
-#include "standins/standins.h"
+#include "fakes/standins.h"
 
 using namespace rookproxy;
 using namespace std::chrono_literals;
--- a/tests/dispatch/access_decisions.cpp
+++ b/tests/auth/authorization_test.cpp
@@ -1,23 +1,23 @@
 // Who is calling: the decisions, without sockets.
 #include <catch2/catch.hpp>
 
-#include "decide/access.h"
-#include "decide/check_queue.h"
-#include "decide/revocation.h"
-#include "decide/token.h"
-#include "decide/token_cache.h"
+#include "policy/access.h"
+#include "policy/check_queue.h"
+#include "policy/revocation.h"
+#include "policy/token.h"
+#include "policy/token_cache.h"
 #include "sql/tables.h"
 
 namespace rookproxy {
 namespace {
 
-using namespace decide;
+using namespace policy;
 using namespace std::chrono_literals;
 using sql::Dialect;
 
 const Time kNow{std::chrono::hours(500'000)};
 
-AccessPolicy policy() {
+AccessPolicy example_policy() {
   AccessPolicy policy;
   policy.roles = {
       {"student", {"lookup"}, false}, {"teacher", {"lookup", "report"}, false}, {"officer", {"*"}, true}};
@@ -39,7 +39,7 @@
 Denial asks(const Identity& identity, const std::string& cls, const std::string& statement,
             const std::string& schema = "") {
   const auto facts = sql::analyze_statement(statement, schema, Dialect::kMysql);
-  return authorize(policy(), identity, {cls, cls == "load", &facts}, kNow);
+  return authorize(example_policy(), identity, {cls, cls == "load", &facts}, kNow);
 }
 
 }  // namespace
@@ -90,7 +90,7 @@
 }
 
 TEST_CASE("access: groups bound what a pattern stands for") {
-  const Tenant tenant = policy().tenants[0];
+  const Tenant tenant = example_policy().tenants[0];
   CHECK(tenant.owns_schema("marks_1"));
   CHECK(tenant.owns_schema("marks_40"));
   CHECK(tenant.owns_schema("marks_a_77"));
--- a/tests/dispatch/mutations.cpp
+++ b/tests/auth/mutation_test.cpp
@@ -9,10 +9,10 @@
 #include <iostream>
 #include <random>
 
-#include "access/base64url.h"
-#include "access/gatekeeper.h"
-#include "standins/callers.h"
-#include "standins/standins.h"
+#include "auth/base64url.h"
+#include "auth/gatekeeper.h"
+#include "fakes/callers.h"
+#include "fakes/standins.h"
 #include "tls/context.h"
 
 namespace rookproxy::test {
@@ -81,22 +81,22 @@
       callers.make_key(std::string("not-") + name, name);
     }
     callers.publish_keys({"ES256", "RS256", "EdDSA"});
-    access::AuthSettings settings;
+    auth::AuthSettings settings;
     settings.policy.roles = {{"student", {"lookup"}, false}, {"officer", {"*"}, true}};
     settings.policy.tenants = {{"addis", {"sales_*"}, {}}};
     settings.token_rules = {{"https://id.test"}, "rookproxy", 0s, 0s};
     settings.keys_file = folder + "/keys.json";
     settings.check_queue_limits.burst = 24h;  // no budget: every one is checked
-    gate = std::make_unique<access::Authenticator>(loop, log, figures, settings, 7);
+    gate = std::make_unique<auth::Authenticator>(loop, log, figures, settings, 7);
   }
   // Is it taken by the one who serves?
   bool taken(std::string_view token) {
-    access::Authenticator::CheckId key = 0;
+    auth::Authenticator::CheckId key = 0;
     const auto proof = gate->check_token(
-        token, ++source, loop.now() + 1s, [](access::AuthenticationResult) {}, key);
+        token, ++source, loop.now() + 1s, [](auth::AuthenticationResult) {}, key);
     REQUIRE(proof);
     gate->remove_source(source);
-    return proof->denial == decide::Denial::kNone;
+    return proof->denial == policy::Denial::kNone;
   }
   std::string folder;
   CredentialFixture callers;
@@ -104,7 +104,7 @@
   std::ostream nowhere{nullptr};
   Logger log{nowhere, LogLevel::kError, "-", "test"};
   AuthMetrics figures;
-  std::unique_ptr<access::Authenticator> gate;
+  std::unique_ptr<auth::Authenticator> gate;
   std::uint64_t source = 0;
 };
 
@@ -146,30 +146,29 @@
         bad = edited(token, random, true);
         break;
       case 1:  // what it says, under the signature of what it said
-        bad = header + "." +
-              access::encode_base64url(edited(*access::decode_base64url(claims), random, false)) + "." +
-              signature;
+        bad = header + "." + auth::encode_base64url(edited(*auth::decode_base64url(claims), random, false)) +
+              "." + signature;
         break;
       case 2: {  // other rights under it
-        json other = json::parse(*access::decode_base64url(claims));
+        json other = json::parse(*auth::decode_base64url(claims));
         other[random.one_of(std::vector<std::string>{"roles", "tenant", "sub", "exp"})] =
             random.one_of(std::vector<json>{json::array({"officer"}), "gondar", "s-2", 4e9});
-        bad = header + "." + access::encode_base64url(other.dump()) + "." + signature;
+        bad = header + "." + auth::encode_base64url(other.dump()) + "." + signature;
         break;
       }
       case 3: {  // another algorithm in the header: none, an HMAC with what is public, another key's
-        json other = json::parse(*access::decode_base64url(header));
+        json other = json::parse(*auth::decode_base64url(header));
         other["alg"] = random.one_of(std::vector<std::string>{"none", "None", "HS256", "RS256", "ES256",
                                                               "EdDSA", "PS256", "ES384", "", "es256"});
-        bad = access::encode_base64url(other.dump()) + "." + claims + "." +
-              random.one_of(std::vector<std::string>{"", signature,
-                                                     access::encode_base64url(public_pem.substr(0, 32))});
+        bad = auth::encode_base64url(other.dump()) + "." + claims + "." +
+              random.one_of(
+                  std::vector<std::string>{"", signature, auth::encode_base64url(public_pem.substr(0, 32))});
         if (bad == token) continue;
         break;
       }
       case 4:  // signed by a stranger under a known name
-        bad = access::sign_token(bench.callers.key("not-" + key), key,
-                                 json::parse(*access::decode_base64url(claims)));
+        bad = auth::sign_token(bench.callers.key("not-" + key), key,
+                               json::parse(*auth::decode_base64url(claims)));
         break;
       case 5:  // another token's signature
         bad = header + "." + claims + "." + part(random.one_of(good), 2);
@@ -177,23 +176,23 @@
         break;
       case 6:  // a signature of zeros, of ones, too short, too long
         bad = header + "." + claims + "." +
-              access::encode_base64url(
+              auth::encode_base64url(
                   std::string(random.one_of(std::vector<std::size_t>{0, 1, 63, 64, 65, 128, 256}),
                               random.one_of(std::string("\0\xff\1", 3))));
         break;
       case 7: {  // its own key in the header
-        json other = json::parse(*access::decode_base64url(header));
-        other["jwk"] = access::to_public_jwk(bench.callers.key("not-" + key), key);
+        json other = json::parse(*auth::decode_base64url(header));
+        other["jwk"] = auth::to_public_jwk(bench.callers.key("not-" + key), key);
         if (random.below(2) == 0) other["jku"] = "https://elsewhere/keys";
-        other["alg"] = decide::algorithm_name(*decide::parse_algorithm(key));
+        other["alg"] = policy::algorithm_name(*policy::parse_algorithm(key));
         other["kid"] = key;
-        bad = access::sign_token(bench.callers.key("not-" + key), key,
-                                 json::parse(*access::decode_base64url(claims)), other);
+        bad = auth::sign_token(bench.callers.key("not-" + key), key,
+                               json::parse(*auth::decode_base64url(claims)), other);
         break;
       }
       case 8: {  // properly signed, and demanding what is not understood, or over, or for others
         json header_of{{"alg", key}, {"kid", key}};
-        json claims_of = json::parse(*access::decode_base64url(claims));
+        json claims_of = json::parse(*auth::decode_base64url(claims));
         switch (random.below(6)) {
           case 0:
             header_of["crit"] = json::array({"exp"});
@@ -213,18 +212,18 @@
           default:
             claims_of["exp"] = "9999999999";
         }
-        bad = access::sign_token(bench.callers.key(key), key, claims_of, header_of);
+        bad = auth::sign_token(bench.callers.key(key), key, claims_of, header_of);
         break;
       }
       case 9: {  // one name twice: which counts?
-        std::string text = *access::decode_base64url(claims);
+        std::string text = *auth::decode_base64url(claims);
         text.insert(1, R"("roles":["officer"],)");
-        const std::string signed_text = header + "." + access::encode_base64url(text);
-        const auto* pair = bench.callers.key(json::parse(*access::decode_base64url(header))["kid"]);
+        const std::string signed_text = header + "." + auth::encode_base64url(text);
+        const auto* pair = bench.callers.key(json::parse(*auth::decode_base64url(header))["kid"]);
         bad = signed_text + "." +
-              access::encode_base64url(access::sign(const_cast<evp_pkey_st*>(pair),
-                                                    access::algorithm_of(const_cast<evp_pkey_st*>(pair)),
-                                                    signed_text));
+              auth::encode_base64url(auth::sign(const_cast<evp_pkey_st*>(pair),
+                                                auth::algorithm_of(const_cast<evp_pkey_st*>(pair)),
+                                                signed_text));
         break;
       }
       default:  // nothing of the kind
@@ -246,7 +245,7 @@
   Bench bench(folder.path);
   json set = {{"keys", json::array()}};
   for (const char* name : {"ES256", "RS256", "EdDSA"})
-    set["keys"].push_back(access::to_public_jwk(bench.callers.key(name), name));
+    set["keys"].push_back(auth::to_public_jwk(bench.callers.key(name), name));
   const std::string text = set.dump();
   std::vector<std::string> strangers;
   for (const char* name : {"ES256", "RS256", "EdDSA"}) {
@@ -256,16 +255,16 @@
   int read = 0, let_in = 0;
   for (int i = 0; i < how_many() / 10; ++i) {
     const std::string bad = edited(text, random, random.below(2) == 0);
-    access::KeySet keys;
+    auth::KeySet keys;
     try {
-      keys = access::KeySet::parse(bad);
-    } catch (const access::KeyError& fault) {
+      keys = auth::KeySet::parse(bad);
+    } catch (const auth::KeyError& fault) {
       CHECK(std::string(fault.what()).size() > 3);
       continue;
     }
     ++read;
     for (const std::string& token : strangers) {
-      const auto jwt = access::parse_jwt(token, {});
+      const auto jwt = auth::parse_jwt(token, {});
       for (std::size_t key = 0; key < keys.metadata().size(); ++key)
         let_in += keys.verify(key, jwt->signing_input, jwt->signature);
     }
@@ -289,7 +288,7 @@
   settings.client_certificates = tls::ClientCertificates::kRequired;
   const auto context = tls::ServerContext::load(settings);
   X509* good = callers.certificate("officer").certificate.get();
-  REQUIRE(context->verify_chain(good, {}) == decide::Denial::kNone);
+  REQUIRE(context->verify_chain(good, {}) == policy::Denial::kNone);
   const auto der_of = [](X509* one, bool signed_part) {
     unsigned char* out = nullptr;
     const int size = signed_part ? i2d_re_X509_tbs(one, &out) : i2d_X509(one, &out);
@@ -305,7 +304,7 @@
     const std::shared_ptr<X509> read(d2i_X509(nullptr, &in, static_cast<long>(bad.size())), X509_free);
     if (!read) continue;
     ++decoded;
-    if (context->verify_chain(read.get(), {}) == decide::Denial::kNone && der_of(read.get(), true) != said)
+    if (context->verify_chain(read.get(), {}) == policy::Denial::kNone && der_of(read.get(), true) != said)
       ++trusted;
   }
   CHECK(trusted == 0);
--- a/tests/dispatch/fleet_agreement.cpp
+++ b/tests/cluster/consensus_test.cpp
@@ -1,6 +1,6 @@
 // One plan an epoch over whole fleets, in virtual time: lost, doubled and late messages, partitions,
 // restarts, stalls.
-#include "decide/fleet/agreement.h"
+#include "cluster/agreement.h"
 
 #include <algorithm>
 #include <catch2/catch.hpp>
@@ -12,7 +12,7 @@
 #include <random>
 #include <tuple>
 
-namespace rookproxy::decide::fleet {
+namespace rookproxy::cluster {
 namespace {
 
 using namespace std::chrono_literals;
@@ -481,4 +481,4 @@
 }
 
 }  // namespace
-}  // namespace rookproxy::decide::fleet
+}  // namespace rookproxy::cluster
--- a/tests/dispatch/fleet_membership.cpp
+++ b/tests/cluster/membership_test.cpp
@@ -1,13 +1,13 @@
 // Membership over whole fleets in virtual time.
-#include "decide/fleet/membership.h"
+#include "cluster/membership.h"
 
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <set>
 
-#include "fleet_world.h"
+#include "cluster/test_cluster.h"
 
-namespace rookproxy::decide::fleet {
+namespace rookproxy::cluster {
 namespace {
 
 using namespace std::chrono_literals;
@@ -628,4 +628,4 @@
 }
 
 }  // namespace
-}  // namespace rookproxy::decide::fleet
+}  // namespace rookproxy::cluster
--- a/tests/dispatch/fleet_world.h
+++ b/tests/cluster/test_cluster.h
@@ -14,9 +14,9 @@
 #include <vector>
 
 #include "base/time.h"
-#include "decide/fleet/types.h"
+#include "cluster/types.h"
 
-namespace rookproxy::decide::fleet {
+namespace rookproxy::cluster {
 
 struct WorldSettings {
   std::uint64_t seed = 1;
@@ -202,4 +202,4 @@
   Time now_{std::chrono::seconds(1'700'000'000)};
 };
 
-}  // namespace rookproxy::decide::fleet
+}  // namespace rookproxy::cluster
--- a/tests/dispatch/peers.cpp
+++ b/tests/cluster/transport_test.cpp
@@ -9,14 +9,14 @@
 #include <random>
 #include <set>
 
+#include "cluster/transport/socket.h"
+#include "fakes/relay.h"
+#include "fakes/standins.h"
 #include "net/clock.h"
-#include "peers/socket.h"
-#include "standins/relay.h"
-#include "standins/standins.h"
 
 using namespace rookproxy;
-using namespace rookproxy::peers;
-using namespace rookproxy::decide::fleet;
+using namespace rookproxy::cluster::transport;
+using namespace rookproxy::cluster;
 using namespace std::chrono_literals;
 using nlohmann::json;
 using test::FaultInjectingNetwork;
--- a/tests/dispatch/lists.cpp
+++ b/tests/discovery/discovery_test.cpp
@@ -8,16 +8,16 @@
 #include <set>
 #include <sstream>
 
-#include "descriptors.h"
-#include "directory/directory.h"
-#include "standins/standins.h"
+#include "discovery/directory.h"
+#include "fakes/standins.h"
+#include "support/descriptors.h"
 
 namespace rookproxy {
 namespace {
 
 using namespace std::chrono_literals;
-using decide::DiscoveryPath;
-using decide::EndpointListVersion;
+using policy::DiscoveryPath;
+using policy::EndpointListVersion;
 
 constexpr SocketAddress kAnywhere{0x7f000001, 0};
 
@@ -117,7 +117,7 @@
   for (const auto& [unheard, told] :
        {Case{std::nullopt, 10s}, Case{Time(9950ms), 10s}, Case{Time(9780ms), 10s}, Case{Time(9s), 9220ms},
         Case{Time(1s), 1220ms}}) {
-    CHECK(decide::announced_since(unheard, 220ms, Time(10s)) == Time(told));
+    CHECK(policy::announced_since(unheard, 220ms, Time(10s)) == Time(told));
   }
 }
 
@@ -151,7 +151,7 @@
   }
   // One engine, whose port is the serial: a list is told apart by it.
   static std::string list(const Question& of, std::uint32_t serial, bool draining = false) {
-    const auto state = draining ? lemonshift::EngineState::kDraining : lemonshift::EngineState::kServing;
+    const auto state = draining ? routing::EngineState::kDraining : routing::EngineState::kServing;
     return test::make_dns_response(
         of.query, serial,
         {{"a", {kAnywhere.ip, static_cast<std::uint16_t>(serial)}, state, "z", "m", 0, 1, std::nullopt}});
--- a/tests/dispatch/parts.cpp
+++ b/tests/dispatcher/components_test.cpp
@@ -10,11 +10,11 @@
 #include <thread>
 
 #include "config/config.h"
-#include "core/dispatcher.h"
-#include "core/rules.h"
+#include "dispatcher/dispatcher.h"
+#include "dispatcher/rules.h"
+#include "fakes/standins.h"
 #include "log/log.h"
 #include "net/stream.h"
-#include "standins/standins.h"
 
 using namespace rookproxy;
 using namespace std::chrono_literals;
@@ -292,7 +292,7 @@
   const Config config = read_config(document);
   REQUIRE(config.initial_endpoints.size() == 1);
   CHECK(config.initial_endpoints[0].id == "b");
-  CHECK(config.initial_endpoints[0].state == lemonshift::EngineState::kDraining);
+  CHECK(config.initial_endpoints[0].state == rookproxy::routing::EngineState::kDraining);
   CHECK(config.initial_endpoints[0].started_at == Time(5ms));
   CHECK(config.initial_endpoints_version == 3);
 }
@@ -301,13 +301,13 @@
 
 // The core between a front and links that only write down what they are told.
 struct CoreBench final : ResponseHandler, EngineTransport {
-  explicit CoreBench(
-      lemonshift::Settings settings = read_config(read_toml(ROOKPROXY_ROOT "/deploy/mysql.toml")).settings)
+  explicit CoreBench(rookproxy::routing::Settings settings =
+                         read_config(read_toml(ROOKPROXY_ROOT "/deploy/mysql.toml")).settings)
       : log(text, LogLevel::kDebug, "h", "a"), core(loop, log, figures, settings, {"addis-dc1"}, {}) {
     core.set_transport(*this);
     loop.on_iteration_end([this] { core.process_events(); });
   }
-  void list(std::vector<std::pair<std::string, lemonshift::EngineState>> engines) {
+  void list(std::vector<std::pair<std::string, rookproxy::routing::EngineState>> engines) {
     std::vector<EngineEndpoint> members;
     for (auto& [id, state] : engines) {
       members.push_back({id, {0x7f000001, 1}, state, "addis-dc1", "engine-a", 0, 1, std::nullopt});
@@ -363,7 +363,7 @@
   std::vector<EngineId> closed;
 };
 
-constexpr auto kUp = lemonshift::EngineState::kServing;
+constexpr auto kUp = rookproxy::routing::EngineState::kServing;
 
 }  // namespace
 
@@ -373,7 +373,7 @@
   bench.list({{"a", kUp}, {"b", kUp}});
   const RequestKey key = bench.ask("lookup");
   REQUIRE(bench.orders.size() == 1);
-  bench.core.on_attempt_note({key, 0}, lemonshift::AttemptUpdateKind::kWaitingForLoad, 2);
+  bench.core.on_attempt_note({key, 0}, rookproxy::routing::AttemptUpdateKind::kWaitingForLoad, 2);
   bench.core.process_events();
   REQUIRE(bench.withdrawn.size() == 1);
   CHECK(bench.orders.size() == 1);
@@ -422,7 +422,7 @@
 TEST_CASE("core: what is unsent for a draining engine is stopped before the grace ends") {
   CoreBench bench;
   bench.list({{"a", kUp}, {"b", kUp}});
-  bench.list({{"a", lemonshift::EngineState::kDraining}, {"b", kUp}});
+  bench.list({{"a", rookproxy::routing::EngineState::kDraining}, {"b", kUp}});
   const Time told = bench.loop.now();
   CHECK(bench.run_until([&] { return !bench.closed.empty(); }));
   CHECK(bench.closed == std::vector<EngineId>{0});
@@ -442,22 +442,23 @@
 }
 
 TEST_CASE("core: while settings change, the stricter of both bind") {
-  const auto named = [](const char* name, lemonshift::Idempotency effect, lemonshift::Time aim = 0) {
-    lemonshift::ClassSettings cls;
+  const auto named = [](const char* name, rookproxy::routing::Idempotency effect,
+                        rookproxy::routing::Time aim = 0) {
+    rookproxy::routing::ClassSettings cls;
     cls.name = name, cls.idempotency = effect, cls.latency_objective = aim;
     return cls;
   };
-  constexpr auto kSafe = lemonshift::Idempotency::kIdempotent,
-                 kUnsafe = lemonshift::Idempotency::kNonIdempotent;
-  lemonshift::Settings former, fresh;
+  constexpr auto kSafe = rookproxy::routing::Idempotency::kIdempotent,
+                 kUnsafe = rookproxy::routing::Idempotency::kNonIdempotent;
+  rookproxy::routing::Settings former, fresh;
   former.max_attempts = 2, fresh.max_attempts = 6;
   former.classes = {named("a", kUnsafe), named("gone", kSafe), named("b", kSafe)};
   fresh.classes = {named("a", kSafe, 7), named("b", kUnsafe), named("new", kSafe)};
   const auto both = merge_stricter(former, fresh);
   REQUIRE(both.classes.size() == 4);
-  CHECK(both.classes[0].idempotency == lemonshift::Idempotency::kNonIdempotent);
+  CHECK(both.classes[0].idempotency == rookproxy::routing::Idempotency::kNonIdempotent);
   CHECK(both.classes[0].latency_objective == 7);
-  CHECK(both.classes[1].idempotency == lemonshift::Idempotency::kNonIdempotent);
+  CHECK(both.classes[1].idempotency == rookproxy::routing::Idempotency::kNonIdempotent);
   CHECK(both.classes[3].name == "gone");
   CHECK(both.max_attempts == 2);
   CHECK(merge_stricter(fresh, former).max_attempts == 2);
@@ -483,7 +484,7 @@
   CHECK(bench.orders[2].key.request == read);
   bench.core.on_attempt_ended(bench.orders[2].key, {Outcome::kServed, std::nullopt, "rows"});
   bench.core.process_events();
-  lemonshift::ClassIndex highest = 0;
+  rookproxy::routing::ClassIndex highest = 0;
   for (int i = 0; i < 50; ++i) {
     settings.max_attempts = 2 + i % 3;
     bench.core.change_settings(settings, {"addis-dc1"}, limits);
@@ -493,7 +494,7 @@
   }
   CHECK(highest < 6);
   CHECK(bench.core.class_settings(*bench.core.find_class("lookup")).idempotency ==
-        lemonshift::Idempotency::kNonIdempotent);
+        rookproxy::routing::Idempotency::kNonIdempotent);
   CHECK(bench.figures.by_class["load"].failed == 1);
   CHECK(bench.figures.by_class["lookup"].served == 1);
 }
@@ -502,7 +503,7 @@
   // Guards against an engine that has just started and is pushed over by both during an upgrade.
   const auto sent_with = [](std::size_t parts) {
     auto settings = read_config(read_toml(ROOKPROXY_ROOT "/deploy/mysql.toml")).settings;
-    settings.slow_start = lemonshift::SlowStart{0.3, 15'000'000, 3, 1'500'000};
+    settings.slow_start = rookproxy::routing::SlowStart{0.3, 15'000'000, 3, 1'500'000};
     CoreBench bench(settings);
     bench.core.set_process_count(parts);
     bench.list({});
