--- a/tests/dispatch/parsers.cpp
+++ b/tests/frontend/parsers_test.cpp
@@ -2,13 +2,13 @@
 #include <catch2/catch.hpp>
 #include <random>
 
-#include "directory/dns.h"
-#include "front/frames.h"
-#include "link/lines.h"
+#include "discovery/dns.h"
+#include "fakes/standins.h"
+#include "frontend/frames.h"
 #include "mysql/protocol.h"
 #include "sql/lexer.h"
 #include "sql/session.h"
-#include "standins/standins.h"
+#include "upstream/lines.h"
 
 using namespace rookproxy;
 
@@ -123,7 +123,7 @@
   a.machine_type = "std";
   b = a;
   b.id = "s-2";
-  b.state = lemonshift::EngineState::kDraining;
+  b.state = rookproxy::routing::EngineState::kDraining;
   const std::string name = "_app._tcp.cluster.lan";
   const std::string query = encode_dns_query(77, name);
   const std::string message = test::make_dns_response(query, 9, {a, b});
@@ -132,7 +132,7 @@
   CHECK(list.version == 9);
   REQUIRE(list.endpoints.size() == 2);
   CHECK(list.endpoints[0] == a);
-  CHECK(list.endpoints[1].state == lemonshift::EngineState::kDraining);
+  CHECK(list.endpoints[1].state == rookproxy::routing::EngineState::kDraining);
 
   SECTION("an answer to another question, or to none, is forged") {
     CHECK(parse_dns_response(message, 78, name).error == DnsError::kMismatched);
--- a/tests/dispatch/access.cpp
+++ b/tests/integration/auth_test.cpp
@@ -1,10 +1,10 @@
 // Who is calling: the real program on sockets, with stand-in engines that see what reaches them.
 #include <catch2/catch.hpp>
 
-#include "access/base64url.h"
-#include "access/gatekeeper.h"
-#include "scenario.h"
-#include "standins/callers.h"
+#include "auth/base64url.h"
+#include "auth/gatekeeper.h"
+#include "fakes/callers.h"
+#include "support/scenario.h"
 
 using rookproxy::test::run_scenario;
 
--- a/tests/dispatch/fleet_processes.cpp
+++ b/tests/integration/cluster_processes_test.cpp
@@ -7,8 +7,8 @@
 #include <memory>
 #include <optional>
 
-#include "process.h"
-#include "standins/relay.h"
+#include "fakes/relay.h"
+#include "support/process.h"
 
 using namespace rookproxy;
 using namespace rookproxy::test;
--- a/tests/dispatch/closes.cpp
+++ b/tests/integration/connection_close_test.cpp
@@ -19,11 +19,11 @@
 #include <sstream>
 
 #include "config/config.h"
-#include "core/dispatcher.h"
-#include "front/frames.h"
-#include "front/mysql.h"
-#include "process.h"
-#include "standins/standins.h"
+#include "dispatcher/dispatcher.h"
+#include "fakes/standins.h"
+#include "frontend/frames.h"
+#include "frontend/mysql.h"
+#include "support/process.h"
 
 using namespace rookproxy;
 using namespace rookproxy::test;
@@ -221,7 +221,8 @@
       core.set_transport(*this);
       host.each_turn = [this] { core.process_events(); };
       core.update_endpoints(
-          {{"a", {0x7f000001, 1}, lemonshift::EngineState::kServing, "z", "m", 0, 1, std::nullopt}}, false);
+          {{"a", {0x7f000001, 1}, rookproxy::routing::EngineState::kServing, "z", "m", 0, 1, std::nullopt}},
+          false);
       core.process_events();
       frames = std::make_unique<FramesFrontend>(host.loop, log, core, listen_on_free_port(), limits);
       frames->set_accepting(true);
--- a/tests/dispatch/deployments.cpp
+++ b/tests/integration/deployments_test.cpp
@@ -8,15 +8,15 @@
 #include <nlohmann/json.hpp>
 #include <sstream>
 
+#include "admin/ops.h"
 #include "config/config.h"
-#include "core/dispatcher.h"
-#include "core/rules.h"
-#include "decide/drains.h"
-#include "decide/poll_schedule.h"
-#include "link/lines.h"
-#include "ops/ops.h"
-#include "scenario.h"
-#include "standins/standins.h"
+#include "dispatcher/dispatcher.h"
+#include "dispatcher/rules.h"
+#include "fakes/standins.h"
+#include "policy/drains.h"
+#include "policy/poll_schedule.h"
+#include "support/scenario.h"
+#include "upstream/lines.h"
 
 using namespace rookproxy;
 using namespace std::chrono_literals;
@@ -163,7 +163,7 @@
 }
 
 TEST_CASE("org: a dropped tenant keeps its quota until the new settings bind alone") {
-  lemonshift::Settings former, fresh;
+  rookproxy::routing::Settings former, fresh;
   former.tenants = {{"kept", 1, 0.5}, {"gone", 2, 0.5}};
   fresh.tenants = {{"new", 3, 0.5}, {"kept", 4, 0.5}};
   const auto both = merge_stricter(former, fresh).tenants;
@@ -314,20 +314,20 @@
        {Case{200ms, 1s, 750ms}, Case{200ms, 2s, 1750ms}, Case{20ms, 1s, 948ms}, Case{0ms, 1s, 970ms},
         Case{1s, 1s, 0ms}, Case{200ms, 0s, 0ms}}) {
     INFO(poll.count() << " " << grace.count());
-    const Duration margin = decide::drain_margin(decide::PollSchedule(poll).max_pause());
-    CHECK(decide::latest_drain_start(Time(5s), grace, margin) == Time(5s + last));
+    const Duration margin = policy::drain_margin(policy::PollSchedule(poll).max_pause());
+    CHECK(policy::latest_drain_start(Time(5s), grace, margin) == Time(5s + last));
   }
 }
 
 namespace {
 
 struct Core final : EngineTransport {
-  explicit Core(lemonshift::Settings settings)
+  explicit Core(rookproxy::routing::Settings settings)
       : log(text, LogLevel::kDebug, "h", "a"), core(loop, log, figures, settings, {"addis-dc1"}, {}) {
     core.set_transport(*this);
     loop.on_iteration_end([this] { core.process_events(); });
   }
-  void list(lemonshift::EngineState a, std::optional<Time> told = std::nullopt) {
+  void list(rookproxy::routing::EngineState a, std::optional<Time> told = std::nullopt) {
     core.update_endpoints({{"a", {0x7f000001, 1}, a, "addis-dc1", "engine-a", 0, 1, std::nullopt}}, false,
                           told);
     core.process_events();
@@ -352,7 +352,7 @@
   std::vector<Time> closed;
 };
 
-lemonshift::Settings settings_with_grace(Duration grace) {
+rookproxy::routing::Settings settings_with_grace(Duration grace) {
   auto settings = read_config(read_toml(ROOKPROXY_ROOT "/deploy/mysql.toml")).settings;
   settings.drain_grace_period = to_routing_duration(grace);
   return settings;
@@ -364,8 +364,8 @@
   // Guards against a margin that takes nearly half of a grace of one second.
   for (const Duration grace : {Duration(1s), Duration(2s)}) {
     Core bench(settings_with_grace(grace));
-    bench.list(lemonshift::EngineState::kServing);
-    bench.list(lemonshift::EngineState::kDraining);
+    bench.list(rookproxy::routing::EngineState::kServing);
+    bench.list(rookproxy::routing::EngineState::kDraining);
     const Time told = bench.loop.now();
     bench.run_to(told + grace);
     REQUIRE(bench.closed.size() == 1);
@@ -378,9 +378,9 @@
   // answer that held the word was lost.
   for (const Duration late : {Duration(500ms), Duration(5s)}) {
     Core bench(settings_with_grace(1s));
-    bench.list(lemonshift::EngineState::kServing);
+    bench.list(rookproxy::routing::EngineState::kServing);
     const Time heard = bench.loop.now();
-    bench.list(lemonshift::EngineState::kDraining, heard - late);
+    bench.list(rookproxy::routing::EngineState::kDraining, heard - late);
     bench.run_to(heard + 1s);
     REQUIRE(bench.closed.size() == 1);
     CHECK((bench.closed[0] < heard + 650ms));  // a whole grace from the word on, less the margin: 750 ms
@@ -389,8 +389,8 @@
 
 TEST_CASE("drains: a grace that a change of settings makes shorter holds for drains under way") {
   Core bench(settings_with_grace(60s));
-  bench.list(lemonshift::EngineState::kServing);
-  bench.list(lemonshift::EngineState::kDraining);
+  bench.list(rookproxy::routing::EngineState::kServing);
+  bench.list(rookproxy::routing::EngineState::kDraining);
   bench.core.change_settings(settings_with_grace(300ms), {"addis-dc1"}, {});
   bench.run_to(bench.loop.now() + 2s);
   CHECK_FALSE(bench.closed.empty());
@@ -403,7 +403,7 @@
     bool closed = false;  // the core's word
     bool may_start(AttemptKey) override { return !closed; }
     void on_attempt_ended(AttemptKey, AttemptResult end) override { outcomes.push_back(end.outcome); }
-    void on_attempt_note(AttemptKey, lemonshift::AttemptUpdateKind, double) override {}
+    void on_attempt_note(AttemptKey, rookproxy::routing::AttemptUpdateKind, double) override {}
     void on_probe_ended(EngineId, Outcome, std::optional<LoadReport>) override {}
   } ends;
   std::ostringstream text;
--- a/tests/dispatch/descriptors.cpp
+++ b/tests/integration/descriptor_limit_test.cpp
@@ -1,15 +1,15 @@
 // Descriptors run out: who has some kept for them, who is told, and what serves on.
-#include "descriptors.h"
+#include "support/descriptors.h"
 
 #include <sys/socket.h>
 
 #include <catch2/catch.hpp>
 #include <optional>
 
-#include "decide/descriptor_shares.h"
+#include "fakes/standins.h"
 #include "net/stream.h"
-#include "scenario.h"
-#include "standins/standins.h"
+#include "policy/descriptor_shares.h"
+#include "support/scenario.h"
 
 namespace rookproxy {
 namespace {
@@ -18,7 +18,7 @@
 
 TEST_CASE("descriptors: all shares together stay within the limit, and clients have their third") {
   for (std::size_t limit = 32; limit <= 4096; ++limit) {
-    const auto shares = decide::descriptor_budget(limit);
+    const auto shares = policy::descriptor_budget(limit);
     const std::size_t sum = shares.reserved + shares.admin + shares.clients + shares.engines;
     // At least what a dispatcher of frames, operators and a directory holds: 0 to 2, epoll, signals, two
     // listeners with their reserves, two sockets to the directory.
@@ -26,10 +26,10 @@
     const bool third = shares.clients > limit / 3 || (limit < 64 && shares.clients >= 9);
     if (!fits || !third) FAIL_CHECK("a limit of " << limit);
   }
-  CHECK(decide::descriptor_budget(1024).clients == 409);
-  CHECK(decide::descriptor_budget(1024).engines == 409);
-  CHECK(decide::descriptor_budget(8).clients >= 1);  // a process with too few still lets somebody in
-  CHECK(decide::descriptor_budget(8).engines >= 1);
+  CHECK(policy::descriptor_budget(1024).clients == 409);
+  CHECK(policy::descriptor_budget(1024).engines == 409);
+  CHECK(policy::descriptor_budget(8).clients >= 1);  // a process with too few still lets somebody in
+  CHECK(policy::descriptor_budget(8).engines >= 1);
 }
 
 TEST_CASE("descriptors: idle clients fill theirs, and directory, engines, operators and clients are served") {
--- a/tests/dispatch/orders.cpp
+++ b/tests/integration/event_order_test.cpp
@@ -8,16 +8,16 @@
 #include <thread>
 
 #include "config/config.h"
-#include "core/dispatcher.h"
-#include "decide/sending.h"
-#include "link/lines.h"
-#include "standins/standins.h"
+#include "dispatcher/dispatcher.h"
+#include "fakes/standins.h"
+#include "policy/sending.h"
+#include "upstream/lines.h"
 
 using namespace rookproxy;
 using namespace std::chrono_literals;
-using lemonshift::EngineState;
-using lemonshift::Idempotency;
-using lemonshift::IdempotencyScope;
+using rookproxy::routing::EngineState;
+using rookproxy::routing::Idempotency;
+using rookproxy::routing::IdempotencyScope;
 
 namespace {
 
@@ -73,15 +73,15 @@
   }
 };
 
-lemonshift::Settings settings() {
-  lemonshift::Settings settings;
+rookproxy::routing::Settings settings() {
+  rookproxy::routing::Settings settings;
   settings.zones = 2;
   settings.max_attempts = 4;
   settings.drain_grace_period = to_routing_duration(Duration(500ms));
   settings.machine_types = {{"k", 8, 8000}};
   const auto add = [&](const char* name, Idempotency effect, std::optional<IdempotencyScope> scope,
                        Duration window) {
-    lemonshift::ClassSettings cls;
+    rookproxy::routing::ClassSettings cls;
     cls.name = name, cls.idempotency = effect, cls.idempotency_scope = scope;
     cls.latency_objective = cls.timeout = to_routing_duration(Duration(9s));
     if (scope) cls.idempotency_window = to_routing_duration(window);
@@ -166,19 +166,19 @@
 }  // namespace
 
 TEST_CASE("orders: where and until when an attempt may begin, and what may be refused") {
-  using decide::RetryScope;
+  using policy::RetryScope;
   const Time now(100s), far(1000s);
-  const decide::EngineLocation here{"z0", 1}, next_cell{"z0", 2}, other_zone{"z1", 1};
-  const auto ran = [&](decide::EngineLocation to, Duration ago = 1s) {
-    return decide::SentAttempt{now - ago, to, false, true};
+  const policy::EngineLocation here{"z0", 1}, next_cell{"z0", 2}, other_zone{"z1", 1};
+  const auto ran = [&](policy::EngineLocation to, Duration ago = 1s) {
+    return policy::SentAttempt{now - ago, to, false, true};
   };
-  const auto never = decide::SentAttempt{now - 9s, other_zone, false, false};
-  const auto out = decide::SentAttempt{now - 1s, here, true, true};
+  const auto never = policy::SentAttempt{now - 9s, other_zone, false, false};
+  const auto out = policy::SentAttempt{now - 1s, here, true, true};
   struct Row {
     RetryScope place;
     std::optional<Duration> window;
     bool copies;
-    std::vector<decide::SentAttempt> others;
+    std::vector<policy::SentAttempt> others;
     Time deadline, engine_until;
     const char* reason;
     Time begin_by;
@@ -230,15 +230,15 @@
   for (std::size_t i = 0; i < rows.size(); ++i) {
     INFO("row " << i);
     const Row& row = rows[i];
-    decide::AttemptGuard sending({row.place, row.window, row.copies}, here, row.deadline, row.engine_until);
+    policy::AttemptGuard sending({row.place, row.window, row.copies}, here, row.deadline, row.engine_until);
     for (const auto& other : row.others) sending.add_other_attempt(other);
     CHECK(sending.blocked_reason(now) == row.reason);
     CHECK(sending.latest_start() == row.begin_by);
   }
   for (const auto place :
        {RetryScope::kAnywhere, RetryScope::kZone, RetryScope::kCell, RetryScope::kNowhere}) {
-    CHECK(decide::may_reject({place, 5s, false}, false));
-    CHECK(decide::may_reject({place, 5s, false}, true) == (place == RetryScope::kAnywhere));
+    CHECK(policy::may_reject({place, 5s, false}, false));
+    CHECK(policy::may_reject({place, 5s, false}, true) == (place == RetryScope::kAnywhere));
   }
 }
 
--- a/tests/dispatch/moments.cpp
+++ b/tests/integration/fault_injection_test.cpp
@@ -4,7 +4,7 @@
 #include <memory>
 #include <thread>
 
-#include "moments_world.h"
+#include "support/fault_injection.h"
 
 using namespace rookproxy;
 using namespace rookproxy::test;
@@ -273,7 +273,7 @@
   const auto point = [&](const ClusterOptions& setup, const char* cls, const std::string& event,
                          CloseKind how) {
     TestCluster world(clock, setup);
-    for (std::size_t i = 1; i < 4; ++i) world.publish_endpoints(i, lemonshift::EngineState::kRemoved);
+    for (std::size_t i = 1; i < 4; ++i) world.publish_endpoints(i, rookproxy::routing::EngineState::kRemoved);
     ScriptedEngine& engine = world.engines[0];
     const int small = 4096;
     ::setsockopt(engine.listener.get(), SOL_SOCKET, SO_RCVBUF, &small, sizeof small);
@@ -294,7 +294,7 @@
       world.advance_time(30ms);
       for (std::size_t i = 0; i < engine.connections.size(); ++i) engine.close_connection(i, how);
     }
-    if (event == "drain") world.publish_endpoints(0, lemonshift::EngineState::kDraining);
+    if (event == "drain") world.publish_endpoints(0, rookproxy::routing::EngineState::kDraining);
     report.add(world, PointName(event, cls, close_kind_name(how), setup.may_cancel ? "" : "no STOP"));
   };
   for (const char* cls : kClassNames) {
@@ -429,7 +429,8 @@
     TestCluster& late = add(setup, PointName("deadline", cls));
     for (ScriptedEngine& engine : late.engines) engine.fill_accept_queue();
     late.send_request(late.connect(), cls, 600ms);
-    for (const auto state : {lemonshift::EngineState::kDraining, lemonshift::EngineState::kRemoved}) {
+    for (const auto state :
+         {rookproxy::routing::EngineState::kDraining, rookproxy::routing::EngineState::kRemoved}) {
       ClusterOptions brief = setup;
       brief.drain_grace_period = 120ms;
       TestCluster& world = add(brief, PointName("drain", cls, static_cast<int>(state)));
@@ -478,7 +479,8 @@
 TEST_CASE("moments: an engine drains or goes at each step of an attempt's life") {
   ManualClock clock;
   InvariantReport report;
-  for (const auto state : {lemonshift::EngineState::kDraining, lemonshift::EngineState::kRemoved}) {
+  for (const auto state :
+       {rookproxy::routing::EngineState::kDraining, rookproxy::routing::EngineState::kRemoved}) {
     for (const char* cls : kClassNames) {
       for (int step = static_cast<int>(RequestStage::kSent);
            step <= static_cast<int>(RequestStage::kResponseForwarded); ++step) {
--- a/tests/dispatch/stop.cpp
+++ b/tests/integration/graceful_shutdown_test.cpp
@@ -7,12 +7,12 @@
 #include <filesystem>
 #include <map>
 
-#include "decide/shutdown.h"
-#include "front/frames.h"
+#include "fakes/lines_engine.h"
+#include "frontend/frames.h"
 #include "net/clock.h"
-#include "process.h"
-#include "scenario.h"
-#include "standins/lines_engine.h"
+#include "policy/shutdown.h"
+#include "support/process.h"
+#include "support/scenario.h"
 
 using namespace rookproxy;
 using namespace rookproxy::test;
@@ -20,10 +20,10 @@
 
 namespace {
 
-using decide::shutdown_times;
-using decide::ShutdownAction;
-using decide::ShutdownState;
-using decide::ShutdownStep;
+using policy::shutdown_times;
+using policy::ShutdownAction;
+using policy::ShutdownState;
+using policy::ShutdownStep;
 
 TEST_CASE("shutdown: each time lies before the earliest SIGKILL, for every longest deadline") {
   for (const Duration longest : {0ms, 100ms, 300ms, 500ms, 1000ms, 1500ms, 2900ms, 3000ms, 25'000ms}) {
@@ -37,8 +37,8 @@
     CHECK(times.receive_until >= times.serve_until);
     CHECK(times.exit_by >= times.receive_until);
     CHECK(times.exit_by <= kill - 50ms);
-    CHECK(decide::client_close_timeout(times, times.serve_until) >= 250ms);
-    CHECK(decide::client_close_timeout(times, 20s) == 250ms);
+    CHECK(policy::client_close_timeout(times, times.serve_until) >= 250ms);
+    CHECK(policy::client_close_timeout(times, 20s) == 250ms);
     if (longest >= 300ms) CHECK(times.exit_by - times.receive_until >= 200ms);
     if (longest >= 2500ms) CHECK(times.receive_until == 2600ms);  // a request that is written in 2 s
   }
@@ -106,7 +106,7 @@
   };
   for (const ShutdownCase& one : cases) {
     CAPTURE(one.what);
-    const auto order = decide::next_shutdown_step(times, one.state);
+    const auto order = policy::next_shutdown_step(times, one.state);
     CHECK(order.step == one.order.step);
     CHECK(order.accept_clients == one.order.accept_clients);
   }
--- a/tests/dispatch/platform.cpp
+++ b/tests/integration/platform_test.cpp
@@ -14,8 +14,8 @@
 #include <string>
 #include <thread>
 
-#include "confine.h"
-#include "scenario.h"
+#include "support/confine.h"
+#include "support/scenario.h"
 
 namespace rookproxy::test {
 namespace {
--- a/tests/dispatch/scenarios.cpp
+++ b/tests/integration/scenarios_test.cpp
@@ -1,7 +1,7 @@
 // Whole paths, played against the real program. Each says what it guards against.
 #include <catch2/catch.hpp>
 
-#include "scenario.h"
+#include "support/scenario.h"
 
 using rookproxy::test::run_scenario;
 
--- a/tests/dispatch/cold_fleet.cpp
+++ b/tests/integration/slow_start_processes_test.cpp
@@ -4,9 +4,9 @@
 #include <cmath>
 #include <filesystem>
 
-#include "front/frames.h"
-#include "process.h"
-#include "standins/lines_engine.h"
+#include "fakes/lines_engine.h"
+#include "frontend/frames.h"
+#include "support/process.h"
 
 using namespace rookproxy;
 using namespace rookproxy::test;
--- a/tests/dispatch/fleet_model.cpp
+++ b/tests/model/consensus_model_test.cpp
@@ -20,9 +20,9 @@
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
-#include "decide/fleet/agreement.h"
+#include "cluster/agreement.h"
 
-namespace rookproxy::decide::fleet {
+namespace rookproxy::cluster {
 namespace {
 
 constexpr std::size_t kMembers = 3;
@@ -355,4 +355,4 @@
 }
 
 }  // namespace
-}  // namespace rookproxy::decide::fleet
+}  // namespace rookproxy::cluster
--- a/tests/dispatch/poll_schedule.cpp
+++ b/tests/policy/poll_schedule_test.cpp
@@ -1,12 +1,12 @@
 // When the directory is asked, over a whole fleet in virtual time.
-#include "decide/poll_schedule.h"
+#include "policy/poll_schedule.h"
 
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <random>
 #include <vector>
 
-namespace rookproxy::decide {
+namespace rookproxy::policy {
 namespace {
 
 using namespace std::chrono_literals;
@@ -59,4 +59,4 @@
 }
 
 }  // namespace
-}  // namespace rookproxy::decide
+}  // namespace rookproxy::policy
--- a/tests/placement_test.cpp
+++ b/tests/routing/placement_test.cpp
@@ -1,14 +1,14 @@
 // Placement of table groups: even for each gateway's own traffic, and nearly the same at all.
-#include "logic/placement.h"
+#include "routing/placement.h"
 
 #include <gtest/gtest.h>
 
 #include <cmath>
 #include <map>
 
-#include "logic/hash.h"
+#include "routing/hash.h"
 
-namespace lemonshift {
+namespace rookproxy::routing {
 namespace {
 
 std::vector<Placement::EngineCapacity> rooms(EngineId n, double capacity = 8) {
@@ -102,4 +102,4 @@
 }
 
 }  // namespace
-}  // namespace lemonshift
+}  // namespace rookproxy::routing
--- a/tests/fleet_of_routers.h
+++ b/tests/routing/router_fleet.h
@@ -16,9 +16,9 @@
 #include <utility>
 #include <vector>
 
-#include "lemonshift/router.h"
+#include "rookproxy/routing/router.h"
 
-namespace lemonshift::fleet {
+namespace rookproxy::routing::fleet {
 
 constexpr Time kSecond = 1'000'000, kStep = 5'000;
 constexpr Time kListDelayAllowance = 7 * kSecond;  // what the directory has to tell counts as told by then
@@ -430,4 +430,4 @@
   std::vector<Action> actions_;
 };
 
-}  // namespace lemonshift::fleet
+}  // namespace rookproxy::routing::fleet
--- a/tests/router_test.cpp
+++ b/tests/routing/router_test.cpp
@@ -1,5 +1,5 @@
 // The module from scripted events. Each guard has a test that fails when the guard is taken out.
-#include "lemonshift/router.h"
+#include "rookproxy/routing/router.h"
 
 #include <gtest/gtest.h>
 
@@ -8,7 +8,7 @@
 #include <map>
 #include <numeric>
 
-namespace lemonshift {
+namespace rookproxy::routing {
 namespace {
 
 constexpr Time kSecond = 1'000'000;
@@ -1831,4 +1831,4 @@
 }
 
 }  // namespace
-}  // namespace lemonshift
+}  // namespace rookproxy::routing
--- a/tests/cold_sum_test.cpp
+++ b/tests/routing/slow_start_budget_test.cpp
@@ -3,9 +3,9 @@
 
 #include <cstdio>
 
-#include "fleet_of_routers.h"
+#include "routing/router_fleet.h"
 
-namespace lemonshift {
+namespace rookproxy::routing {
 namespace {
 
 using fleet::kSecond;
@@ -387,4 +387,4 @@
 }
 
 }  // namespace
-}  // namespace lemonshift
+}  // namespace rookproxy::routing
--- a/tests/wire_test.cpp
+++ b/tests/simulator/adapter_test.cpp
@@ -1,12 +1,12 @@
 // The adapter: wire text through to replies, and what malformed text gets.
-#include "wire.h"
+#include "simulator/adapter.h"
 
 #include <gtest/gtest.h>
 
 #include <algorithm>
 #include <sstream>
 
-namespace lemonshift::wire {
+namespace rookproxy::simulator {
 namespace {
 
 const std::string kId = "5d3a91c4-4353-4155-aede-e6dbd0dea405";
@@ -137,4 +137,4 @@
 }
 
 }  // namespace
-}  // namespace lemonshift::wire
+}  // namespace rookproxy::simulator
--- a/tests/dispatch/confine.cpp
+++ b/tests/support/confine.cpp
@@ -1,4 +1,4 @@
-#include "confine.h"
+#include "support/confine.h"
 
 #include <linux/audit.h>
 #include <linux/filter.h>
--- a/tests/dispatch/moments_world.h
+++ b/tests/support/fault_injection.h
@@ -18,12 +18,12 @@
 #include <sstream>
 #include <stdexcept>
 
-#include "core/dispatcher.h"
-#include "core/module_time.h"
-#include "front/frames.h"
-#include "link/lines.h"
+#include "dispatcher/dispatcher.h"
+#include "dispatcher/module_time.h"
+#include "frontend/frames.h"
 #include "log/log.h"
 #include "net/clock.h"
+#include "upstream/lines.h"
 
 namespace rookproxy::test {
 
@@ -55,8 +55,8 @@
 
 inline const char* const kClassNames[] = {"safe", "all", "zone", "cell", "unsafe"};
 
-inline lemonshift::Settings make_routing_settings(const ClusterOptions& setup) {
-  lemonshift::Settings settings;
+inline routing::Settings make_routing_settings(const ClusterOptions& setup) {
+  routing::Settings settings;
   settings.zones = 2;
   settings.machine_types = {{"m", 64.0, 65536.0}};
   settings.may_cancel = setup.may_cancel;
@@ -66,15 +66,15 @@
   settings.drain_grace_period = to_routing_duration(setup.drain_grace_period);
   settings.progress_interval = to_routing_duration(Duration(500ms));
   for (int i = 0; i < 5; ++i) {
-    lemonshift::ClassSettings cls;
+    routing::ClassSettings cls;
     cls.name = kClassNames[i];
     cls.latency_objective = to_routing_duration(Duration(300ms));
     cls.timeout = to_routing_duration(Duration(1000ms));
-    cls.idempotency = i == 0   ? lemonshift::Idempotency::kIdempotent
-                      : i == 4 ? lemonshift::Idempotency::kNonIdempotent
-                               : lemonshift::Idempotency::kKeyed;
+    cls.idempotency = i == 0   ? routing::Idempotency::kIdempotent
+                      : i == 4 ? routing::Idempotency::kNonIdempotent
+                               : routing::Idempotency::kKeyed;
     if (i > 0 && i < 4) {
-      cls.idempotency_scope = static_cast<lemonshift::IdempotencyScope>(i - 1);
+      cls.idempotency_scope = static_cast<routing::IdempotencyScope>(i - 1);
       cls.idempotency_window = to_routing_duration(setup.idempotency_window);
     }
     settings.classes.push_back(cls);
@@ -192,7 +192,7 @@
 
   // The list of engines, one of them in another state from now on.
   void publish_endpoints(std::size_t other = SIZE_MAX,
-                         lemonshift::EngineState state = lemonshift::EngineState::kServing) {
+                         routing::EngineState state = routing::EngineState::kServing) {
     if (other < engines.size()) states_[other] = state;
     std::vector<EngineEndpoint> members;
     for (std::size_t i = 0; i < engines.size(); ++i) {
@@ -203,8 +203,8 @@
       member.machine_type = "m";
       member.cell = cell(i);
       member.state = states_[i];
-      if (states_[i] != lemonshift::EngineState::kServing) drain_started_at_.try_emplace(i, clock_.now);
-      if (states_[i] != lemonshift::EngineState::kRemoved) members.push_back(member);
+      if (states_[i] != routing::EngineState::kServing) drain_started_at_.try_emplace(i, clock_.now);
+      if (states_[i] != routing::EngineState::kRemoved) members.push_back(member);
     }
     core.update_endpoints(members, false);
   }
@@ -350,7 +350,7 @@
     requests.clear();
     observed_attempts.clear();
     drain_started_at_.clear();
-    states_.fill(lemonshift::EngineState::kServing);
+    states_.fill(routing::EngineState::kServing);
     publish_endpoints();
     const std::size_t fresh = connect();
     for (const std::string& call : calls) {
@@ -516,7 +516,7 @@
   std::ostringstream text_;
   Logger log_;
   Metrics figures_;
-  std::array<lemonshift::EngineState, 4> states_{};
+  std::array<routing::EngineState, 4> states_{};
   std::map<std::size_t, Time> drain_started_at_;  // when each engine was first told not to serve
 
  public:
--- a/tests/dispatch/process.h
+++ b/tests/support/process.h
@@ -15,8 +15,8 @@
 #include <thread>
 #include <vector>
 
-#include "confine.h"
-#include "standins/standins.h"
+#include "fakes/standins.h"
+#include "support/confine.h"
 
 namespace rookproxy::test {
 
--- a/tests/dispatch/scenario.cpp
+++ b/tests/support/scenario.cpp
@@ -1,4 +1,4 @@
-#include "scenario.h"
+#include "support/scenario.h"
 
 #include <fcntl.h>
 #include <signal.h>
@@ -16,14 +16,14 @@
 #include <sstream>
 #include <stdexcept>
 
-#include "confine.h"
-#include "descriptors.h"
-#include "front/frames.h"
-#include "link/lines.h"
-#include "process.h"
-#include "standins/callers.h"
-#include "standins/lines_engine.h"
-#include "standins/standins.h"
+#include "fakes/callers.h"
+#include "fakes/lines_engine.h"
+#include "fakes/standins.h"
+#include "frontend/frames.h"
+#include "support/confine.h"
+#include "support/descriptors.h"
+#include "support/process.h"
+#include "upstream/lines.h"
 
 namespace rookproxy::test {
 namespace {
@@ -457,7 +457,7 @@
       member.id = entry.substr(0, equals);
       member.address = {0x7f000001, engine_port(member.id)};
       member.machine_type = "m";
-      if (entry.substr(equals + 1) == "draining") member.state = lemonshift::EngineState::kDraining;
+      if (entry.substr(equals + 1) == "draining") member.state = routing::EngineState::kDraining;
       members.push_back(std::move(member));
     }
     discovery_server_->set_endpoints(std::move(members));
