--- a/src/app/app.cpp
+++ b/src/app/app.cpp
@@ -1,7 +1,7 @@
 #include "app/app.h"
 
-#include "policy/descriptor_shares.h"
-#include "policy/drains.h"
+#include "policy/descriptor_budget.h"
+#include "policy/drain.h"
 #include "policy/poll_schedule.h"
 
 #include <algorithm>
--- a/src/discovery/directory.h
+++ b/src/discovery/directory.h
@@ -13,8 +13,8 @@
 #include "dispatcher/interfaces.h"
 #include "log/log.h"
 #include "net/loop.h"
-#include "policy/directory_path.h"
-#include "policy/list_order.h"
+#include "policy/discovery_path.h"
+#include "policy/endpoint_list_version.h"
 #include "policy/poll_schedule.h"
 
 namespace rookproxy {
--- a/src/dispatcher/dispatcher.cpp
+++ b/src/dispatcher/dispatcher.cpp
@@ -2,7 +2,7 @@
 
 #include "dispatcher/rules.h"
 #include "net/clock.h"
-#include "policy/drains.h"
+#include "policy/drain.h"
 
 #include <algorithm>
 #include <utility>
@@ -497,11 +497,14 @@
 
 // Why this send may not go out; nothing if it may. The module keeps these rules itself; this is the net below
 // it.
-std::string_view Dispatcher::attempt_violation(const Request* request, const routing::Send& order) const {
-  if (!request || request->is_completed) return "request is over";
-  if (order.engine >= engines_.size()) return "unknown engine";
-  if (request->attempts.size() >= class_settings(request->incoming.class_index).max_attempts)
-    return "too many attempts";
+std::optional<policy::BlockReason> Dispatcher::attempt_violation(const Request* request,
+                                                                 const routing::Send& order) const {
+  using policy::BlockReason;
+  if (!request || request->is_completed) return BlockReason::kRequestCompleted;
+  if (order.engine >= engines_.size()) return BlockReason::kUnknownEngine;
+  if (request->attempts.size() >= class_settings(request->incoming.class_index).max_attempts) {
+    return BlockReason::kTooManyAttempts;
+  }
   return attempt_guard(*request, order.engine, request->attempts.size()).blocked_reason(loop_.now());
 }
 
@@ -511,11 +514,12 @@
   const Attempt* known = find_attempt(key);
   if (!known || !known->in_flight) return false;
   const Request& request = *requests_.find(key.request);
-  const auto reason = request.is_completed
-                          ? std::string_view("request is over")
-                          : attempt_guard(request, known->engine, key.number).blocked_reason(monotonic_now());
-  if (reason.empty()) return true;
-  log_.write(LogLevel::kInfo, "core", "attempt not begun: " + std::string(reason),
+  const std::optional<policy::BlockReason> reason =
+      request.is_completed
+          ? policy::BlockReason::kRequestCompleted
+          : attempt_guard(request, known->engine, key.number).blocked_reason(monotonic_now());
+  if (!reason) return true;
+  log_.write(LogLevel::kInfo, "core", "attempt not begun: " + std::string(to_text(*reason)),
              {{"engine", engines_[known->engine].endpoint.id}});
   return false;
 }
@@ -530,8 +534,8 @@
 void Dispatcher::start_attempt(const routing::Send& order) {
   Request* request = requests_.find(order.request);
   const auto reason = attempt_violation(request, order);
-  if (!reason.empty()) {
-    log_.write(LogLevel::kWarning, "core", "send held back: " + std::string(reason), {});
+  if (reason) {
+    log_.write(LogLevel::kWarning, "core", "send held back: " + std::string(to_text(*reason)), {});
     if (!request) return;
   }
   const auto number = static_cast<std::uint32_t>(request->attempts.size());
@@ -545,7 +549,7 @@
   request->attempts.push_back(std::move(fresh));
   ++request->attempts_in_flight;
   const AttemptKey key{order.request, number};
-  if (!reason.empty()) return end_attempt(key.request, number, {Outcome::kNotSent, std::nullopt, ""});
+  if (reason) return end_attempt(key.request, number, {Outcome::kNotSent, std::nullopt, ""});
   Time until = request->incoming.deadline;
   if (order.timeout) until = std::min(until, loop_.now() + from_routing_duration(*order.timeout));
   const auto call_off_at = [this, key](Time at) {
--- a/src/dispatcher/dispatcher.h
+++ b/src/dispatcher/dispatcher.h
@@ -12,7 +12,7 @@
 #include "dispatcher/interfaces.h"
 #include "log/log.h"
 #include "net/loop.h"
-#include "policy/sending.h"
+#include "policy/attempt_guard.h"
 
 namespace rookproxy {
 
@@ -122,7 +122,8 @@
   void start_attempt(const routing::Send& send);
   policy::RetryRule retry_rule(const Request& request) const;
   policy::AttemptGuard attempt_guard(const Request& request, EngineId engine, std::size_t number) const;
-  std::string_view attempt_violation(const Request* request, const routing::Send& send) const;
+  std::optional<policy::BlockReason> attempt_violation(const Request* request,
+                                                       const routing::Send& send) const;
   Time accepts_work_until(const Engine& engine) const;
   bool cancel_unsent_attempt(RequestKey key, std::uint32_t number);
   void end_attempt(RequestKey key, std::uint32_t number, AttemptResult end);
--- a/src/policy/poll_schedule.h
+++ b/src/policy/poll_schedule.h
@@ -1,21 +1,26 @@
-// When a directory is asked next. Every dispatcher of a fleet is told the same interval, and a release or a
-// returning network starts many at the same moment: in step, a hundred of them ask within the same ten
-// milliseconds, five times a second, and a server of fixed capacity answers the last of them late or never.
+// Decides when service discovery is polled next.
+//
+// All dispatchers are configured with the same interval, and a release or a recovering network starts many at
+// once. If they polled in step, a hundred of them would poll within the same ten milliseconds, and a server
+// of fixed capacity would respond to the last of them late or never.
 #pragma once
 
 #include "base/time.h"
 
 namespace rookproxy::policy {
 
+// Pauses between polls, with jitter that spreads the dispatchers over the interval.
 class PollSchedule {
  public:
-  // `interval` over 0: the mean time between two questions.
+  // `interval` is the mean time between two polls, over 0.
   explicit PollSchedule(Duration interval) : interval_(interval) {}
-  // The pause after a question, `draw` being random from 0 to below 1. The first puts the dispatcher anywhere
-  // in the interval; later ones vary by a tenth, so that whoever falls into step falls out of it again. At
-  // most 1.1 intervals: an engine's drain is heard no later for it than that.
-  Duration next_pause(double draw);
-  Duration max_pause() const;
+
+  // The pause after a poll; `random` is uniform in [0, 1). The first pause puts the dispatcher anywhere in
+  // the interval; later ones vary by a tenth, so that dispatchers that fall into step separate again.
+  [[nodiscard]] Duration next_pause(double random);
+
+  // The longest pause: 1.1 intervals, by which an engine's drain is noticed at the latest.
+  [[nodiscard]] Duration max_pause() const;
 
  private:
   Duration interval_;
--- a/src/policy/shutdown.h
+++ b/src/policy/shutdown.h
@@ -1,29 +1,27 @@
-// What a process does next once it was told to end, from the time since then, what is open, and whether
-// another process has its door.
+// Decides what a process does next after SIGTERM, from the time since then, what is open, and whether another
+// process holds the clients' listener.
 //
-//   since SIGTERM                   what holds then                   what it does
-//   until it ends its clients       a successor is ready              leaves newcomers to it, serves who is
-//   there
-//                                   it never opened                   lets nobody in
-//                                   neither                           serves all, newcomers too
-//   any, never opened               the door is another's as well     exits: who waits there is not ours
-//   newcomers_until, never opened   the door is its own               looks, and ends those who waited there
-//   serve_until, having opened      a request is on its way in, or    serves on, until take_in_until at the
-//   latest
-//                                   answers are not taken
-//   then                            not all that waits was seen       looks once more, and takes it
-//                                   else                              ends its clients
-//   clients are being ended         a request is open                 waits; at a door of its own, where
-//   newcomers would
-//                                                                     hang for as long, it lets them in and
-//                                                                     ends them
-//                                   a connection is open              waits
-//                                   neither                           exits
-//   end_by, and a little after the  a connection is open              exits, whoever has not taken his end
-//   last answer
+//   time since SIGTERM             state                             action
+//   until clients are closed       a successor is ready              leave new clients to it, serve the
+//   others
+//                                  the process was never ready       accept nobody
+//                                  neither                           serve all, new clients too
+//   any, never ready               the listener is shared            exit: waiting clients belong to others
+//   accept_until, never ready      the listener is its own           drain input, close the waiting clients
+//   serve_until, was ready         a request is being received or    serve on, until receive_until at the
+//                                  responses are unread              latest
+//   then                           input not drained yet             drain input
+//                                  else                              close clients
+//   clients are being closed       a request is open                 wait; with a listener of its own accept
+//                                                                    new clients (they would hang for as
+//                                                                    long) and close them
+//                                  a connection is open              wait
+//                                  neither                           exit
+//   exit_by, and a little after    a connection is open              exit, even if clients have not closed
+//   the last response
 //
-// Requests that came in time are never given up for the sake of an early exit. What SIGKILL finds unanswered
-// of them is nobody's loss, and without one they are served.
+// Requests that came in time are never dropped for an earlier exit. Requests that SIGKILL finds unanswered
+// count against nobody, and without a SIGKILL they are served.
 #pragma once
 
 #include <cstddef>
@@ -32,37 +30,56 @@
 
 namespace rookproxy::policy {
 
-// Since SIGTERM.
+// Limits, each counted from SIGTERM.
 struct ShutdownTimes {
-  Duration accept_until{}, serve_until{}, receive_until{}, exit_by{};
+  Duration accept_until{};
+  Duration serve_until{};
+  Duration receive_until{};
+  Duration exit_by{};
 };
-// `longest_deadline`: of all classes. SIGKILL comes no earlier than that (3 s at most) and 0.7 s after
+
+// `longest_deadline` is that of all classes. SIGKILL comes no earlier than that (3 s at most) and 0.7 s after
 // SIGTERM.
-ShutdownTimes shutdown_times(Duration longest_deadline);
+[[nodiscard]] ShutdownTimes shutdown_times(Duration longest_deadline);
 
+// What the process knows when it decides.
 struct ShutdownState {
+  // Since SIGTERM.
   Duration elapsed{};
-  bool was_ready = true;            // it was ready to serve before it was told to end
-  bool listener_is_shared = false;  // the clients' socket was passed: it outlives this process
-  bool successor_ready = false;     // another process accepts there
-  bool closing_clients = false;     // clients are being ended
-  bool is_receiving = false;        // a request is on its way in, or answers are not taken yet
-  bool input_drained = false;       // a turn of the loop that waited for nothing found nothing
-  bool has_connections = false;     // of clients
-  std::size_t open_requests = 0;    // also those whose clients have gone
-  Duration idle_for{};              // so long there has been none
+  // The process was ready to serve before SIGTERM.
+  bool was_ready = true;
+  // The clients' listener was passed to this process and outlives it.
+  bool listener_is_shared = false;
+  // Another process accepts on the shared listener.
+  bool successor_ready = false;
+  // kCloseClients was carried out.
+  bool closing_clients = false;
+  // A request is being received, or responses are not read yet.
+  bool is_receiving = false;
+  // An iteration of the event loop that did not wait found nothing to do.
+  bool input_drained = false;
+  // A client's connection is open.
+  bool has_connections = false;
+  // Includes those whose clients have disconnected.
+  std::size_t open_requests = 0;
+  // For how long no request has been open.
+  Duration idle_for{};
 };
 
+// What the process does next.
 enum class ShutdownStep { kContinue, kDrainInput, kCloseClients, kExit };
+
+// A step, and how new clients are treated meanwhile.
 struct ShutdownAction {
   ShutdownStep step = ShutdownStep::kContinue;
-  bool accept_clients = false;  // who waits at the door
+  bool accept_clients = false;
   auto operator<=>(const ShutdownAction&) const = default;
 };
 
-// How long a client has, whose end we tell it now, to end its side.
-Duration client_close_timeout(const ShutdownTimes& times, Duration since);
-// Once kEndClients was carried out, `ending` holds.
-ShutdownAction next_shutdown_step(const ShutdownTimes& times, const ShutdownState& state);
+// How long a client whose connection is closed now has to close its side.
+[[nodiscard]] Duration client_close_timeout(const ShutdownTimes& times, Duration elapsed);
+
+// The caller sets `closing_clients` once it has carried out kCloseClients.
+[[nodiscard]] ShutdownAction next_shutdown_step(const ShutdownTimes& times, const ShutdownState& state);
 
 }  // namespace rookproxy::policy
--- a/tests/integration/deployments_test.cpp
+++ b/tests/integration/deployments_test.cpp
@@ -13,7 +13,7 @@
 #include "dispatcher/dispatcher.h"
 #include "dispatcher/rules.h"
 #include "fakes/standins.h"
-#include "policy/drains.h"
+#include "policy/drain.h"
 #include "policy/poll_schedule.h"
 #include "support/scenario.h"
 #include "upstream/lines.h"
--- a/tests/integration/descriptor_limit_test.cpp
+++ b/tests/integration/descriptor_limit_test.cpp
@@ -8,7 +8,7 @@
 
 #include "fakes/standins.h"
 #include "net/stream.h"
-#include "policy/descriptor_shares.h"
+#include "policy/descriptor_budget.h"
 #include "support/scenario.h"
 
 namespace rookproxy {
--- a/tests/integration/event_order_test.cpp
+++ b/tests/integration/event_order_test.cpp
@@ -10,7 +10,6 @@
 #include "config/config.h"
 #include "dispatcher/dispatcher.h"
 #include "fakes/standins.h"
-#include "policy/sending.h"
 #include "upstream/lines.h"
 
 using namespace rookproxy;
@@ -165,83 +164,6 @@
 
 }  // namespace
 
-TEST_CASE("orders: where and until when an attempt may begin, and what may be refused") {
-  using policy::RetryScope;
-  const Time now(100s), far(1000s);
-  const policy::EngineLocation here{"z0", 1}, next_cell{"z0", 2}, other_zone{"z1", 1};
-  const auto ran = [&](policy::EngineLocation to, Duration ago = 1s) {
-    return policy::SentAttempt{now - ago, to, false, true};
-  };
-  const auto never = policy::SentAttempt{now - 9s, other_zone, false, false};
-  const auto out = policy::SentAttempt{now - 1s, here, true, true};
-  struct Row {
-    RetryScope place;
-    std::optional<Duration> window;
-    bool copies;
-    std::vector<policy::SentAttempt> others;
-    Time deadline, engine_until;
-    const char* reason;
-    Time begin_by;
-  };
-  const std::vector<Row> rows{
-      {RetryScope::kAnywhere, {}, false, {}, far, Time::max(), "", far},
-      {RetryScope::kAnywhere, {}, false, {ran(other_zone)}, far, Time::max(), "", far},
-      {RetryScope::kAnywhere, {}, false, {out}, far, Time::max(), "an attempt is out", far},
-      {RetryScope::kAnywhere, {}, true, {out}, far, Time::max(), "", far},
-      {RetryScope::kNowhere, {}, true, {out}, far, Time::max(), "it may have run", far},
-      {RetryScope::kNowhere, {}, false, {ran(here)}, far, Time::max(), "it may have run", far},
-      {RetryScope::kNowhere, {}, false, {never, never}, far, Time::max(), "", far},
-      {RetryScope::kZone, 5s, false, {ran(next_cell)}, far, Time::max(), "", now + 4s},
-      {RetryScope::kZone,
-       5s,
-       false,
-       {ran(other_zone)},
-       far,
-       Time::max(),
-       "it may have run elsewhere",
-       now + 4s},
-      {RetryScope::kCell, 5s, false, {ran(here)}, far, Time::max(), "", now + 4s},
-      {RetryScope::kCell,
-       5s,
-       false,
-       {ran(next_cell)},
-       far,
-       Time::max(),
-       "it may have run elsewhere",
-       now + 4s},
-      // What never ran starts no window, wherever it went. Of several that may have run the first counts.
-      {RetryScope::kCell, 5s, false, {never, ran(here)}, far, Time::max(), "", now + 4s},
-      {RetryScope::kCell, 5s, false, {ran(here, 4s), ran(here)}, far, Time::max(), "", now + 1s},
-      {RetryScope::kCell, 1s, false, {ran(here)}, far, Time::max(), "the window for repeats is over", now},
-      {RetryScope::kAnywhere,
-       1s,
-       false,
-       {ran(other_zone)},
-       far,
-       Time::max(),
-       "the window for repeats is over",
-       now},
-      {RetryScope::kCell, 5s, false, {ran(here)}, now + 2s, Time::max(), "", now + 2s},
-      {RetryScope::kCell, 5s, false, {ran(here)}, far, now + 3s, "", now + 3s},
-      {RetryScope::kAnywhere, {}, false, {}, now, Time::max(), "out of time", now},
-      {RetryScope::kAnywhere, {}, false, {}, far, now, "engine drains", now},
-      {RetryScope::kAnywhere, {}, false, {}, far, Time::min(), "engine is gone", Time::min()},
-  };
-  for (std::size_t i = 0; i < rows.size(); ++i) {
-    INFO("row " << i);
-    const Row& row = rows[i];
-    policy::AttemptGuard sending({row.place, row.window, row.copies}, here, row.deadline, row.engine_until);
-    for (const auto& other : row.others) sending.add_other_attempt(other);
-    CHECK(sending.blocked_reason(now) == row.reason);
-    CHECK(sending.latest_start() == row.begin_by);
-  }
-  for (const auto place :
-       {RetryScope::kAnywhere, RetryScope::kZone, RetryScope::kCell, RetryScope::kNowhere}) {
-    CHECK(policy::may_reject({place, 5s, false}, false));
-    CHECK(policy::may_reject({place, 5s, false}, true) == (place == RetryScope::kAnywhere));
-  }
-}
-
 TEST_CASE("orders: nothing leaves for a client that has gone while its order waited, of any class") {
   // Guards against a load that was 'let run to its end' before a byte of it had left, up to a dial's time
   // later.
--- a/tests/policy/poll_schedule_test.cpp
+++ b/tests/policy/poll_schedule_test.cpp
@@ -1,4 +1,4 @@
-// When the directory is asked, over a whole fleet in virtual time.
+// When service discovery is polled, over a whole cluster in virtual time.
 #include "policy/poll_schedule.h"
 
 #include <algorithm>
@@ -11,36 +11,34 @@
 
 using namespace std::chrono_literals;
 
-// The times at which so many dispatchers ask that start at the same moment, in order.
-std::vector<Duration> questions(int dispatchers, Duration interval, Duration until) {
-  std::vector<Duration> all;
+// When the polls of so many dispatchers that start at the same moment are sent, in order.
+std::vector<Duration> poll_times(int dispatchers, Duration interval, Duration until) {
+  std::vector<Duration> times;
+  std::uniform_real_distribution<double> distribution(0, 1);
   for (int i = 0; i < dispatchers; ++i) {
     std::mt19937_64 random(static_cast<std::uint64_t>(i) + 1);
     PollSchedule schedule(interval);
-    for (Duration at(0); at < until;
-         at += schedule.next_pause(std::uniform_real_distribution<double>(0, 1)(random))) {
-      all.push_back(at);
-    }
+    for (Duration at(0); at < until; at += schedule.next_pause(distribution(random))) times.push_back(at);
   }
-  std::sort(all.begin(), all.end());
-  return all;
+  std::sort(times.begin(), times.end());
+  return times;
 }
 
-TEST_CASE("poll schedule: a fleet that starts at one moment does not ask in step") {
-  const auto all = questions(100, 200ms, 20s);
+TEST_CASE("poll schedule: dispatchers that start at one moment do not poll in step") {
+  const auto times = poll_times(100, 200ms, 20s);
   std::size_t most = 0;
-  for (auto from = all.begin(); from != all.end(); ++from) {
-    if (*from < 200ms) continue;  // the first question of each is at once: it waits for the list
-    const auto to = std::upper_bound(from, all.end(), *from + Duration(10ms));
+  for (auto from = times.begin(); from != times.end(); ++from) {
+    if (*from < 200ms) continue;  // each one's first poll is immediate: it waits for the list
+    const auto to = std::upper_bound(from, times.end(), *from + Duration(10ms));
     most = std::max(most, static_cast<std::size_t>(to - from));
   }
-  CHECK(most <= 20);  // 5 if all were even; 100 in step
+  CHECK(most <= 20);  // 5 if they were spread evenly; 100 in step
 }
 
-TEST_CASE("poll schedule: the rate stays what it was, and no pause is long") {
-  const auto all = questions(100, 200ms, 20s);
-  CHECK(all.size() > 9'800);
-  CHECK(all.size() < 10'300);
+TEST_CASE("poll schedule: the rate is kept, and no pause is long") {
+  const auto times = poll_times(100, 200ms, 20s);
+  CHECK(times.size() > 9'800);
+  CHECK(times.size() < 10'300);
   PollSchedule schedule(200ms);
   CHECK(schedule.next_pause(0.999) <= Duration(200ms));
   for (int i = 0; i <= 100; ++i) {
@@ -50,7 +48,7 @@
   }
 }
 
-TEST_CASE("poll schedule: a draw or an interval at the edge still gives a pause") {
+TEST_CASE("poll schedule: a random number or an interval at the edge still gives a pause") {
   PollSchedule schedule(1us);
   CHECK(schedule.next_pause(0) >= Duration(1));
   CHECK(schedule.next_pause(-1) >= Duration(1));
