--- /dev/null
+++ b/src/routing/event_window.h
@@ -0,0 +1,53 @@
+// Records of recent events in the order of their times.
+#pragma once
+
+#include <algorithm>
+#include <cstddef>
+#include <deque>
+
+#include "rookproxy/routing/router.h"
+
+namespace rookproxy::routing {
+
+// The times of recent events. Times must be added in order.
+class EventWindow {
+ public:
+  void add(Time at) { times_.push_back(at); }
+  // Drops events before `at`.
+  void forget_before(Time at) {
+    while (!times_.empty() && times_.front() < at) times_.pop_front();
+  }
+  // How many recorded events happened at `at` or later.
+  [[nodiscard]] double count_since(Time at) const {
+    return static_cast<double>(times_.end() - std::lower_bound(times_.begin(), times_.end(), at));
+  }
+
+ private:
+  std::deque<Time> times_;
+};
+
+// The work sent recently, with the time of each send. Times must be added in order.
+class WorkWindow {
+ public:
+  // Records `work`, in microseconds of one thread.
+  void add(Time at, double work) { entries_.push_back({at, work}); }
+  // Drops sends at or before `at`.
+  void forget_until(Time at) {
+    while (!entries_.empty() && entries_.front().at <= at) entries_.pop_front();
+  }
+  [[nodiscard]] bool empty() const { return entries_.empty(); }
+  // `work` plus all recorded work, added in the order of the sends.
+  [[nodiscard]] double total_with(double work) const {
+    for (const Entry& entry : entries_) work += entry.work;
+    return work;
+  }
+
+ private:
+  struct Entry {
+    Time at = 0;
+    double work = 0;
+  };
+  std::deque<Entry> entries_;
+};
+
+}  // namespace rookproxy::routing
