--- a/src/routing/hash.h
+++ b/src/routing/hash.h
@@ -1,22 +1,29 @@
-// Stable hashes, the same in every process: what gateways agree on without a word rests on them.
+// Stable hashes, the same in every process: what instances agree on without talking to each other rests on
+// them.
 #pragma once
 
 #include <cstdint>
-#include <string>
+#include <string_view>
 
 namespace rookproxy::routing {
 
-inline std::uint64_t mix(std::uint64_t x) {  // splitmix64
-  x += 0x9e3779b97f4a7c15ULL;
-  x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ULL;
-  x = (x ^ (x >> 27)) * 0x94d049bb133111ebULL;
-  return x ^ (x >> 31);
+// Mixes all bits of `value` (splitmix64).
+[[nodiscard]] constexpr std::uint64_t mix(std::uint64_t value) {
+  value += 0x9e3779b97f4a7c15ULL;
+  value = (value ^ (value >> 30)) * 0xbf58476d1ce4e5b9ULL;
+  value = (value ^ (value >> 27)) * 0x94d049bb133111ebULL;
+  return value ^ (value >> 31);
 }
-inline double unit(std::uint64_t hash) { return static_cast<double>(hash >> 11) * 0x1p-53; }  // 0 to 1
 
-inline std::uint64_t hash_text(const std::string& text) {  // FNV-1a
+// Maps a hash to a number from 0 up to, but not including, 1.
+[[nodiscard]] constexpr double unit_interval(std::uint64_t hash) {
+  return static_cast<double>(hash >> 11) * 0x1p-53;
+}
+
+// Hashes a text (FNV-1a, then mixed).
+[[nodiscard]] constexpr std::uint64_t hash_text(std::string_view text) {
   std::uint64_t hash = 0xcbf29ce484222325ULL;
-  for (const unsigned char c : text) hash = (hash ^ c) * 0x100000001b3ULL;
+  for (const char character : text) hash = (hash ^ static_cast<unsigned char>(character)) * 0x100000001b3ULL;
   return mix(hash);
 }
 
--- /dev/null
+++ b/src/routing/slow_start.cpp
@@ -0,0 +1,75 @@
+#include "routing/slow_start.h"
+
+#include <algorithm>
+#include <cmath>
+
+#include "routing/hash.h"
+
+namespace rookproxy::routing {
+constexpr double kBudgetMargin = 0.5;     // share of our part that we use: estimates may be half of the work
+constexpr double kMinQueriesPerPart = 2;  // queries of mean work; a smaller part is dealt out in turns
+constexpr double kUnestimatedFactor = 3;  // times its class's mean that a query without estimate may take
+constexpr double kTurnBudgetShare = 0.5;  // share of the budget that is dealt out in turns ...
+constexpr double kMaxTurnCapacity = 1.2;  // ... at most, in times the capacity that the engine has
+constexpr double kMaxQueryShare = 0.3;    // share of all instances' budget that one query may take of it
+constexpr double kCapacityUtilization = 0.85;  // share of its cores that an engine keeps busy at capacity
+
+bool SlowStartLimiter::warming_up(const Engine& engine) const {
+  const auto& slow_start = state_.settings.slow_start;
+  const Time age = state_.now - engine.warming_since;
+  return slow_start && engine.warming_since > 0 && age < slow_start->warm_up_period;
+}
+
+double SlowStartLimiter::capacity_share(const Engine& engine) const {
+  if (!warming_up(engine)) return 1;
+  const SlowStart& slow_start = *state_.settings.slow_start;
+  const Time elapsed = std::max<Time>(0, state_.now - engine.warming_since);  // clocks may differ
+  const double age = static_cast<double>(elapsed) / static_cast<double>(slow_start.warm_up_period);
+  return slow_start.initial_share + (1 - slow_start.initial_share) * age * age;
+}
+
+double SlowStartLimiter::budget(const Engine& engine) const {
+  const SlowStart& slow_start = *state_.settings.slow_start;
+  return kBudgetMargin * slow_start.overload_factor * capacity_share(engine) * kCapacityUtilization *
+         engine.cores * static_cast<double>(slow_start.overload_window) / state_.settings.instance_count;
+}
+
+bool SlowStartLimiter::allows(Engine& engine, const Request& request) const {
+  if (!warming_up(engine)) return true;
+  engine.warm_up_sends.forget_until(state_.now - state_.settings.slow_start->overload_window);
+  const double mean = state_.class_of(request).conservative_work();
+  const double work = std::max(mean, request.work) * (request.has_estimate ? 1 : kUnestimatedFactor);
+  if (budget(engine) < kMinQueriesPerPart * mean) return has_turn(engine, request, work);
+  return engine.warm_up_sends.total_with(work) <= budget(engine);
+}
+
+bool SlowStartLimiter::has_turn(const Engine& engine, const Request& request, double work) const {
+  const SlowStart& slow_start = *state_.settings.slow_start;
+  const auto window = static_cast<double>(slow_start.overload_window);
+  const double capacity = kCapacityUtilization * engine.cores;
+  // The engine may stay at its initial share until it is warm at once.
+  const double least_budget = slow_start.overload_factor * slow_start.initial_share * capacity * window;
+  if (!engine.warm_up_sends.empty() || work > kMaxQueryShare * least_budget) return false;
+  const double rate = std::min(kTurnBudgetShare * slow_start.overload_factor, kMaxTurnCapacity) * capacity /
+                      static_cast<double>(state_.classes.size());
+  const auto age = static_cast<double>(state_.now - engine.warming_since);
+  // The capacity share grows with the square of the age, so its mean so far is a third of this sum.
+  const double dealt = rate * age * (2 * slow_start.initial_share + capacity_share(engine)) / 3;
+  const double round = state_.class_of(request).conservative_work() * state_.settings.instance_count;
+  const double place = (state_.settings.instance_index + 0.5) / state_.settings.instance_count +
+                       unit_interval(mix(engine.name_hash ^ request.class_index));
+  const double turns = dealt / round - (place - std::floor(place));
+  return turns >= 0 && (turns - std::floor(turns)) * round <= rate * capacity_share(engine) * window;
+}
+
+void SlowStartLimiter::record_send(Engine& engine, const Request& request) const {
+  if (!warming_up(engine)) return;
+  engine.warm_up_sends.add(state_.now, std::max(state_.class_of(request).conservative_work(), request.work));
+}
+
+void SlowStartLimiter::record_restart(Engine& engine) const {
+  if (!warming_up(engine) || engine.warming_since >= state_.first_event_at) return;
+  engine.warm_up_sends.add(state_.first_event_at, budget(engine));
+}
+
+}  // namespace rookproxy::routing
--- a/src/routing/threads_by_priority.h
+++ b/src/routing/threads_by_priority.h
@@ -19,8 +19,9 @@
   void add(int priority, double threads) { threads_[static_cast<std::size_t>(priority)] += threads; }
   // Moves every count toward that of `other` by the share `weight` (0 to 1) of the difference.
   void approach(const ThreadsByPriority& other, double weight) {
-    for (std::size_t i = 0; i < threads_.size(); ++i)
+    for (std::size_t i = 0; i < threads_.size(); ++i) {
       threads_[i] += weight * (other.threads_[i] - threads_[i]);
+    }
   }
   // The threads of this priority and all higher ones.
   [[nodiscard]] double at_or_above(int priority) const {
--- a/tests/routing/placement_test.cpp
+++ b/tests/routing/placement_test.cpp
@@ -51,7 +51,7 @@
     Placement one, other;
     for (std::uint64_t group = 0; group < 9; ++group) {
       const auto of = [&](std::uint64_t who) {
-        return 0.08 + 0.06 * unit(mix(seed * 100 + group * 2 + who));
+        return 0.08 + 0.06 * unit_interval(mix(seed * 100 + group * 2 + who));
       };
       one.record_demand(group, of(0), 0), other.record_demand(group, of(1), 0);
     }
