--- a/src/app/app.h
+++ b/src/app/app.h
@@ -6,7 +6,7 @@
 #include "admin/ops.h"
 #include "app/hot_restart.h"
 #include "auth/gatekeeper.h"
-#include "cluster/runtime/fleet.h"
+#include "cluster/runtime/cluster.h"
 #include "config/config.h"
 #include "discovery/directory.h"
 #include "dispatcher/dispatcher.h"
--- a/src/cluster/consensus.cpp
+++ b/src/cluster/consensus.cpp
@@ -115,7 +115,7 @@
 }
 
 bool Consensus::lease_holds(Time now) const {
-  return now >= clock_.last_event_time() && lease_.is_held(clock_.elapsed_at(now));
+  return now >= clock_.last_event_time() && lease_.is_valid(clock_.elapsed_at(now));
 }
 
 bool Consensus::has_quorum(Time now) const {
--- a/src/cluster/plan_lease.cpp
+++ b/src/cluster/plan_lease.cpp
@@ -20,7 +20,7 @@
 }
 
 void PlanLease::count_expiry(Elapsed now, ConsensusMetrics& metrics) {
-  if (is_expiry_counted_ || is_held(now)) return;
+  if (is_expiry_counted_ || is_valid(now)) return;
   ++metrics.leases_expired;
   is_expiry_counted_ = true;
 }
--- a/src/cluster/plan_lease.h
+++ b/src/cluster/plan_lease.h
@@ -17,7 +17,7 @@
   explicit PlanLease(std::size_t member_count) : received_queries_(member_count) {}
 
   // Whether a majority has lately confirmed that it holds the known plan.
-  bool is_held(Elapsed now) const { return now < lease_expires_at_; }
+  bool is_valid(Elapsed now) const { return now < lease_expires_at_; }
   // Whether a majority has lately been heard of, though it may hold the plan of another epoch.
   bool has_quorum(Elapsed now) const { return now < quorum_expires_at_; }
   // When count_expiry() has something to do; kNever if no lease is held.
--- a/src/cluster/transport/codec.h
+++ b/src/cluster/transport/codec.h
@@ -1,6 +1,7 @@
-// A message between dispatchers as a datagram, and back. docs/peers.md has the layout and its sizes.
+// Messages between dispatchers as datagrams, and back. docs/peers.md has the layout and its sizes.
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
 #include <optional>
 #include <string>
@@ -8,46 +9,50 @@
 #include <variant>
 #include <vector>
 
-#include "cluster/transport/proof.h"
-#include "cluster/transport/reason.h"
 #include "cluster/messages.h"
+#include "cluster/transport/drop_reason.h"
+#include "cluster/transport/message_authenticator.h"
+#include "cluster/transport/message_validation.h"
 
 namespace rookproxy::cluster::transport {
 
-constexpr std::size_t kMaxDatagramBytes = 256;  // the platform's bound for a datagram between dispatchers
+// The platform's limit for a datagram between dispatchers.
+inline constexpr std::size_t kMaxDatagramBytes = 256;
 
+// A message with all that a datagram carries beside it.
 struct Envelope {
-  cluster::MemberId sender = 0;
-  cluster::Incarnation incarnation = 0;
-  std::uint64_t sequence = 0;  // of the sender's process, one more each datagram
-  cluster::MessageBody body;
-  std::vector<cluster::GossipUpdate> gossip;
+  MemberId sender = 0;
+  Incarnation incarnation = 0;
+  std::uint64_t sequence = 0;  // of the sender's process, one more for each datagram
+  MessageBody body;
+  std::vector<GossipUpdate> gossip;
   bool operator==(const Envelope&) const = default;
 };
 
+// Encodes and decodes the datagrams of one member. Never throws on what it is given to decode.
 class Codec {
  public:
-  // `fleet`: a fingerprint of the list of peers, since members are known by their places in it. `self`: our
-  // own place, out of that many members.
-  Codec(std::uint32_t fleet, cluster::MemberId self, std::size_t members,
+  // `cluster_fingerprint`: of the list of members, since a member is identified by its position in it.
+  // `self`: this member's position, out of `member_count`. `keys`: see MessageAuthenticator, which throws.
+  Codec(std::uint32_t cluster_fingerprint, MemberId self, std::size_t member_count,
         const std::vector<std::string>& keys);
 
-  // At most kMostBytes, or why not. `to` nobody: for every member. Who it is for is under the proof, so that
-  // a datagram for one can't be shown to another.
-  std::variant<std::string, DropReason> encode(const Envelope& envelope,
-                                               std::optional<cluster::MemberId> to) const;
-  // Looks into nothing that is not proved, where a key is set; throws nothing, whatever comes.
-  std::variant<Envelope, DropReason> decode(std::string_view bytes) const;
-  // How many rumours fit beside this envelope's body, whatever they are; those that it has don't count.
+  // At most kMaxDatagramBytes, or why the envelope can't be encoded. `to`: nothing for all members. The
+  // receiver is authenticated, so that a datagram for one member can't be replayed to another.
+  std::variant<std::string, DropReason> encode(const Envelope& envelope, std::optional<MemberId> to) const;
+  // Where a key is set, interprets nothing that is not authenticated.
+  std::variant<Envelope, DropReason> decode(std::string_view datagram) const;
+  // How many updates of any content fit beside the envelope's body; those that it has are ignored.
   std::size_t gossip_capacity(Envelope envelope) const;
 
  private:
-  std::string authenticated_prefix(std::optional<cluster::MemberId> to) const;
-  std::optional<DropReason> validate(const Envelope& envelope) const;
+  std::variant<std::string_view, DropReason> authenticate(std::string_view datagram) const;
+  std::variant<Envelope, DropReason> read(std::string_view payload) const;
+  std::optional<DropReason> find_fault(const Envelope& envelope) const;
 
   std::uint32_t cluster_fingerprint_;
-  cluster::MemberId self_;
-  std::size_t members_;
+  MemberId self_;
+  MessageValidator validator_;
   MessageAuthenticator authenticator_;
 };
 
--- /dev/null
+++ b/tests/cluster/event_loop_script.h
@@ -0,0 +1,36 @@
+// Runs an event loop through a script.
+#pragma once
+
+#include <cstddef>
+#include <functional>
+#include <vector>
+
+#include "fakes/standins.h"
+#include "net/loop.h"
+
+namespace rookproxy::test {
+
+// Waits until the condition holds, then acts.
+struct ScriptStep {
+  std::function<bool()> is_ready;
+  std::function<void()> action = [] {};
+};
+
+// Runs the steps one after another, and returns whether all were reached within the time limit of the tests.
+inline bool run_script(EventLoop& loop, const std::vector<ScriptStep>& steps) {
+  std::size_t next = 0;
+  const Time deadline = loop.now() + kWaitLimit;
+  std::function<void()> check = [&] {
+    while (next < steps.size() && steps[next].is_ready()) steps[next++].action();
+    if (next == steps.size() || loop.now() > deadline) {
+      loop.stop();
+      return;
+    }
+    loop.run_at(loop.now() + std::chrono::milliseconds(1), check);
+  };
+  loop.run_at(loop.now(), check);
+  loop.run();
+  return next == steps.size();
+}
+
+}  // namespace rookproxy::test
