--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -10,7 +10,7 @@
 
 #include "base/numbers.h"
 #include "config/reader.h"
-#include "simulator/adapter.h"
+#include "settings/settings_reader.h"
 
 namespace rookproxy {
 namespace {
@@ -89,7 +89,7 @@
   const std::vector<std::string_view> views(pairs.begin(), pairs.end());
   check_classes(ConfigReader(settings, "settings"));
   try {
-    config.settings = rookproxy::simulator::parse_settings(config.seed, views);
+    config.settings = rookproxy::settings::parse_settings(config.seed, views);
     // The module has checks of its own. A running one could not be talked into half of what it turns down.
     const routing::Router trial(config.settings);
   } catch (const std::exception& fault) {
--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -1,3 +1,4 @@
+// The simulator adapter: the decision module behind the simulator's protocol on standard input and output.
 #include <iostream>
 
 #include "simulator/adapter.h"
