--- a/src/app/app.cpp
+++ b/src/app/app.cpp
@@ -65,7 +65,7 @@
 ClusterSettings cluster_settings(const Config& config) {
   ClusterSettings settings;
   settings.peers.listen_address = config.peers->listen;
-  for (const auto& [name, at] : config.peers->peers) settings.peers.members.push_back(at);
+  for (const PeerConfig& peer : config.peers->peers) settings.peers.members.push_back(peer.address);
   settings.peers.self = static_cast<cluster::MemberId>(config.cluster->self_index);
   settings.peers.broadcast_address = config.peers->broadcast_address;
   settings.peers.bytes_per_second = config.cluster->bytes_per_second;
@@ -117,8 +117,8 @@
 
 // Without usable ones a dispatcher serves as if it were alone.
 void log_peers(Logger& log, const Config& config) {
-  if (!config.peers_error.empty()) {
-    log.write(LogLevel::kWarning, "config", "no peers: " + config.peers_error, {});
+  if (config.peers_error) {
+    log.write(LogLevel::kWarning, "config", std::string("no peers: ") + config.peers_error->what(), {});
   } else if (config.peers) {
     log.write(
         LogLevel::kInfo, "config", "peers known",
--- a/src/config/agent_config.h
+++ b/src/config/agent_config.h
@@ -1,7 +1,9 @@
-// The agent's file: which instances there are and how they are kept.
+// The agent's configuration: which instances there are and how they are supervised.
 #pragma once
 
+#include <chrono>
 #include <map>
+#include <nlohmann/json_fwd.hpp>
 #include <string>
 #include <vector>
 
@@ -9,29 +11,35 @@
 
 namespace rookproxy {
 
+// One program that the agent keeps running.
 struct InstanceConfig {
   std::string name;
   std::vector<std::string> command;
-  std::map<std::string, std::string> environment;  // beside the agent's own
+  std::map<std::string, std::string> environment;  // added to the agent's own
   bool autostart = true;
-  // Held by the agent and passed to the instance's processes as descriptors 3, 4 and so on.
+  // Opened by the agent and passed to the instance's processes as descriptors 3, 4 and so on.
   std::vector<SocketAddress> listen;
-  std::vector<SocketAddress>
-      admin;  // operators' addresses: its processes take turns at two, so that both have one
+  // Addresses for operators. Two processes of an upgrade need one each, so there may be two that take turns.
+  std::vector<SocketAddress> admin;
 };
 
+// The agent's file.
 struct AgentConfig {
-  std::string socket;
-  Duration initial_backoff = std::chrono::milliseconds(200), max_backoff = std::chrono::seconds(30);
+  std::string socket;  // the path of the socket for commands
+  Duration initial_backoff = std::chrono::milliseconds(200);
+  Duration max_backoff = std::chrono::seconds(30);
   Duration stable_after =
-      std::chrono::seconds(10);  // an instance that ran so long starts over with the first pause
-  Duration ready_timeout = std::chrono::seconds(10);  // a successor, or the former process serves on
+      std::chrono::seconds(10);  // an instance that ran this long starts over with the first pause
+  Duration ready_timeout = std::chrono::seconds(10);  // for a successor; then the former process goes on
   Duration stop_timeout = std::chrono::seconds(30);   // after SIGTERM; then SIGKILL
   std::vector<InstanceConfig> instances;
   LogConfig log;
 };
 
-AgentConfig load_agent_config(const std::string& path);
-AgentConfig read_agent_config(const nlohmann::json& document);
+// Loads the agent's TOML file. Throws ConfigError.
+[[nodiscard]] AgentConfig load_agent_config(const std::string& path);
+
+// Reads the agent's file as a JSON document. Throws ConfigError.
+[[nodiscard]] AgentConfig read_agent_config(const nlohmann::json& document);
 
 }  // namespace rookproxy
--- /dev/null
+++ b/src/config/peers_section.cpp
@@ -0,0 +1,121 @@
+// The other dispatchers: `peers`, `peers_all` and `peer_listen`.
+#include <algorithm>
+#include <cstddef>
+#include <set>
+#include <utility>
+
+#include "config/sections.h"
+
+namespace rookproxy {
+namespace {
+
+using nlohmann::json;
+
+constexpr std::size_t kMaxPeers = 1024;
+
+SocketAddress read_address(const json& value, const std::string& path) {
+  if (!value.is_string()) throw ConfigError(path, "not an address like 10.0.0.1:7000");
+  const auto text = value.get<std::string>();
+  const auto address = parse_socket_address(text);
+  if (!address || address->port == 0 || address->ip == 0) {
+    throw ConfigError(path, "not an address like 10.0.0.1:7000 ('" + text + "')");
+  }
+  return *address;
+}
+
+// The name in a table of a list, which has none unless it says so.
+std::string read_peer_name(const json& table, const std::string& fallback, const std::string& path) {
+  for (const char* key : {"name", "id"}) {
+    if (!table.contains(key)) continue;
+    const json& name = table[key];
+    if (name.is_string()) return name.get<std::string>();
+    if (name.is_number_unsigned()) return name.dump();
+    throw ConfigError(path + "." + key, "neither a text nor a number");
+  }
+  return fallback;
+}
+
+// An element of a list: the address itself, or a table with it and perhaps a name.
+PeerConfig read_peer(const json& value, std::size_t number, const std::string& path) {
+  const std::string place = std::to_string(number);
+  if (!value.is_object()) return {place, read_address(value, path)};
+  std::string name = read_peer_name(value, place, path);
+  for (const char* key : {"address", "host_port", "addr"}) {
+    if (value.contains(key)) return {std::move(name), read_address(value[key], path + "." + key)};
+  }
+  throw ConfigError(path, "names no `address`");
+}
+
+void check_unique(const std::vector<PeerConfig>& peers) {
+  std::set<SocketAddress> addresses;
+  std::set<std::string> names;
+  for (const PeerConfig& peer : peers) {
+    if (!addresses.insert(peer.address).second) {
+      throw ConfigError("peers", "there twice: " + peer.address.to_string());
+    }
+    if (!names.insert(peer.name).second) throw ConfigError("peers", "two are named '" + peer.name + "'");
+  }
+}
+
+std::vector<PeerConfig> read_peer_list(const json& value) {
+  if (!value.is_array() && !value.is_object()) {
+    throw ConfigError("peers", "neither a list of addresses nor a table of them by name");
+  }
+  if (value.size() > kMaxPeers) {
+    throw ConfigError("peers",
+                      "more than " + std::to_string(kMaxPeers) + " (" + std::to_string(value.size()) + ")");
+  }
+  std::vector<PeerConfig> peers;
+  for (const auto& [key, entry] : value.items()) {
+    const std::string path = "peers." + key;
+    peers.push_back(value.is_array() ? read_peer(entry, peers.size(), path)
+                                     : PeerConfig{key, read_address(entry, path)});
+  }
+  // A table has no order of its own: n2 comes before n10.
+  if (value.is_object()) {
+    std::sort(peers.begin(), peers.end(), [](const PeerConfig& left, const PeerConfig& right) {
+      if (left.name.size() != right.name.size()) return left.name.size() < right.name.size();
+      return left.name < right.name;
+    });
+  }
+  check_unique(peers);
+  return peers;
+}
+
+// Whether the settings allow messages to peers; where they say nothing, they don't.
+json peer_messages_allowed(const json& document) {
+  return document.value(json::json_pointer("/settings/permissions/may_tell"), json(false));
+}
+
+}  // namespace
+
+std::optional<PeersConfig> read_peers(const json& document) {
+  const ConfigReader reader(document, "");
+  PeersConfig config;
+  if (reader.has("peers")) config.peers = read_peer_list(reader.required("peers"));
+  if (reader.has("peers_all")) {
+    config.broadcast_address = read_address(reader.required("peers_all"), "peers_all");
+  }
+  const bool has_peers = !config.peers.empty() || config.broadcast_address;
+  if (reader.has("peer_listen")) {
+    config.listen = read_address(reader.required("peer_listen"), "peer_listen");
+  } else if (has_peers) {
+    throw ConfigError("peer_listen", "missing, and there are `peers`");
+  }
+  const json allowed = peer_messages_allowed(document);
+  if (!allowed.is_boolean()) throw ConfigError("settings.permissions.may_tell", "neither true nor false");
+  if (!has_peers || !allowed.get<bool>()) return std::nullopt;
+  return config;
+}
+
+std::optional<PeersConfig> peers_after_reload(const Config& running, const Config& fresh) {
+  const json& document = *fresh.document;
+  const bool named = document.contains("peers") || document.contains("peers_all");
+  const bool keeps_former = !named || fresh.peers_error;
+  std::optional<PeersConfig> peers = fresh.peers;
+  if (!peers && keeps_former && peer_messages_allowed(document) == json(true)) peers = running.peers;
+  if (peers && running.peers) peers->listen = running.peers->listen;
+  return peers;
+}
+
+}  // namespace rookproxy
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -30,7 +30,7 @@
       argc, argv, "rookproxy", kAbout, kFooter, false, [](const ProgramOptions& options, Logger& log) {
         const Config config = load_config(read_environment(), options.config_file);
         if (options.check_only) {
-          if (!config.peers_error.empty()) throw SettingsError(config.peers_error);
+          if (config.peers_error) throw ConfigError(*config.peers_error);
           if (config.access) auth::load_auth_files(*config.access);
           if (config.tls) std::cout << tls::describe(*tls::ServerContext::load(config.tls->server)) << "\n";
           if (config.cluster) cluster_settings(config);
--- a/tests/integration/deployments_test.cpp
+++ b/tests/integration/deployments_test.cpp
@@ -193,16 +193,16 @@
         R"([{"addr":"10.0.0.1:7000"},"10.0.0.2:7001"])"}) {
     INFO(peers);
     const Config config = read_config(with_peers(std::string(R"({"peers":)") + peers + "}"));
-    CHECK(config.peers_error.empty());
+    CHECK_FALSE(config.peers_error);
     REQUIRE(config.peers);
     CHECK(config.peers->listen == SocketAddress{0x0a000009, 7000});
-    CHECK(config.peers->peers == decltype(config.peers->peers){{"0", first}, {"1", second}});
+    CHECK(config.peers->peers == std::vector<PeerConfig>{{"0", first}, {"1", second}});
     CHECK_FALSE(config.peers->broadcast_address);
   }
   const Config named = read_config(
       with_peers(R"({"peers":{"n10":"10.0.0.1:7000","n2":"10.0.0.2:7001"},"peers_all":"10.0.0.3:7"})"));
   REQUIRE(named.peers);
-  CHECK(named.peers->peers.front().first == "n2");
+  CHECK(named.peers->peers.front().name == "n2");
   CHECK(named.peers->broadcast_address == SocketAddress{0x0a000003, 7});
 }
 
@@ -234,17 +234,18 @@
     for (const auto& [patch, fault] : faults) {
       INFO(patch);
       const Config config = read_config(with_peers(patch, may_tell));
-      CHECK(config.peers_error.starts_with(fault));
+      REQUIRE(config.peers_error);
+      CHECK(std::string(config.peers_error->what()).starts_with(fault));
       CHECK_FALSE(config.peers);
     }
   }
   for (const char* nobody : {R"({})", R"({"peers":[]})", R"({"peers":{},"peer_listen":null})"}) {
     INFO(nobody);
-    CHECK(read_config(with_peers(nobody)).peers_error.empty());
+    CHECK_FALSE(read_config(with_peers(nobody)).peers_error);
     CHECK_FALSE(read_config(with_peers(nobody)).peers);
   }
   const Config forbidden = read_config(with_peers(R"({"peers":["10.0.0.1:7"]})", false));
-  CHECK(forbidden.peers_error.empty());
+  CHECK_FALSE(forbidden.peers_error);
   CHECK_FALSE(forbidden.peers);
 }
 
@@ -265,7 +266,7 @@
       peers_after_reload(running, loaded(R"({"peers":["10.0.0.2:7"],"peer_listen":"10.0.0.9:8"})"));
   REQUIRE(moved);
   CHECK(moved->listen == running.peers->listen);
-  CHECK(moved->peers.front().second == SocketAddress{0x0a000002, 7});
+  CHECK(moved->peers.front().address == SocketAddress{0x0a000002, 7});
 }
 
 TEST_CASE("peers: a running dispatcher says what is wrong with them and serves, and rereads without them") {
