--- a/src/admin/call.h
+++ b/src/admin/call.h
@@ -4,6 +4,7 @@
 #include <functional>
 #include <string>
 
+#include "net/sockets.h"
 #include "net/stream.h"
 
 namespace rookproxy {
--- a/src/admin/ops.h
+++ b/src/admin/ops.h
@@ -8,6 +8,7 @@
 #include <vector>
 
 #include "dispatcher/figures.h"
+#include "net/acceptor.h"
 #include "net/stream.h"
 
 namespace rookproxy {
--- a/src/agent/main.cpp
+++ b/src/agent/main.cpp
@@ -2,7 +2,7 @@
 #include <csignal>
 
 #include "agent/server.h"
-#include "net/signals.h"
+#include "net/signal_watcher.h"
 #include "options/options.h"
 
 namespace {
--- a/src/agent/server.h
+++ b/src/agent/server.h
@@ -10,6 +10,7 @@
 #include <string>
 
 #include "agent/supervisor.h"
+#include "net/acceptor.h"
 #include "net/stream.h"
 
 namespace rookproxy {
--- a/src/agent/supervisor.h
+++ b/src/agent/supervisor.h
@@ -9,7 +9,7 @@
 
 #include "admin/call.h"
 #include "config/agent_config.h"
-#include "net/loop.h"
+#include "net/event_loop.h"
 
 namespace rookproxy {
 
--- a/src/app/app.h
+++ b/src/app/app.h
@@ -12,7 +12,7 @@
 #include "dispatcher/dispatcher.h"
 #include "frontend/frames.h"
 #include "frontend/mysql.h"
-#include "net/file_watch.h"
+#include "net/file_watcher.h"
 #include "policy/shutdown.h"
 #include "upstream/lines.h"
 #include "upstream/mysql.h"
--- a/src/app/hot_restart.h
+++ b/src/app/hot_restart.h
@@ -4,7 +4,7 @@
 
 #include <string>
 
-#include "net/fd.h"
+#include "net/sockets.h"
 
 namespace rookproxy {
 
--- a/src/auth/gatekeeper.h
+++ b/src/auth/gatekeeper.h
@@ -14,7 +14,7 @@
 #include "auth/settings.h"
 #include "dispatcher/figures.h"
 #include "log/log.h"
-#include "net/loop.h"
+#include "net/event_loop.h"
 #include "sql/tables.h"
 
 namespace rookproxy::auth {
--- a/src/cluster/transport/proof.cpp
+++ b/src/cluster/transport/proof.cpp
@@ -11,7 +11,7 @@
 #include <cerrno>
 #include <cstring>
 
-#include "net/fd.h"
+#include "net/sockets.h"
 
 namespace rookproxy::cluster::transport {
 namespace {
--- a/src/cluster/transport/socket.h
+++ b/src/cluster/transport/socket.h
@@ -11,7 +11,8 @@
 #include "cluster/replay.h"
 #include "cluster/transport/budget.h"
 #include "cluster/transport/codec.h"
-#include "net/loop.h"
+#include "net/event_loop.h"
+#include "net/sockets.h"
 
 namespace rookproxy::cluster::transport {
 
--- a/src/ctl/main.cpp
+++ b/src/ctl/main.cpp
@@ -17,7 +17,7 @@
 
 #include "ctl/certificates.h"
 #include "ctl/keys.h"
-#include "net/fd.h"
+#include "net/sockets.h"
 
 namespace {
 
--- a/src/dispatcher/dispatcher.h
+++ b/src/dispatcher/dispatcher.h
@@ -11,7 +11,7 @@
 #include "dispatcher/figures.h"
 #include "dispatcher/interfaces.h"
 #include "log/log.h"
-#include "net/loop.h"
+#include "net/event_loop.h"
 #include "policy/attempt_guard.h"
 
 namespace rookproxy {
--- a/src/dispatcher/interfaces.h
+++ b/src/dispatcher/interfaces.h
@@ -11,8 +11,8 @@
 
 #include "base/time.h"
 #include "dispatcher/module_time.h"
-#include "net/fd.h"
-#include "net/slots.h"
+#include "net/slot_map.h"
+#include "net/socket_address.h"
 #include "rookproxy/routing/router.h"
 
 namespace rookproxy {
--- a/src/fakes/lines_engine.cpp
+++ b/src/fakes/lines_engine.cpp
@@ -2,7 +2,9 @@
 
 #include <memory>
 
-#include "net/slots.h"
+#include "net/acceptor.h"
+#include "net/slot_map.h"
+#include "net/sockets.h"
 #include "net/stream.h"
 
 namespace rookproxy::test {
--- a/src/fakes/relay.h
+++ b/src/fakes/relay.h
@@ -14,7 +14,8 @@
 #include <thread>
 #include <vector>
 
-#include "net/loop.h"
+#include "net/event_loop.h"
+#include "net/sockets.h"
 
 namespace rookproxy::test {
 
--- a/src/fakes/standins.h
+++ b/src/fakes/standins.h
@@ -16,7 +16,7 @@
 #include "discovery/dns.h"
 #include "fakes/tls_peer.h"
 #include "mysql/protocol.h"
-#include "net/fd.h"
+#include "net/sockets.h"
 
 namespace rookproxy::test {
 
--- a/src/frontend/frames.cpp
+++ b/src/frontend/frames.cpp
@@ -321,7 +321,7 @@
       frame_timer_ = {};
       read_now();
       const bool is_late = frame_in_progress_ || last_frame_at_ == Time();
-      if (closing_ || frame_timer_.second != 0 || !is_late) return;
+      if (closing_ || frame_timer_.is_set() || !is_late) return;
       if (open_requests_.empty()) return close_gracefully();
       start_frame_timer(front_.limits_.frame_timeout);
     });
@@ -355,7 +355,7 @@
     }
     if (denial_ != policy::Denial::kNone) {
       // Once, whatever else it sends: what crosses the word to go away is still refused by name.
-      if (!open_requests_.empty() || idle_timer_.second != 0) return;
+      if (!open_requests_.empty() || idle_timer_.is_set()) return;
       idle_timer_ = front_.loop_.run_at(front_.loop_.now() + front_.linger_timeout_,
                                         [this] { protocol_error("its credentials are not good"); });
       return;
@@ -366,7 +366,7 @@
       idle_timer_ = {};
       read_now();
       // A frame that has begun has its own time, and its end sets this one anew.
-      if (open_requests_.empty() && !frame_in_progress_ && idle_timer_.second == 0) close_gracefully();
+      if (open_requests_.empty() && !frame_in_progress_ && !idle_timer_.is_set()) close_gracefully();
     });
   }
 
--- a/src/frontend/frames.h
+++ b/src/frontend/frames.h
@@ -11,8 +11,9 @@
 
 #include "auth/certificate.h"
 #include "dispatcher/dispatcher.h"
+#include "net/acceptor.h"
+#include "net/incremental_scan.h"
 #include "net/stream.h"
-#include "net/sweep.h"
 
 namespace rookproxy {
 
--- a/src/frontend/mysql.cpp
+++ b/src/frontend/mysql.cpp
@@ -203,7 +203,7 @@
     timer_ = front_.loop_.run_at(front_.loop_.now() + pause, [this] {
       timer_ = {};
       read_now();  // a command that lies there sets it anew
-      if (state_ != State::kBusy && state_ != State::kCheckingToken && timer_.second == 0) close_gracefully();
+      if (state_ != State::kBusy && state_ != State::kCheckingToken && !timer_.is_set()) close_gracefully();
     });
   }
 
--- a/src/frontend/mysql.h
+++ b/src/frontend/mysql.h
@@ -9,8 +9,9 @@
 #include "config/config.h"
 #include "dispatcher/dispatcher.h"
 #include "mysql/protocol.h"
+#include "net/acceptor.h"
+#include "net/incremental_scan.h"
 #include "net/stream.h"
-#include "net/sweep.h"
 
 namespace rookproxy {
 
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -10,7 +10,7 @@
 #include <utility>
 
 #include "base/time.h"
-#include "net/fd.h"
+#include "net/sockets.h"
 
 namespace rookproxy {
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -5,8 +5,8 @@
 
 #include "app/app.h"
 #include "auth/settings.h"
-#include "net/file_watch.h"
-#include "net/signals.h"
+#include "net/file_watcher.h"
+#include "net/signal_watcher.h"
 #include "options/options.h"
 
 namespace {
--- /dev/null
+++ b/src/net/event_loop.cpp
@@ -0,0 +1,124 @@
+#include "net/event_loop.h"
+
+#include <sys/epoll.h>
+
+#include <algorithm>
+#include <cerrno>
+#include <system_error>
+
+#include "net/clock.h"
+
+namespace rookproxy {
+namespace {
+
+constexpr int kEventsPerWait = 128;
+constexpr std::int64_t kLongestWaitMilliseconds = 60'000;
+constexpr int kWaitForEver = -1;
+
+}  // namespace
+
+EventLoop::EventLoop() : epoll_(::epoll_create1(EPOLL_CLOEXEC)), now_(monotonic_now()) {
+  if (!epoll_) throw std::system_error(errno, std::generic_category(), "epoll_create1");
+}
+
+SlotKey EventLoop::watch(int descriptor, EventHandler& handler) {
+  const SlotKey key = handlers_.insert(&handler);
+  epoll_event event{};
+  event.events = EPOLLIN | EPOLLOUT | EPOLLRDHUP | EPOLLET;
+  event.data.u64 = key;
+  if (::epoll_ctl(epoll_.get(), EPOLL_CTL_ADD, descriptor, &event) == 0) return key;
+  handlers_.take(key);
+  return 0;
+}
+
+void EventLoop::unwatch(SlotKey key, int descriptor) {
+  if (!handlers_.take(key)) return;
+  ::epoll_ctl(epoll_.get(), EPOLL_CTL_DEL, descriptor, nullptr);
+}
+
+void EventLoop::requeue(SlotKey key, std::uint32_t events) { requeued_.push_back({key, events}); }
+
+TimerId EventLoop::run_at(Time due, Task task) {
+  const TimerId id{due, next_timer_sequence_++};
+  timers_.emplace(id, std::move(task));
+  return id;
+}
+
+void EventLoop::cancel(TimerId& id) {
+  if (id.is_set()) timers_.erase(id);
+  id = {};
+}
+
+void EventLoop::run() {
+  while (!stopped_) run_iteration(true);
+  stopped_ = false;  // it may be run again
+}
+
+bool EventLoop::run_due_timers() {
+  // Only those that are due and were set before this iteration's timers began: one set meanwhile for a time
+  // already past (as when the routing module wants to be called at once) waits for the next iteration, which
+  // does not wait for events. Otherwise a timer that sets itself again would keep the iteration, and its
+  // clock, for ever.
+  std::vector<TimerId> due;
+  for (auto timer = timers_.begin(); timer != timers_.end() && timer->first.due <= now_; ++timer) {
+    due.push_back(timer->first);
+  }
+  for (const TimerId& id : due) {
+    auto node = timers_.extract(id);
+    if (!node.empty()) node.mapped()();  // empty: cancelled by a timer before it
+  }
+  return !due.empty();
+}
+
+void EventLoop::run_deferred() {
+  while (!deferred_.empty()) {
+    std::vector<Task> tasks;
+    tasks.swap(deferred_);
+    for (auto& task : tasks) task();
+  }
+}
+
+// How long to wait for events: not at all, until the first timer is due, or for ever. Reports the iteration
+// that ends here if it was a long one.
+int EventLoop::wait_milliseconds(bool may_wait) {
+  if (!may_wait || !requeued_.empty()) return 0;
+  if (timers_.empty()) return kWaitForEver;
+  const Time now = monotonic_now();
+  if (now - now_ >= stall_threshold_) on_stalled_iteration_(now - now_);
+  const auto remaining = std::chrono::ceil<std::chrono::milliseconds>(timers_.begin()->first.due - now);
+  return static_cast<int>(std::clamp<std::int64_t>(remaining.count(), 0, kLongestWaitMilliseconds));
+}
+
+// The kernel's events, then the requeued ones: a listener that has used up its share must not push out the
+// connections it has just accepted before what they sent is read.
+std::vector<EventLoop::ReadyEvent> EventLoop::wait_for_events(int timeout_milliseconds) {
+  epoll_event events[kEventsPerWait];
+  const int count = ::epoll_wait(epoll_.get(), events, kEventsPerWait, timeout_milliseconds);
+  if (count < 0 && errno != EINTR) throw std::system_error(errno, std::generic_category(), "epoll_wait");
+  now_ = monotonic_now();
+  std::vector<ReadyEvent> ready;
+  for (int i = 0; i < count; ++i) {
+    const epoll_event event = events[i];  // the kernel's struct is packed: no references into it
+    ready.push_back({event.data.u64, event.events});
+  }
+  ready.insert(ready.end(), requeued_.begin(), requeued_.end());
+  requeued_.clear();
+  idle_ = count >= 0 && ready.empty();  // a wait that a signal cut short has found out nothing
+  return ready;
+}
+
+bool EventLoop::run_iteration(bool may_wait) {
+  const std::vector<ReadyEvent> ready = wait_for_events(wait_milliseconds(may_wait));
+  for (const ReadyEvent& event : ready) {
+    // Looked up for each event: an earlier one in this iteration may have closed this handler and reused its
+    // slot.
+    if (EventHandler** handler = handlers_.find(event.key)) (*handler)->on_ready(event.events);
+  }
+  const bool timers_ran = run_due_timers();
+  run_deferred();
+  if (on_iteration_end_) on_iteration_end_();
+  run_deferred();
+  return timers_ran || !ready.empty();
+}
+
+}  // namespace rookproxy
--- a/src/tls/context.h
+++ b/src/tls/context.h
@@ -13,7 +13,7 @@
 #include <vector>
 
 #include "base/errors.h"
-#include "net/channel.h"
+#include "net/secure_channel.h"
 #include "policy/access.h"
 #include "policy/revocation.h"
 
--- a/src/upstream/pool.cpp
+++ b/src/upstream/pool.cpp
@@ -137,7 +137,7 @@
 bool ConnectionPool::close_idle_connection() {
   for (const SlotKey key : connections_.keys()) {
     if (const EngineConnection* idle = find_connection(key);
-        idle->open_attempts_ == 0 && !idle->probing_ && !idle->connect_timer_.second) {
+        idle->open_attempts_ == 0 && !idle->probing_ && !idle->connect_timer_.is_set()) {
       close_connection(key, "room for another");
       return true;
     }
@@ -184,7 +184,7 @@
     carried.connection = 0;
     assignments_[order.key] = carried;
     waiting_.push_back(order);
-    if (waiting_timer_.second == 0)
+    if (!waiting_timer_.is_set())
       waiting_timer_ = loop_.run_at(loop_.now() + kCapacityRetryInterval, [this] { assign_waiting(); });
     return;
   }
--- a/src/upstream/pool.h
+++ b/src/upstream/pool.h
@@ -12,6 +12,7 @@
 #include "dispatcher/figures.h"
 #include "dispatcher/interfaces.h"
 #include "log/log.h"
+#include "net/sockets.h"
 #include "net/stream.h"
 
 namespace rookproxy {
--- a/tests/dispatcher/components_test.cpp
+++ b/tests/dispatcher/components_test.cpp
@@ -14,6 +14,7 @@
 #include "dispatcher/rules.h"
 #include "fakes/standins.h"
 #include "log/log.h"
+#include "net/sockets.h"
 #include "net/stream.h"
 
 using namespace rookproxy;
--- a/tests/integration/descriptor_limit_test.cpp
+++ b/tests/integration/descriptor_limit_test.cpp
@@ -7,6 +7,8 @@
 #include <optional>
 
 #include "fakes/standins.h"
+#include "net/acceptor.h"
+#include "net/sockets.h"
 #include "net/stream.h"
 #include "policy/descriptor_budget.h"
 #include "support/scenario.h"
--- a/tests/support/descriptors.h
+++ b/tests/support/descriptors.h
@@ -6,7 +6,7 @@
 
 #include <vector>
 
-#include "net/fd.h"
+#include "net/sockets.h"
 
 namespace rookproxy::test {
 
