--- a/src/app/app.h
+++ b/src/app/app.h
@@ -8,7 +8,7 @@
 #include "auth/gatekeeper.h"
 #include "cluster/runtime/fleet.h"
 #include "config/config.h"
-#include "discovery/directory.h"
+#include "discovery/dns_discovery_client.h"
 #include "dispatcher/dispatcher.h"
 #include "frontend/frames.h"
 #include "frontend/mysql.h"
--- a/src/discovery/dns.cpp
+++ b/src/discovery/dns.cpp
@@ -3,115 +3,214 @@
 #include <algorithm>
 #include <cctype>
 #include <map>
+#include <optional>
+#include <utility>
 
 #include "base/numbers.h"
+#include "discovery/dns_message_reader.h"
 
 namespace rookproxy {
 namespace {
 
-constexpr std::uint16_t kTypeA = 1, kTypeSoa = 6, kTypeTxt = 16, kTypeSrv = 33, kClassInternet = 1;
-constexpr int kMaxPointerJumps = 32;
+constexpr std::uint16_t kTypeA = 1;
+constexpr std::uint16_t kTypeSoa = 6;
+constexpr std::uint16_t kTypeTxt = 16;
+constexpr std::uint16_t kTypeSrv = 33;
+constexpr std::uint16_t kClassInternet = 1;
 
-struct MalformedMessage {};
+// Bits of the header's second word.
+constexpr std::uint16_t kFlagResponse = 0x8000;
+constexpr std::uint16_t kFlagsOpcode = 0x7800;
+constexpr std::uint16_t kFlagTruncated = 0x0200;
+constexpr std::uint16_t kFlagRecursionDesired = 0x0100;
+constexpr std::uint16_t kFlagsResponseCode = 0x000f;
 
-class MessageReader {
- public:
-  explicit MessageReader(std::string_view bytes) : bytes_(bytes) {}
-  std::size_t position() const { return at_; }
-  void seek(std::size_t at) { at_ = at; }
-  std::uint8_t u8() {
-    if (at_ >= bytes_.size()) throw MalformedMessage();
-    return static_cast<std::uint8_t>(bytes_[at_++]);
-  }
-  std::uint16_t u16() {
-    const std::uint16_t high = u8();
-    return static_cast<std::uint16_t>(high << 8 | u8());
-  }
-  std::uint32_t u32() {
-    const std::uint32_t high = u16();
-    return high << 16 | u16();
-  }
-  std::string_view take(std::size_t size) {
-    if (size > bytes_.size() - at_) throw MalformedMessage();
-    const auto out = bytes_.substr(at_, size);
-    at_ += size;
-    return out;
-  }
-  // A name in lower case, labels parted by dots. Pointers lead only backwards and a bounded number of times,
-  // so that a message can't make us run in circles.
-  std::string name() {
-    std::string out;
-    std::size_t back = 0, limit = at_;
-    for (int jumps = 0;;) {
-      const std::uint8_t size = u8();
-      if (size == 0) break;
-      if ((size & 0xc0) == 0xc0) {
-        const std::size_t to = static_cast<std::size_t>(size & 0x3f) << 8 | u8();
-        if (back == 0) back = at_;
-        if (++jumps > kMaxPointerJumps || to >= limit) throw MalformedMessage();
-        limit = at_ = to;
-        continue;
-      }
-      if ((size & 0xc0) != 0) throw MalformedMessage();
-      if (!out.empty()) out += '.';
-      for (const char c : take(size)) out += static_cast<char>(std::tolower(static_cast<unsigned char>(c)));
-      if (out.size() > 255) throw MalformedMessage();
-    }
-    if (back != 0) at_ = back;
-    return out;
-  }
+constexpr std::size_t kIpv4Size = 4;
+constexpr double kSrvWeightPerUnit = 10;  // SRV weights are whole numbers: ten times the engine's
 
- private:
-  std::string_view bytes_;
-  std::size_t at_ = 0;
-};
+using TxtFields = std::map<std::string, std::string>;
 
 struct SrvRecord {
-  std::uint16_t priority, weight, port;
+  std::uint16_t priority = 0;
+  std::uint16_t weight = 0;
+  std::uint16_t port = 0;
   std::string target;
 };
 
 struct HostRecords {
   std::optional<std::uint32_t> ip;
-  std::map<std::string, std::string> texts;
+  TxtFields txt;
+};
+
+struct ResourceRecord {
+  std::string owner;
+  std::uint16_t type = 0;
+  std::size_t size = 0;  // of its data, in bytes
+  std::size_t end = 0;   // offset behind its data
 };
 
 std::string to_lower(std::string_view text) {
-  std::string out(text);
-  std::transform(out.begin(), out.end(), out.begin(), [](unsigned char c) { return std::tolower(c); });
-  return out;
+  std::string lower(text);
+  std::transform(lower.begin(), lower.end(), lower.begin(),
+                 [](unsigned char character) { return std::tolower(character); });
+  return lower;
 }
 
-std::int64_t non_negative_or_zero(const std::map<std::string, std::string>& texts, const std::string& key) {
-  const auto found = texts.find(key);
-  if (found == texts.end()) return 0;
+// A field that is absent is 0.
+std::int64_t non_negative_field(const TxtFields& txt, const std::string& key) {
+  const auto found = txt.find(key);
+  if (found == txt.end()) return 0;
   const auto value = parse_number<std::int64_t>(found->second);
-  if (!value || *value < 0) throw MalformedMessage();
+  if (!value || *value < 0) throw MalformedDnsMessageError("a TXT field is not a number");
   return *value;
 }
 
+// Targets are named 'engine.zone.…'.
 EngineEndpoint make_endpoint(const SrvRecord& service, const HostRecords& host) {
-  EngineEndpoint member;
+  EngineEndpoint endpoint;
   const auto dot = service.target.find('.');
-  member.id = service.target.substr(0, dot);
+  endpoint.id = service.target.substr(0, dot);
   if (dot != std::string::npos) {
     const auto end = service.target.find('.', dot + 1);
-    member.zone = service.target.substr(dot + 1, end == std::string::npos ? end : end - dot - 1);
+    endpoint.zone = service.target.substr(dot + 1, end == std::string::npos ? end : end - dot - 1);
   }
-  member.address = {*host.ip, service.port};
-  member.state = service.priority == 0 ? routing::EngineState::kServing : routing::EngineState::kDraining;
-  member.weight = service.weight / 10.0;
-  if (const auto kind = host.texts.find("kind"); kind != host.texts.end()) member.machine_type = kind->second;
-  member.cell = static_cast<std::uint32_t>(non_negative_or_zero(host.texts, "cell"));
-  const auto started = non_negative_or_zero(host.texts, "started");
-  if (started > 0) member.started_at = Time(std::chrono::milliseconds(started));
-  return member;
+  endpoint.address = {*host.ip, service.port};
+  endpoint.state = service.priority == 0 ? routing::EngineState::kServing : routing::EngineState::kDraining;
+  endpoint.weight = service.weight / kSrvWeightPerUnit;
+  if (const auto kind = host.txt.find("kind"); kind != host.txt.end()) endpoint.machine_type = kind->second;
+  endpoint.cell = static_cast<std::uint32_t>(non_negative_field(host.txt, "cell"));
+  const auto started_ms = non_negative_field(host.txt, "started");
+  if (started_ms > 0) endpoint.started_at = Time(std::chrono::milliseconds(started_ms));
+  return endpoint;
+}
+
+class ResponseParser {
+ public:
+  ResponseParser(std::string_view message, std::uint16_t query_id, std::string_view service_name)
+      : reader_(message), query_id_(query_id), service_name_(to_lower(service_name)) {}
+
+  DnsResponse parse() {
+    DnsError error = parse_header();
+    if (error == DnsError::kNone) error = parse_records();
+    if (error == DnsError::kNone) error = collect_endpoints();
+    if (error != DnsError::kNone) return {error, 0, {}};
+    return std::move(response_);
+  }
+
+ private:
+  DnsError parse_header() {
+    const std::uint16_t id = reader_.read_u16();
+    const std::uint16_t flags = reader_.read_u16();
+    const std::uint16_t questions = reader_.read_u16();
+    answers_ = reader_.read_u16();
+    authorities_ = reader_.read_u16();
+    additional_ = reader_.read_u16();
+    if (id != query_id_ || (flags & kFlagResponse) == 0 || (flags & kFlagsOpcode) != 0) {
+      return DnsError::kMismatched;
+    }
+    if (questions != 1 || reader_.read_name() != service_name_ || reader_.read_u16() != kTypeSrv ||
+        reader_.read_u16() != kClassInternet) {
+      return DnsError::kMismatched;
+    }
+    if ((flags & kFlagTruncated) != 0) return DnsError::kTruncated;
+    if ((flags & kFlagsResponseCode) != 0) return DnsError::kServerError;
+    return DnsError::kNone;
+  }
+
+  DnsError parse_records() {
+    const int records = answers_ + authorities_ + additional_;
+    for (int index = 0; index < records; ++index) {
+      ResourceRecord record;
+      record.owner = reader_.read_name();
+      record.type = reader_.read_u16();
+      const std::uint16_t record_class = reader_.read_u16();
+      reader_.read_u32();  // time to live: the list is polled anyway
+      record.size = reader_.read_u16();
+      const std::size_t start = reader_.position();
+      reader_.read_bytes(record.size);
+      record.end = reader_.position();
+      if (record_class != kClassInternet) continue;  // an OPT record, for one, uses the field otherwise
+      reader_.seek(start);
+      parse_record_data(record, index);
+      if (reader_.position() != record.end) return DnsError::kMalformed;
+    }
+    return version_known_ ? DnsError::kNone : DnsError::kIncomplete;
+  }
+
+  void parse_record_data(const ResourceRecord& record, int index) {
+    const bool in_answers = index < answers_;
+    const bool in_authorities = !in_answers && index < answers_ + authorities_;
+    if (record.type == kTypeSrv && in_answers && record.owner == service_name_) {
+      parse_srv();
+    } else if (record.type == kTypeSoa && in_authorities) {
+      parse_soa(record);
+    } else if (record.type == kTypeA && record.size == kIpv4Size) {
+      hosts_[record.owner].ip = reader_.read_u32();
+    } else if (record.type == kTypeTxt) {
+      parse_txt(record);
+    } else {
+      reader_.seek(record.end);
+    }
+  }
+
+  void parse_srv() {
+    SrvRecord service;
+    service.priority = reader_.read_u16();
+    service.weight = reader_.read_u16();
+    service.port = reader_.read_u16();
+    service.target = reader_.read_name();
+    services_.push_back(std::move(service));
+  }
+
+  void parse_soa(const ResourceRecord& record) {
+    reader_.read_name();  // primary server
+    reader_.read_name();  // mailbox
+    response_.version = reader_.read_u32();
+    version_known_ = true;
+    reader_.seek(record.end);  // refresh, retry, expire and minimum concern secondary servers
+  }
+
+  void parse_txt(const ResourceRecord& record) {
+    while (reader_.position() < record.end) {
+      const std::string_view text = reader_.read_bytes(reader_.read_u8());
+      const auto equals = text.find('=');
+      if (equals == std::string_view::npos) continue;
+      hosts_[record.owner].txt[std::string(text.substr(0, equals))] = std::string(text.substr(equals + 1));
+    }
+  }
+
+  DnsError collect_endpoints() {
+    for (const auto& service : services_) {
+      const HostRecords& host = hosts_[service.target];
+      // A list that lacks an address is not the whole list: using it would remove a running engine.
+      if (!host.ip || service.target.empty()) return DnsError::kIncomplete;
+      response_.endpoints.push_back(make_endpoint(service, host));
+    }
+    return DnsError::kNone;
+  }
+
+  DnsMessageReader reader_;
+  std::uint16_t query_id_;
+  std::string service_name_;
+  // How many records each section has.
+  int answers_ = 0;
+  int authorities_ = 0;
+  int additional_ = 0;
+  bool version_known_ = false;
+  std::vector<SrvRecord> services_;
+  std::map<std::string, HostRecords> hosts_;
+  DnsResponse response_;
+};
+
+void append_u16(std::string& out, unsigned value) {
+  out += static_cast<char>(value >> 8);
+  out += static_cast<char>(value);
 }
 
 }  // namespace
 
-std::string_view dns_error_text(DnsError fault) {
-  switch (fault) {
+std::string_view dns_error_text(DnsError error) {
+  switch (error) {
     case DnsError::kNone:
       return "whole";
     case DnsError::kMismatched:
@@ -128,100 +227,32 @@
   return "unknown";
 }
 
-std::string encode_dns_query(std::uint16_t id, std::string_view name) {
-  std::string out;
-  const auto u16 = [&out](unsigned value) {
-    out += static_cast<char>(value >> 8);
-    out += static_cast<char>(value);
-  };
-  u16(id);
-  u16(0x0100);  // a standard query, recursion desired
-  u16(1);
-  u16(0);
-  u16(0);
-  u16(0);
-  while (!name.empty()) {
-    const auto label = name.substr(0, name.find('.'));
-    out += static_cast<char>(label.size());
-    out += label;
-    name.remove_prefix(std::min(label.size() + 1, name.size()));
+std::string encode_dns_query(std::uint16_t query_id, std::string_view service_name) {
+  std::string query;
+  append_u16(query, query_id);
+  append_u16(query, kFlagRecursionDesired);
+  append_u16(query, 1);  // questions
+  append_u16(query, 0);  // answers
+  append_u16(query, 0);  // authorities
+  append_u16(query, 0);  // additional
+  while (!service_name.empty()) {
+    const auto label = service_name.substr(0, service_name.find('.'));
+    query += static_cast<char>(label.size());
+    query += label;
+    service_name.remove_prefix(std::min(label.size() + 1, service_name.size()));
   }
-  out += '\0';
-  u16(kTypeSrv);
-  u16(kClassInternet);
-  return out;
+  query += '\0';
+  append_u16(query, kTypeSrv);
+  append_u16(query, kClassInternet);
+  return query;
 }
 
-DnsResponse parse_dns_response(std::string_view bytes, std::uint16_t id, std::string_view name) {
-  DnsResponse list;
-  const auto fault = [&list](DnsError why) {
-    list.error = why;
-    list.endpoints.clear();
-    return list;
-  };
+DnsResponse parse_dns_response(std::string_view message, std::uint16_t query_id,
+                               std::string_view service_name) {
   try {
-    MessageReader message(bytes);
-    const std::uint16_t got_id = message.u16(), flags = message.u16();
-    const std::uint16_t questions = message.u16(), answers = message.u16(), authorities = message.u16(),
-                        additional = message.u16();
-    if (got_id != id || (flags & 0x8000) == 0 || (flags & 0x7800) != 0) return fault(DnsError::kMismatched);
-    if (questions != 1 || message.name() != to_lower(name) || message.u16() != kTypeSrv ||
-        message.u16() != kClassInternet) {
-      return fault(DnsError::kMismatched);
-    }
-    if ((flags & 0x0200) != 0) return fault(DnsError::kTruncated);
-    if ((flags & 0x000f) != 0) return fault(DnsError::kServerError);
-    bool serial_known = false;
-    std::vector<SrvRecord> services;
-    std::map<std::string, HostRecords> hosts;
-    const int records = answers + authorities + additional;
-    for (int i = 0; i < records; ++i) {
-      const std::string owner = message.name();
-      const std::uint16_t type = message.u16(), space = message.u16();
-      message.u32();  // time to live: the list is asked for anew anyway
-      const std::size_t size = message.u16(), start = message.position();
-      message.take(size);
-      const std::size_t end = message.position();
-      if (space != kClassInternet) continue;  // an OPT record, for one, keeps other things there
-      message.seek(start);
-      if (type == kTypeSrv && i < answers && owner == to_lower(name)) {
-        SrvRecord service{};
-        service.priority = message.u16();
-        service.weight = message.u16();
-        service.port = message.u16();
-        service.target = message.name();
-        services.push_back(std::move(service));
-      } else if (type == kTypeSoa && i >= answers && i < answers + authorities) {
-        message.name();
-        message.name();
-        list.version = message.u32();
-        serial_known = true;
-        message.seek(end);  // refresh, retry, expire, minimum: secondaries' matters
-      } else if (type == kTypeA && size == 4) {
-        hosts[owner].ip = message.u32();
-      } else if (type == kTypeTxt) {
-        while (message.position() < end) {
-          const std::string_view text = message.take(message.u8());
-          const auto equals = text.find('=');
-          if (equals != text.npos) {
-            hosts[owner].texts[std::string(text.substr(0, equals))] = std::string(text.substr(equals + 1));
-          }
-        }
-      } else {
-        message.seek(end);
-      }
-      if (message.position() != end) return fault(DnsError::kMalformed);
-    }
-    if (!serial_known) return fault(DnsError::kIncomplete);
-    for (const auto& service : services) {
-      const HostRecords& host = hosts[service.target];
-      // A list that lacks an address is not the whole list: believing it would remove a running engine.
-      if (!host.ip || service.target.empty()) return fault(DnsError::kIncomplete);
-      list.endpoints.push_back(make_endpoint(service, host));
-    }
-    return list;
-  } catch (const MalformedMessage&) {
-    return fault(DnsError::kMalformed);
+    return ResponseParser(message, query_id, service_name).parse();
+  } catch (const MalformedDnsMessageError&) {
+    return {DnsError::kMalformed, 0, {}};
   }
 }
 
--- /dev/null
+++ b/src/discovery/dns_discovery_client.cpp
@@ -0,0 +1,204 @@
+#include "discovery/dns_discovery_client.h"
+
+#include <sys/epoll.h>
+#include <sys/socket.h>
+
+#include <algorithm>
+#include <cerrno>
+#include <cstring>
+#include <utility>
+
+namespace rookproxy {
+namespace {
+
+using policy::DiscoveryPath;
+using policy::EndpointListVersion;
+
+// More than are sent from two sockets before a third one is opened.
+constexpr std::size_t kMaxPendingQueries = 64;
+constexpr std::size_t kDnsHeaderSize = 12;
+constexpr std::size_t kMaxResponseSize = 16 * 1024;
+constexpr int kDatagramsPerIteration = 64;
+
+}  // namespace
+
+DnsDiscoveryClient::DnsDiscoveryClient(EventLoop& loop, Logger& log, const SocketAddress& server,
+                                       std::string service, Duration poll_interval, std::uint64_t version,
+                                       std::uint64_t seed, UpdateHandler on_update)
+    : loop_(loop),
+      log_(log),
+      server_(server),
+      service_(std::move(service)),
+      schedule_(poll_interval),
+      list_version_(static_cast<std::uint32_t>(version), loop.now()),
+      random_(seed),
+      on_update_(std::move(on_update)),
+      list_effective_since_(loop.now()) {
+  open_socket(spare_socket());
+  poll_server();
+}
+
+DnsDiscoveryClient::~DnsDiscoveryClient() {
+  loop_.cancel(poll_timer_);
+  for (auto& socket : sockets_) close_socket(socket);
+}
+
+void DnsDiscoveryClient::close_socket(Socket& socket) {
+  if (socket.fd) loop_.unwatch(socket.key, socket.fd.get());
+  socket.fd.reset();
+}
+
+bool DnsDiscoveryClient::open_socket(Socket& socket) {
+  close_socket(socket);
+  // Connected, so that the kernel passes on only what comes from the server's address.
+  socket.fd = connect_udp(server_);
+  socket.used = false;
+  if (socket.fd) socket.key = loop_.watch(socket.fd.get(), socket);
+  if (socket.fd && socket.key != 0) {
+    socket_unavailable_ = false;
+    return true;
+  }
+  const int error = errno;
+  socket.fd.reset();
+  if (!std::exchange(socket_unavailable_, true)) {
+    log_.write(LogLevel::kWarning, "directory", "no socket to ask from; tried again with each question",
+               {{"error", std::strerror(error)}});
+  }
+  return false;
+}
+
+void DnsDiscoveryClient::change_server(const SocketAddress& server, std::string service,
+                                       Duration poll_interval) {
+  loop_.cancel(poll_timer_);
+  server_ = server;
+  service_ = std::move(service);
+  schedule_ = policy::PollSchedule(poll_interval);
+  path_ = DiscoveryPath();
+  pending_queries_.clear();  // responses of the former server cannot arrive any more
+  // Both are closed before one is opened: the new sockets take their descriptors.
+  for (auto& socket : sockets_) close_socket(socket);
+  open_socket(spare_socket());
+  poll_server();
+}
+
+void DnsDiscoveryClient::poll_server() {
+  const double draw = std::uniform_real_distribution<double>(0, 1)(random_);
+  poll_timer_ = loop_.run_at(loop_.now() + schedule_.next_pause(draw), [this] { poll_server(); });
+  // The spare socket gives its descriptor to the new one; if that cannot be opened the current one stays.
+  if (current_socket().fd && path_.needs_new_socket() && open_socket(spare_socket())) {
+    current_index_ = 1 - current_index_;
+    path_.on_socket_opened();
+  }
+  if (!current_socket().fd && !open_socket(current_socket())) return;
+  if (!first_unanswered_at_) first_unanswered_at_ = loop_.now();
+  report_path_event(path_.on_poll_sent(), "");
+  const auto id = static_cast<std::uint16_t>(random_());
+  const bool first_on_socket = !std::exchange(current_socket().used, true);
+  pending_queries_.push_back({id, loop_.now(), first_on_socket});
+  if (pending_queries_.size() > kMaxPendingQueries) pending_queries_.erase(pending_queries_.begin());
+  send_query(encode_dns_query(id, service_));
+}
+
+void DnsDiscoveryClient::send_query(const std::string& query) {
+  for (int attempt = 0; attempt < 2; ++attempt) {
+    const ssize_t sent =
+        ::send(current_socket().fd.get(), query.data(), query.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
+    if (sent >= 0) return;
+    // The kernel reports here what an earlier datagram met, in place of sending; the next attempt sends.
+    if (errno == ECONNREFUSED) report_path_event(path_.on_refused(), "");
+  }
+}
+
+void DnsDiscoveryClient::read_responses(Socket& socket) {
+  std::array<char, kMaxResponseSize> buffer;
+  for (int datagram = 0; datagram < kDatagramsPerIteration; ++datagram) {
+    const ssize_t received = ::recv(socket.fd.get(), buffer.data(), buffer.size(), MSG_DONTWAIT);
+    if (received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) return;
+    if (received < 0 && errno == ECONNREFUSED) report_path_event(path_.on_refused(), "");
+    if (received >= 0) handle_response({buffer.data(), static_cast<std::size_t>(received)});
+  }
+  loop_.requeue(socket.key, EPOLLIN);
+}
+
+// The end of the pending queries if there is none: the response is forged, or so late that its query was
+// forgotten.
+std::vector<DnsDiscoveryClient::PendingQuery>::iterator DnsDiscoveryClient::find_query(
+    std::string_view message) {
+  const auto id = static_cast<std::uint16_t>(static_cast<unsigned char>(message[0]) << 8 |
+                                             static_cast<unsigned char>(message[1]));
+  return std::find_if(pending_queries_.begin(), pending_queries_.end(),
+                      [id](const PendingQuery& query) { return query.id == id; });
+}
+
+void DnsDiscoveryClient::handle_response(std::string_view message) {
+  if (message.size() < kDnsHeaderSize) return;
+  const auto query = find_query(message);
+  if (query == pending_queries_.end()) return;
+  const DnsResponse response = parse_dns_response(message, query->id, service_);
+  if (response.error == DnsError::kMismatched) return;  // the true response may still come under this id
+  const bool is_usable = response.error == DnsError::kNone;
+  report_path_event(path_.on_response(query->first_on_socket, is_usable), dns_error_text(response.error));
+  if (!is_usable) return;  // a whole one may still come, as where a datagram was damaged on its way
+  const Time polled_at = query->sent_at;
+  complete_query(query);
+  update_list(response, polled_at);
+}
+
+// Queries that were sent before this one may still be answered, but with no newer list.
+void DnsDiscoveryClient::complete_query(std::vector<PendingQuery>::iterator query) {
+  const Time sent_at = query->sent_at;
+  pending_queries_.erase(query);
+  has_endpoint_list_ = true;
+  list_effective_since_ = policy::announced_since(first_unanswered_at_, schedule_.max_pause(), loop_.now());
+  if (first_unanswered_at_ && *first_unanswered_at_ > sent_at) return;
+  const auto later = std::find_if(pending_queries_.begin(), pending_queries_.end(),
+                                  [sent_at](const PendingQuery& other) { return other.sent_at > sent_at; });
+  first_unanswered_at_ = later == pending_queries_.end() ? std::nullopt : std::optional(later->sent_at);
+}
+
+void DnsDiscoveryClient::update_list(const DnsResponse& response, Time polled_at) {
+  const std::string version = std::to_string(response.version);
+  switch (list_version_.classify(response.version, polled_at, loop_.now())) {
+    case EndpointListVersion::Ordering::kSame:
+    case EndpointListVersion::Ordering::kOlder:
+      return;
+    case EndpointListVersion::Ordering::kSuspectedRestart:
+      log_.write(LogLevel::kWarning, "directory",
+                 "the serial went back; the newer list stays in force for now", {{"serial", version}});
+      return;
+    case EndpointListVersion::Ordering::kServerRestarted:
+      log_.write(LogLevel::kWarning, "directory", "older serials alone: the directory counts anew",
+                 {{"serial", version}});
+      break;
+    case EndpointListVersion::Ordering::kNewer:
+      break;
+  }
+  log_.write(LogLevel::kInfo, "directory", "new list",
+             {{"serial", version}, {"engines", std::to_string(response.endpoints.size())}});
+  on_update_(response.endpoints);
+}
+
+void DnsDiscoveryClient::report_path_event(DiscoveryPath::Event event, std::string_view error) {
+  switch (event) {
+    case DiscoveryPath::Event::kNone:
+      return;
+    case DiscoveryPath::Event::kServerUnresponsive:
+      return log_.write(LogLevel::kWarning, "directory",
+                        "no answers on any socket: the server is silent; the last list stays in force", {});
+    case DiscoveryPath::Event::kConnectionRefused:
+      return log_.write(LogLevel::kWarning, "directory",
+                        "refused: nobody listens there; the last list stays in force", {});
+    case DiscoveryPath::Event::kMalformedResponse:
+      return log_.write(LogLevel::kWarning, "directory",
+                        "answers can't be used; the last list stays in force",
+                        {{"fault", std::string(error)}});
+    case DiscoveryPath::Event::kPathUnresponsive:
+      return log_.write(LogLevel::kWarning, "directory",
+                        "the path of a socket was silent, the server was not: a fresh socket is answered",
+                        {});
+    case DiscoveryPath::Event::kRecovered:
+      return log_.write(LogLevel::kNotice, "directory", "answers again", {});
+  }
+}
+
+}  // namespace rookproxy
--- /dev/null
+++ b/src/discovery/dns_discovery_client.h
@@ -0,0 +1,100 @@
+// The service discovery client: polls a DNS server for the list of engine endpoints.
+#pragma once
+
+#include <array>
+#include <cstdint>
+#include <functional>
+#include <optional>
+#include <random>
+#include <string>
+#include <string_view>
+#include <vector>
+
+#include "discovery/dns.h"
+#include "dispatcher/interfaces.h"
+#include "log/log.h"
+#include "net/loop.h"
+#include "policy/discovery_path.h"
+#include "policy/endpoint_list_version.h"
+#include "policy/poll_schedule.h"
+
+namespace rookproxy {
+
+/// Polls one DNS server over UDP and reports each newer endpoint list. A server that does not respond changes
+/// nothing: the last list stays in force. Runs on the event loop's thread; the loop and the logger must
+/// outlive it.
+class DnsDiscoveryClient final {
+ public:
+  /// Called with each newer list, from the event loop.
+  using UpdateHandler = std::function<void(const std::vector<EngineEndpoint>&)>;
+
+  /// Starts polling at once, then about every `poll_interval`. `version` is that of the list known at the
+  /// start, and only later ones are reported; `seed` is that of query ids and of the jitter between polls.
+  DnsDiscoveryClient(EventLoop& loop, Logger& log, const SocketAddress& server, std::string service,
+                     Duration poll_interval, std::uint64_t version, std::uint64_t seed,
+                     UpdateHandler on_update);
+  ~DnsDiscoveryClient();
+  DnsDiscoveryClient(const DnsDiscoveryClient&) = delete;
+  DnsDiscoveryClient& operator=(const DnsDiscoveryClient&) = delete;
+
+  /// Whether any usable response has arrived.
+  [[nodiscard]] bool has_endpoint_list() const { return has_endpoint_list_; }
+  /// Within the update handler: since when the list counts as announced. Before now if polls went unanswered:
+  /// a grace period that counts from a lost response has begun by then.
+  [[nodiscard]] Time list_effective_since() const { return list_effective_since_; }
+  /// Polls another server from now on, and at once. The list and its version carry over: it is the same
+  /// service elsewhere.
+  void change_server(const SocketAddress& server, std::string service, Duration poll_interval);
+
+ private:
+  struct Socket final : EventHandler {
+    explicit Socket(DnsDiscoveryClient& owner) : client(owner) {}
+    void on_ready(std::uint32_t) override { client.read_responses(*this); }
+
+    DnsDiscoveryClient& client;
+    FileDescriptor fd;
+    SlotKey key = 0;
+    bool used = false;  // a query was sent from it
+  };
+  struct PendingQuery {
+    std::uint16_t id = 0;
+    Time sent_at;
+    bool first_on_socket = false;
+  };
+  bool open_socket(Socket& socket);
+  void close_socket(Socket& socket);
+  Socket& current_socket() { return sockets_[current_index_]; }
+  Socket& spare_socket() { return sockets_[1 - current_index_]; }
+  void poll_server();
+  void send_query(const std::string& query);
+  void read_responses(Socket& socket);
+  void handle_response(std::string_view message);
+  std::vector<PendingQuery>::iterator find_query(std::string_view message);
+  void complete_query(std::vector<PendingQuery>::iterator query);
+  void update_list(const DnsResponse& response, Time polled_at);
+  void report_path_event(policy::DiscoveryPath::Event event, std::string_view error);
+
+  EventLoop& loop_;
+  Logger& log_;
+  SocketAddress server_;
+  std::string service_;
+  policy::PollSchedule schedule_;
+  policy::DiscoveryPath path_;
+  policy::EndpointListVersion list_version_;
+  std::mt19937_64 random_;
+  UpdateHandler on_update_;
+  // Both descriptors are held from the start, so that a new socket reuses one of them: clients and engines
+  // cannot take the descriptor that a reconnect needs.
+  std::array<Socket, 2> sockets_{Socket(*this), Socket(*this)};
+  std::size_t current_index_ = 0;
+  bool socket_unavailable_ = false;  // and that was logged
+  // The latest queries, oldest first: a late response to one of them still counts unless a newer one arrived
+  // before it.
+  std::vector<PendingQuery> pending_queries_;
+  std::optional<Time> first_unanswered_at_;
+  Time list_effective_since_;
+  bool has_endpoint_list_ = false;
+  TimerId poll_timer_{};
+};
+
+}  // namespace rookproxy
--- a/tests/frontend/parsers_test.cpp
+++ b/tests/frontend/parsers_test.cpp
@@ -1,33 +1,17 @@
 // The parsers: whole, cut, split at every byte, hostile.
 #include <catch2/catch.hpp>
-#include <random>
 
-#include "discovery/dns.h"
-#include "fakes/standins.h"
 #include "frontend/frames.h"
 #include "mysql/protocol.h"
 #include "sql/lexer.h"
 #include "sql/session.h"
+#include "support/damaged_input.h"
 #include "upstream/lines.h"
 
 using namespace rookproxy;
 
 namespace {
 
-// Every parser must survive anything: a good message with bytes changed, and with its end cut off.
-template <class Parse>
-void batter(const std::string& good, Parse parse) {
-  std::mt19937 random(7);
-  for (std::size_t cut = 0; cut < good.size(); ++cut) parse(good.substr(0, cut));
-  for (int i = 0; i < 20'000; ++i) {
-    std::string bad = good;
-    for (unsigned flips = 1 + random() % 4; flips > 0; --flips) {
-      bad[random() % bad.size()] = static_cast<char>(random());
-    }
-    parse(bad);
-  }
-}
-
 std::string fields_of(std::initializer_list<std::pair<std::string, std::string>> fields) {
   std::string out(1, static_cast<char>(fields.size()));
   for (const auto& [name, value] : fields) {
@@ -75,7 +59,7 @@
   std::string twice = fields_of({{"op", "a"}, {"op", "b"}});
   std::string_view payload = twice;
   CHECK_FALSE(frames::parse_fields(payload, fields));
-  batter(good + "body", [](const std::string& bytes) {
+  test::parse_damaged(good + "body", [](const std::string& bytes) {
     frames::Fields some;
     std::string_view view = bytes;
     frames::parse_fields(view, some);
@@ -109,66 +93,12 @@
   }
   CHECK(parse_line_response(std::string(5000, 'x'), answer, used) == LineParseStatus::kMalformed);
   CHECK_FALSE(parse_load_report("x0:nan;x1:"));
-  batter("id data parts=1,use=x0:1 3\r\nabc\r\n", [&](const std::string& bytes) {
+  test::parse_damaged("id data parts=1,use=x0:1 3\r\nabc\r\n", [&](const std::string& bytes) {
     if (parse_line_response(bytes, answer, used) == LineParseStatus::kComplete)
       parse_load_report(answer.fields);
   });
 }
 
-TEST_CASE("dns: a compressed answer with every record") {
-  EngineEndpoint a, b;
-  a.id = "s-00c41f7a";
-  a.address = {0x0a010009, 8443};
-  a.zone = "east";
-  a.machine_type = "std";
-  b = a;
-  b.id = "s-2";
-  b.state = rookproxy::routing::EngineState::kDraining;
-  const std::string name = "_app._tcp.cluster.lan";
-  const std::string query = encode_dns_query(77, name);
-  const std::string message = test::make_dns_response(query, 9, {a, b});
-  const DnsResponse list = parse_dns_response(message, 77, name);
-  REQUIRE(list.error == DnsError::kNone);
-  CHECK(list.version == 9);
-  REQUIRE(list.endpoints.size() == 2);
-  CHECK(list.endpoints[0] == a);
-  CHECK(list.endpoints[1].state == rookproxy::routing::EngineState::kDraining);
-
-  SECTION("an answer to another question, or to none, is forged") {
-    CHECK(parse_dns_response(message, 78, name).error == DnsError::kMismatched);
-    CHECK(parse_dns_response(message, 77, "_app._tcp.other.lan").error == DnsError::kMismatched);
-    CHECK(parse_dns_response(query, 77, name).error == DnsError::kMismatched);
-  }
-  SECTION("truncated, refused and cut answers are not believed") {
-    std::string changed = message;
-    changed[2] = static_cast<char>(changed[2] | 2);
-    CHECK(parse_dns_response(changed, 77, name).error == DnsError::kTruncated);
-    changed = message;
-    changed[3] = 2;
-    CHECK(parse_dns_response(changed, 77, name).error == DnsError::kServerError);
-    for (std::size_t cut = 0; cut < message.size(); ++cut) {
-      CHECK(parse_dns_response(std::string_view(message).substr(0, cut), 77, name).error != DnsError::kNone);
-    }
-  }
-  SECTION("a list without an address or a serial would remove running engines") {
-    std::string changed = message;
-    changed[11] = 0;  // no additional records: no addresses
-    CHECK(parse_dns_response(changed, 77, name).error == DnsError::kIncomplete);
-    changed[9] = 0;  // and no SOA
-    CHECK(parse_dns_response(changed, 77, name).error == DnsError::kIncomplete);
-  }
-  SECTION("pointers that run in circles end") {
-    std::string loop = query;
-    loop[2] = static_cast<char>(0x84);
-    loop[7] = 1;
-    loop += std::string("\xc0\x21\0\x21\0\1\0\0\0\0\0\0", 12);
-    CHECK(parse_dns_response(loop, 77, name).error == DnsError::kMalformed);
-  }
-  SECTION("damage never crashes") {
-    batter(message, [&](const std::string& bytes) { parse_dns_response(bytes, 77, name); });
-  }
-}
-
 TEST_CASE("mysql: numbers, lengths and messages") {
   for (const std::uint64_t value :
        {0ull, 250ull, 251ull, 65535ull, 65536ull, 16777215ull, 16777216ull, ~0ull}) {
@@ -222,8 +152,8 @@
     } catch (const mysql::MalformedPacketError&) {
     }
   };
-  batter(hello, [&](const std::string& bad) { survive([&] { mysql::parse_greeting(bad); }); });
-  batter(bytes, [&](const std::string& bad) { survive([&] { mysql::parse_login(bad); }); });
+  test::parse_damaged(hello, [&](const std::string& bad) { survive([&] { mysql::parse_greeting(bad); }); });
+  test::parse_damaged(bytes, [&](const std::string& bad) { survive([&] { mysql::parse_login(bad); }); });
 }
 
 TEST_CASE("mysql: proofs are those of the public specification") {
@@ -281,7 +211,7 @@
   CHECK(table_group("SELECT 1") == 0);
   CHECK(table_group("SELECT a FROM marks", "school_4") == 4);
   CHECK(table_group("SELECT a FROM other_6.marks", "school_4") == 6);
-  batter("SELECT `a_1`.b, 'x' /* y */ FROM c_2.d -- z", [](const std::string& bytes) {
+  test::parse_damaged("SELECT `a_1`.b, 'x' /* y */ FROM c_2.d -- z", [](const std::string& bytes) {
     table_group(bytes);
     sql::is_read_only(bytes);
     sql::find_session_state(bytes);
