--- a/bench/access_load.cpp
+++ b/bench/access_load.cpp
@@ -16,7 +16,7 @@
 #include "fakes/callers.h"
 #include "fakes/lines_engine.h"
 #include "fakes/standins.h"
-#include "frontend/frames.h"
+#include "frontend/frame_codec.h"
 
 namespace {
 
--- a/src/app/app.h
+++ b/src/app/app.h
@@ -10,7 +10,7 @@
 #include "config/config.h"
 #include "discovery/dns_discovery_client.h"
 #include "dispatcher/dispatcher.h"
-#include "frontend/frames.h"
+#include "frontend/frames_frontend.h"
 #include "frontend/mysql.h"
 #include "net/file_watch.h"
 #include "policy/shutdown.h"
--- /dev/null
+++ b/src/frontend/frames_frontend.cpp
@@ -0,0 +1,176 @@
+#include "frontend/frames_frontend.h"
+
+#include <utility>
+
+#include "frontend/frames_connection.h"
+
+namespace rookproxy {
+namespace {
+
+// Of a response, besides its body: its header, code and fields fit into this.
+constexpr std::size_t kResponseOverhead = 1024;
+
+std::string_view response_message(const Response& response) {
+  switch (response.cause) {
+    case ResponseCause::kDeadline:
+      return "the deadline passed";
+    case ResponseCause::kEngineError:
+      return "an engine failed";
+    case ResponseCause::kOverloaded:
+      return "too much is held already";
+    case ResponseCause::kShuttingDown:
+      return "the dispatcher stops";
+    case ResponseCause::kNone:
+    case ResponseCause::kDecision:
+      break;
+  }
+  return response.status == ResponseStatus::kRejected ? "no room in time" : "no engine could serve it";
+}
+
+}  // namespace
+
+FramesFrontend::FramesFrontend(EventLoop& loop, Logger& log, Dispatcher& dispatcher, FileDescriptor listener,
+                               Limits limits, auth::Authenticator* authenticator,
+                               std::shared_ptr<const tls::ServerContext> tls)
+    : loop_(loop),
+      log_(log),
+      dispatcher_(dispatcher),
+      limits_(limits),
+      authenticator_(authenticator),
+      tls_(std::move(tls)),
+      connections_(loop),
+      acceptor_(
+          loop, std::move(listener), [this](FileDescriptor fd) { accept(std::move(fd)); }, false,
+          [this] { return !is_full() || connections_.eviction_candidate() != 0; }) {}
+
+FramesFrontend::~FramesFrontend() = default;
+
+std::optional<FramesFrontend::PendingRequest> FramesFrontend::take_pending_request(SlotKey ticket) {
+  auto request = pending_requests_.take(ticket);
+  if (request) open_call_ids_.erase(request->call_id);
+  return request;
+}
+
+// The client does not wait for it any more.
+void FramesFrontend::cancel_request(SlotKey ticket) {
+  const auto request = take_pending_request(ticket);
+  if (!request) return;
+  if (request->check != 0) {
+    bytes_in_check_ -= request->bytes_in_check;
+    authenticator_->cancel_check(request->check);
+  } else {
+    dispatcher_.cancel_request(request->request);
+  }
+}
+
+void FramesFrontend::finish_check(PendingRequest& request) {
+  bytes_in_check_ -= std::exchange(request.bytes_in_check, 0);
+  request.check = 0;
+}
+
+bool FramesFrontend::is_full() const {
+  return connections_.size() - closing_.size() + max_closing() >= limits_.max_connections;
+}
+
+// Closes the connection that is first in eviction order, unless bytes that lie unread on it change that
+// order.
+void FramesFrontend::evict_idle_connection() {
+  for (std::size_t attempts = connections_.size();; --attempts) {
+    const SlotKey key = connections_.eviction_candidate();
+    if (key == 0 || !is_full()) return;  // the bytes read have ended a connection
+    Connection* candidate = connections_.find(key);
+    const Connection::EvictionOrder order = candidate->eviction_order();
+    candidate->read_now();
+    const bool is_unchanged = candidate->eviction_order() == order;
+    if (candidate->is_closable() && (attempts <= 1 || is_unchanged)) return candidate->close_gracefully();
+  }
+}
+
+// Its open requests are cancelled at once; what was written to it still gets there.
+void FramesFrontend::client_disconnected(SlotKey key) {
+  Connection* connection = connections_.find(key);
+  if (!connection) return;
+  connection->close_gracefully();
+  for (const SlotKey ticket : connection->take_open_requests()) cancel_request(ticket);
+}
+
+void FramesFrontend::accept(FileDescriptor fd) {
+  if (is_full()) evict_idle_connection();
+  // When all descriptors for clients are in use, the connection that began to close first has had its time.
+  if (connections_.size() >= limits_.max_connections && !closing_.empty()) drop(closing_.front());
+  auto channel = tls_ ? std::make_unique<tls::ServerChannel>(tls_) : nullptr;
+  Connection& connection = connections_.emplace(*this, std::move(fd), std::move(channel));
+  if (draining_) connection.send_go_away();
+}
+
+void FramesFrontend::drop(SlotKey key) {
+  Connection* connection = connections_.find(key);
+  if (!connection) return;
+  for (const SlotKey ticket : connection->take_open_requests()) cancel_request(ticket);
+  connection->close();
+  std::erase(closing_, key);
+  if (authenticator_) authenticator_->remove_source(key);
+  connections_.remove(key);
+}
+
+ResponseStatus FramesFrontend::on_response(std::uint64_t ticket, Response response) {
+  const auto request = take_pending_request(ticket);
+  Connection* connection = request ? connections_.find(request->connection) : nullptr;
+  if (!connection) return response.status;
+  if (response.status == ResponseStatus::kServed &&
+      response.body.size() + kResponseOverhead > frames::kMaxFrameLength) {
+    response = {ResponseStatus::kFailed, "", std::nullopt, ResponseCause::kEngineError,
+                "the result is larger than a frame"};
+  }
+  if (response.status == ResponseStatus::kServed) {
+    connection->respond(request->stream_id, frames::kServed, {}, response.body);
+  } else if (response.status == ResponseStatus::kRejected) {
+    connection->respond(request->stream_id, frames::kRejected,
+                        {frames::retry_after_field(response.retry_after.value_or(Duration(0)))},
+                        response_message(response));
+  } else {
+    connection->respond(request->stream_id, frames::kFailed, {}, response_message(response));
+  }
+  return response.status;
+}
+
+void FramesFrontend::credentials_changed(std::shared_ptr<const tls::ServerContext> tls) {
+  tls_ = std::move(tls);
+  if (tls_) connections_.recheck_certificates();
+}
+
+void FramesFrontend::drain() {
+  draining_ = true;
+  connections_.for_each([](Connection& connection) { connection.send_go_away(); });
+}
+
+void FramesFrontend::close_all_gracefully(Duration timeout) {
+  linger_timeout_ = timeout;
+  set_accepting(false);
+  connections_.close_when_answered();
+}
+
+void FramesFrontend::set_resource_limits(std::size_t max_connections, std::size_t max_partial_frame_bytes,
+                                         std::size_t max_unread_response_bytes) {
+  limits_.max_connections = max_connections;
+  limits_.max_partial_frame_bytes = max_partial_frame_bytes;
+  limits_.max_unread_response_bytes = max_unread_response_bytes;
+}
+
+bool FramesFrontend::is_receiving() const {
+  bool receiving = false;
+  connections_.for_each(
+      [&receiving](const Connection& connection) { receiving = receiving || connection.is_receiving(); });
+  return receiving;
+}
+
+std::size_t FramesFrontend::pending_check_count() const {
+  const auto tickets = pending_requests_.keys();
+  return static_cast<std::size_t>(std::count_if(tickets.begin(), tickets.end(), [this](SlotKey ticket) {
+    return pending_requests_.find(ticket)->check != 0;
+  }));
+}
+
+bool FramesFrontend::is_flushed() const { return pending_check_count() == 0 && connections_.is_flushed(); }
+
+}  // namespace rookproxy
--- a/tests/frontend/parsers_test.cpp
+++ b/tests/frontend/parsers_test.cpp
@@ -1,7 +1,7 @@
 // The parsers: whole, cut, split at every byte, hostile.
 #include <catch2/catch.hpp>
 
-#include "frontend/frames.h"
+#include "frontend/frame_codec.h"
 #include "mysql/protocol.h"
 #include "sql/lexer.h"
 #include "sql/session.h"
--- a/tests/integration/connection_close_test.cpp
+++ b/tests/integration/connection_close_test.cpp
@@ -21,7 +21,7 @@
 #include "config/config.h"
 #include "dispatcher/dispatcher.h"
 #include "fakes/standins.h"
-#include "frontend/frames.h"
+#include "frontend/frames_frontend.h"
 #include "frontend/mysql.h"
 #include "support/process.h"
 
--- a/tests/integration/graceful_shutdown_test.cpp
+++ b/tests/integration/graceful_shutdown_test.cpp
@@ -8,7 +8,7 @@
 #include <map>
 
 #include "fakes/lines_engine.h"
-#include "frontend/frames.h"
+#include "frontend/frame_codec.h"
 #include "net/clock.h"
 #include "policy/shutdown.h"
 #include "support/process.h"
--- a/tests/integration/slow_start_processes_test.cpp
+++ b/tests/integration/slow_start_processes_test.cpp
@@ -5,7 +5,7 @@
 #include <filesystem>
 
 #include "fakes/lines_engine.h"
-#include "frontend/frames.h"
+#include "frontend/frame_codec.h"
 #include "support/process.h"
 
 using namespace rookproxy;
--- a/tests/support/fault_injection.h
+++ b/tests/support/fault_injection.h
@@ -20,7 +20,7 @@
 
 #include "dispatcher/dispatcher.h"
 #include "dispatcher/module_time.h"
-#include "frontend/frames.h"
+#include "frontend/frames_frontend.h"
 #include "log/log.h"
 #include "net/clock.h"
 #include "upstream/lines.h"
--- a/tests/support/scenario.cpp
+++ b/tests/support/scenario.cpp
@@ -19,7 +19,7 @@
 #include "fakes/callers.h"
 #include "fakes/lines_engine.h"
 #include "fakes/standins.h"
-#include "frontend/frames.h"
+#include "frontend/frame_codec.h"
 #include "support/confine.h"
 #include "support/descriptors.h"
 #include "support/process.h"
