--- /dev/null
+++ b/src/dispatcher/engine_registry.cpp
@@ -0,0 +1,146 @@
+#include "dispatcher/engine_registry.h"
+
+#include <algorithm>
+#include <cstdint>
+#include <utility>
+
+#include "dispatcher/routing_time.h"
+#include "policy/drain.h"
+
+namespace rookproxy {
+namespace {
+
+// The index of zones and machine types that the settings do not name.
+constexpr std::uint32_t kUnknownIndex = UINT32_MAX - 1;
+
+std::uint32_t zone_index(const std::vector<std::string>& zones, const std::string& name) {
+  const auto found = std::find(zones.begin(), zones.end(), name);
+  return found == zones.end() ? kUnknownIndex : static_cast<std::uint32_t>(found - zones.begin());
+}
+
+// Of several machine types with one name the last one counts.
+std::uint32_t machine_type_index(const std::vector<routing::MachineTypeSettings>& types,
+                                 const std::string& name) {
+  std::uint32_t index = kUnknownIndex;
+  for (std::uint32_t i = 0; i < types.size(); ++i) {
+    if (types[i].name == name) index = i;
+  }
+  return index;
+}
+
+}  // namespace
+
+routing::EngineList EngineRegistry::update(const std::vector<EngineEndpoint>& endpoints, bool is_cached,
+                                           Time announced_at) {
+  routing::EngineList list;
+  list.kind = is_cached ? routing::EngineListKind::kCached : routing::EngineListKind::kSnapshot;
+  std::vector<bool> is_listed(engines_.size(), false);
+  for (const auto& endpoint : endpoints) {
+    const EngineId id = update_endpoint(endpoint, announced_at);
+    is_listed.resize(engines_.size(), false);
+    is_listed[id] = true;
+    list.entries.push_back(entry(id));
+  }
+  remove_unlisted(is_listed, announced_at);
+  return list;
+}
+
+routing::EngineList EngineRegistry::update_for_settings() {
+  routing::EngineList list;
+  for (EngineId id = 0; id < engines_.size(); ++id) {
+    const Engine& engine = engines_[id];
+    if (!engine.is_removed()) list.entries.push_back(entry(id));
+    if (!engine.is_serving() && loop_.now() < latest_drain_start(engine)) schedule_drain_end(id);
+  }
+  return list;
+}
+
+EngineId EngineRegistry::update_endpoint(const EngineEndpoint& endpoint, Time announced_at) {
+  const auto [position, is_new] = ids_.try_emplace(endpoint.id, static_cast<EngineId>(engines_.size()));
+  const EngineId id = position->second;
+  if (is_new) engines_.emplace_back();
+  Engine& engine = engines_[id];
+  // The grace period counts from the first announcement, not from the latest.
+  const bool was_serving = is_new || engine.is_serving();
+  if (endpoint.state != routing::EngineState::kServing && was_serving) start_drain(id, announced_at);
+  // A new start at the same address is another process: connections to the former one are dead.
+  const bool is_moved = is_new || engine.endpoint.address != endpoint.address ||
+                        engine.endpoint.started_at != endpoint.started_at || engine.is_removed();
+  engine.endpoint = endpoint;
+  if (engine.is_removed()) {
+    transport_->stop_new_attempts(id);
+  } else if (is_moved) {
+    transport_->set_engine_address(id, endpoint.address);
+  }
+  return id;
+}
+
+void EngineRegistry::remove_unlisted(const std::vector<bool>& is_listed, Time announced_at) {
+  for (EngineId id = 0; id < engines_.size(); ++id) {
+    Engine& engine = engines_[id];
+    if (is_listed[id] || engine.is_removed()) continue;
+    if (engine.is_serving()) start_drain(id, announced_at);
+    engine.endpoint.state = routing::EngineState::kRemoved;
+    transport_->stop_new_attempts(id);
+  }
+}
+
+void EngineRegistry::start_drain(EngineId id, Time announced_at) {
+  engines_[id].closing_since = announced_at;
+  schedule_drain_end(id);
+}
+
+// An attempt that still waits for its connection when the grace period ends must not leave afterwards.
+void EngineRegistry::schedule_drain_end(EngineId id) {
+  const Time since = engines_[id].closing_since;
+  loop_.run_at(latest_drain_start(engines_[id]), [this, id, since] {
+    const Engine& engine = engines_[id];
+    if (!engine.is_serving() && engine.closing_since == since) transport_->stop_new_attempts(id);
+  });
+}
+
+Time EngineRegistry::latest_drain_start(const Engine& engine) const {
+  const Duration grace_period = from_routing_duration(settings_.active().drain_grace_period);
+  return policy::latest_drain_start(engine.closing_since, grace_period, limits_.drain_margin);
+}
+
+Time EngineRegistry::accepts_attempts_until(EngineId id) const {
+  const Engine& engine = engines_[id];
+  if (engine.is_serving()) return Time::max();
+  // The address of a removed engine may be another's by now.
+  if (engine.is_removed()) return Time::min();
+  return latest_drain_start(engine);
+}
+
+std::size_t EngineRegistry::listed_count() const {
+  return static_cast<std::size_t>(std::count_if(engines_.begin(), engines_.end(),
+                                                [](const Engine& engine) { return !engine.is_removed(); }));
+}
+
+void EngineRegistry::start_probe(EngineId id) {
+  if (!contains(id) || engines_[id].probe_sent_at) return;
+  engines_[id].probe_sent_at = loop_.now();
+  transport_->probe(id);
+}
+
+std::optional<Duration> EngineRegistry::end_probe(EngineId id) {
+  if (!contains(id) || !engines_[id].probe_sent_at) return std::nullopt;
+  const Time sent_at = *std::exchange(engines_[id].probe_sent_at, std::nullopt);
+  return loop_.now() - sent_at;
+}
+
+routing::EngineEntry EngineRegistry::entry(EngineId id) const {
+  const EngineEndpoint& endpoint = engines_[id].endpoint;
+  routing::EngineEntry entry;
+  entry.id = id;
+  entry.name = endpoint.id;
+  entry.started_at = endpoint.started_at ? to_routing_time(*endpoint.started_at) : 0;
+  entry.state = endpoint.state;
+  entry.zone = zone_index(zones_, endpoint.zone);
+  entry.cell = endpoint.cell;
+  entry.weight = endpoint.weight;
+  entry.machine_type = machine_type_index(settings_.active().machine_types, endpoint.machine_type);
+  return entry;
+}
+
+}  // namespace rookproxy
--- /dev/null
+++ b/src/dispatcher/engine_registry.h
@@ -0,0 +1,82 @@
+// The engines that service discovery has listed, by the ids that the decision module knows them by.
+#pragma once
+
+#include <cstddef>
+#include <optional>
+#include <string>
+#include <unordered_map>
+#include <vector>
+
+#include "base/time.h"
+#include "dispatcher/active_settings.h"
+#include "dispatcher/engine_endpoint.h"
+#include "dispatcher/engine_transport.h"
+#include "dispatcher/limits.h"
+#include "net/event_loop.h"
+
+namespace rookproxy {
+
+// Keeps the engines, tells the transport their addresses and when attempts must no longer start on them. Ids
+// are dense from 0, and an engine keeps its id for as long as the process runs. Refers to the dispatcher's
+// settings and limits, which must outlive it.
+class EngineRegistry {
+ public:
+  EngineRegistry(EventLoop& loop, const ActiveSettings& settings, const DispatcherLimits& limits)
+      : loop_(loop), settings_(settings), limits_(limits) {}
+
+  void set_transport(EngineTransport& transport) { transport_ = &transport; }
+  // The names of the settings' zones, by index.
+  void set_zones(std::vector<std::string> zones) { zones_ = std::move(zones); }
+
+  // Takes the endpoint list, announced at `announced_at`; engines that are not on it are removed. Returns the
+  // list for the decision module.
+  [[nodiscard]] routing::EngineList update(const std::vector<EngineEndpoint>& endpoints, bool is_cached,
+                                           Time announced_at);
+  // Returns the list under changed settings, in which zones and machine types may have other indexes, and
+  // applies a drain grace period that may have become shorter.
+  [[nodiscard]] routing::EngineList update_for_settings();
+
+  [[nodiscard]] bool contains(EngineId id) const { return id < engines_.size(); }
+  [[nodiscard]] const EngineEndpoint& endpoint(EngineId id) const { return engines_[id].endpoint; }
+  // Whether no engine was ever listed.
+  [[nodiscard]] bool empty() const { return engines_.empty(); }
+  // How many engines are listed now.
+  [[nodiscard]] std::size_t listed_count() const;
+  // Until when attempts may start on the engine: Time::max() while it serves, Time::min() once it is removed.
+  [[nodiscard]] Time accepts_attempts_until(EngineId id) const;
+
+  // Sends a probe, unless one is in flight or the engine is unknown.
+  void start_probe(EngineId id);
+  // Returns how long the probe took; nothing if none was in flight.
+  [[nodiscard]] std::optional<Duration> end_probe(EngineId id);
+
+ private:
+  struct Engine {
+    // As it was listed last; its state is kRemoved if it is no longer listed.
+    EngineEndpoint endpoint;
+    // When it was announced that the engine drains or was removed.
+    Time closing_since{};
+    // When the probe that is in flight was sent.
+    std::optional<Time> probe_sent_at;
+
+    [[nodiscard]] bool is_serving() const { return endpoint.state == routing::EngineState::kServing; }
+    [[nodiscard]] bool is_removed() const { return endpoint.state == routing::EngineState::kRemoved; }
+  };
+
+  EngineId update_endpoint(const EngineEndpoint& endpoint, Time announced_at);
+  void remove_unlisted(const std::vector<bool>& is_listed, Time announced_at);
+  void start_drain(EngineId id, Time announced_at);
+  void schedule_drain_end(EngineId id);
+  [[nodiscard]] Time latest_drain_start(const Engine& engine) const;
+  [[nodiscard]] routing::EngineEntry entry(EngineId id) const;
+
+  EventLoop& loop_;
+  const ActiveSettings& settings_;
+  const DispatcherLimits& limits_;
+  EngineTransport* transport_ = nullptr;
+  std::vector<std::string> zones_;
+  std::unordered_map<std::string, EngineId> ids_;
+  std::vector<Engine> engines_;
+};
+
+}  // namespace rookproxy
--- /dev/null
+++ b/src/dispatcher/request_table.h
@@ -0,0 +1,80 @@
+// The requests that are open, their attempts, and what they take of the process's limits.
+#pragma once
+
+#include <cstddef>
+#include <cstdint>
+#include <optional>
+#include <string>
+#include <vector>
+
+#include "base/time.h"
+#include "dispatcher/engine_transport.h"
+#include "dispatcher/request.h"
+#include "net/event_loop.h"
+#include "net/slot_map.h"
+
+namespace rookproxy {
+
+// An attempt to run a request on an engine. The engine's location is kept as it was when the attempt was
+// sent, by the zone's name: settings may number zones anew.
+struct Attempt {
+  EngineId engine = 0;
+  std::string zone_name;
+  std::uint32_t cell = 0;
+  Time sent_at;
+  bool in_flight = true;
+  bool may_have_run = true;
+  // Ends the attempt, or cancels it while it is unsent.
+  TimerId timer{};
+};
+
+// A request that is open: it has no response yet, or attempts of it are in flight.
+struct Request {
+  // As submitted, with the deadline moved forward by the response margin.
+  IncomingRequest incoming;
+  // Null once the response was sent or the client disconnected.
+  ResponseHandler* handler = nullptr;
+  std::uint64_t ticket = 0;
+  bool is_completed = false;
+  int attempts_in_flight = 0;
+  int priority = 1;
+  std::optional<double> memory_grant_mb;
+  // By number.
+  std::vector<Attempt> attempts;
+  // Responds if the decision module has not done so by the deadline.
+  TimerId deadline_timer{};
+  std::size_t buffered_bytes = 0;
+  std::string last_error;
+
+  // Whether any attempt may have run on an engine.
+  [[nodiscard]] bool may_have_run() const;
+};
+
+// Open requests by key. Pointers into the table are valid until a request is added or released.
+class RequestTable {
+ public:
+  RequestKey add(Request request);
+
+  [[nodiscard]] Request* find(RequestKey key) { return requests_.find(key); }
+  [[nodiscard]] const Request* find(RequestKey key) const { return requests_.find(key); }
+  // Null if the request or the attempt is unknown.
+  [[nodiscard]] Attempt* find_attempt(AttemptKey key);
+
+  // Marks a request of this table as completed; it no longer counts as unanswered.
+  void complete(Request& request);
+  // Marks an attempt of the request as ended.
+  static void end_attempt(Request& request, Attempt& attempt, Outcome outcome);
+  // Takes out a request that is completed and has no attempt in flight; nothing if there is none.
+  std::optional<Request> release_if_done(RequestKey key);
+
+  [[nodiscard]] std::size_t size() const { return requests_.size(); }
+  [[nodiscard]] std::size_t unanswered() const { return unanswered_; }
+  [[nodiscard]] std::size_t buffered_bytes() const { return buffered_bytes_; }
+
+ private:
+  SlotMap<Request> requests_;
+  std::size_t unanswered_ = 0;
+  std::size_t buffered_bytes_ = 0;
+};
+
+}  // namespace rookproxy
--- a/tests/integration/deployments_test.cpp
+++ b/tests/integration/deployments_test.cpp
@@ -8,10 +8,10 @@
 #include <nlohmann/json.hpp>
 #include <sstream>
 
-#include "admin/ops.h"
+#include "admin/admin_response.h"
 #include "config/config.h"
 #include "dispatcher/dispatcher.h"
-#include "dispatcher/rules.h"
+#include "dispatcher/stricter_settings.h"
 #include "fakes/standins.h"
 #include "policy/drain.h"
 #include "policy/poll_schedule.h"
--- /dev/null
+++ b/tests/net/stream_test.cpp
@@ -0,0 +1,62 @@
+// Streams over real sockets.
+#include "net/stream.h"
+
+#include <catch2/catch.hpp>
+#include <string>
+
+#include "fakes/standins.h"
+
+using namespace rookproxy;
+using namespace std::chrono_literals;
+
+namespace {
+
+// Reads everything.
+struct ReadingHandler final : StreamHandler {
+  std::size_t on_bytes(std::string_view bytes) override { return bytes.size(); }
+  void on_closed(std::string_view) override {}
+};
+
+// Leaves everything in the stream's buffer.
+struct UnreadingHandler final : StreamHandler {
+  std::size_t on_bytes(std::string_view) override { return 0; }
+  void on_closed(std::string_view reason) override { close_reason = reason; }
+  std::string close_reason;
+};
+
+constexpr std::size_t kInputLimit = 1024;
+
+}  // namespace
+
+TEST_CASE("stream: only a write that has not started can be cancelled") {
+  // The proof that a request never ran rests on this.
+  EventLoop loop;
+  FileDescriptor listener = test::listen_on_free_port();
+  ReadingHandler handler;
+  Stream stream(loop, connect_tcp({0x7f000001, local_port(listener)}), handler, true, kInputLimit);
+  const auto first = stream.write("first");
+  const auto second = stream.write("second");
+  CHECK_FALSE(stream.has_write_started(first));
+  CHECK(stream.cancel_write(first));
+  CHECK_FALSE(stream.cancel_write(first));
+  loop.run_at(loop.now() + 50ms, [&] { loop.stop(); });
+  loop.run();
+  CHECK(stream.has_write_started(second));
+  CHECK_FALSE(stream.cancel_write(second));
+  test::TestConnection peer(accept_connection(listener));
+  REQUIRE(peer.wait_for_bytes(6));
+  CHECK(peer.take(6) == "second");
+}
+
+TEST_CASE("stream: a message larger than the buffer ends the stream") {
+  UnreadingHandler handler;
+  EventLoop loop;
+  FileDescriptor listener = test::listen_on_free_port();
+  test::TestConnection peer = test::TestConnection::connect(local_port(listener));
+  REQUIRE(test::wait_until_readable(listener, test::kWaitLimit));
+  Stream stream(loop, accept_connection(listener), handler, false, kInputLimit);
+  peer.send(std::string(5000, 'x'));
+  loop.run_at(loop.now() + 100ms, [&] { loop.stop(); });
+  loop.run();
+  CHECK(handler.close_reason == "a message larger than the buffer");
+}
--- a/tests/support/fault_injection.h
+++ b/tests/support/fault_injection.h
@@ -19,7 +19,7 @@
 #include <stdexcept>
 
 #include "dispatcher/dispatcher.h"
-#include "dispatcher/module_time.h"
+#include "dispatcher/routing_time.h"
 #include "frontend/frames.h"
 #include "log/log.h"
 #include "net/clock.h"
