--- a/src/agent/supervisor.h
+++ b/src/agent/supervisor.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "admin/call.h"
+#include "admin/admin_client.h"
 #include "config/agent_config.h"
 #include "net/event_loop.h"
 
--- a/src/app/app.h
+++ b/src/app/app.h
@@ -3,7 +3,7 @@
 
 #include <memory>
 
-#include "admin/ops.h"
+#include "admin/admin_server.h"
 #include "app/hot_restart.h"
 #include "auth/gatekeeper.h"
 #include "cluster/runtime/fleet.h"
@@ -38,8 +38,11 @@
   std::string not_ready_reason() const override;
   const Metrics& metrics() const override { return metrics_; }
   Gauges gauges() const override { return dispatcher_.gauges(); }
-  std::vector<Cluster::MetricValue> optional_metrics() const override {
-    return cluster_ ? cluster_->metrics() : std::vector<Cluster::MetricValue>();
+  std::vector<NamedMetric> optional_metrics() const override {
+    std::vector<NamedMetric> named;
+    if (!cluster_) return named;
+    for (const auto& [name, value] : cluster_->metrics()) named.push_back({name, value});
+    return named;
   }
   void apply_configuration(Config config);
   std::unique_ptr<FileWatcher> watch_credential_files(const Config& config);
--- a/src/base/numbers.h
+++ b/src/base/numbers.h
@@ -1,4 +1,4 @@
-// Numbers from text: the whole text or nothing, and nothing that is not finite.
+// Parses numbers.
 #pragma once
 
 #include <charconv>
@@ -9,10 +9,12 @@
 
 namespace rookproxy {
 
+// The number that the whole text stands for; nothing if it is not a number of that type, or not finite.
+// `base` is that of integers.
 template <class T>
-std::optional<T> parse_number(std::string_view text, int base = 10) {
+[[nodiscard]] std::optional<T> parse_number(std::string_view text, int base = 10) {
   T value{};
-  const auto end = text.data() + text.size();
+  const char* const end = text.data() + text.size();
   std::from_chars_result result{};
   if constexpr (std::is_floating_point_v<T>) {
     result = std::from_chars(text.data(), end, value);
--- a/src/base/time.h
+++ b/src/base/time.h
@@ -1,4 +1,4 @@
-// Points in time and spans, in chrono types throughout. Types alone: nothing here reads a clock.
+// Points in time and durations. These are types alone: nothing here reads a clock.
 #pragma once
 
 #include <chrono>
@@ -6,6 +6,7 @@
 namespace rookproxy {
 
 using Duration = std::chrono::microseconds;
+
 // Unix time.
 using Time = std::chrono::time_point<std::chrono::system_clock, Duration>;
 
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -1,5 +1,4 @@
-// Log lines: RFC 5424 with structured data, to standard error and, by an operator's file, to a syslog
-// address.
+// Log messages to a stream and, if an operator configures it, to a syslog collector.
 #pragma once
 
 #include <initializer_list>
@@ -10,46 +9,45 @@
 #include <utility>
 
 #include "base/time.h"
+#include "log/rfc5424.h"
 #include "net/sockets.h"
 
 namespace rookproxy {
 
-// RFC 5424's severities, as far as they are used here.
-enum class LogLevel { kError = 3, kWarning = 4, kNotice = 5, kInfo = 6, kDebug = 7 };
-
-std::optional<LogLevel> parse_log_level(std::string_view name);
-
-struct LogField {
-  std::string_view name;
-  std::string value;
-};
-
-// The whole line without its end, for anyone's stream or datagram.
-std::string format_rfc5424(LogLevel level, int facility, Time at, std::string_view host, std::string_view app,
-                           std::string_view process, std::string_view message_id,
-                           std::initializer_list<LogField> fields, std::string_view text);
-
+// Writes RFC 5424 messages. Used by one thread; the stream must outlive it.
 class Logger {
  public:
-  Logger(std::ostream& out, LogLevel least, std::string host, std::string app);
-  // No address: to no collector (any more).
+  Logger(std::ostream& out, LogLevel min_level, std::string host, std::string app);
+
+  // Sends messages to a collector by UDP as well; no address: no longer.
   void set_syslog_target(const std::optional<SocketAddress>& address, int facility);
-  void set_min_level(LogLevel least) { min_level_ = least; }
+  void set_min_level(LogLevel min_level) { min_level_ = min_level; }
   void set_host(std::string host) { host_ = std::move(host); }
-  bool is_enabled(LogLevel level) const { return level <= min_level_; }
+
+  // Whether messages of the level are written.
+  [[nodiscard]] bool is_enabled(LogLevel level) const { return level <= min_level_; }
+
+  // Writes a message. Beyond a limit a second, messages are counted instead.
   void write(LogLevel level, std::string_view message_id, std::string_view text,
              std::initializer_list<LogField> fields);
 
  private:
+  void start_window(Time now);
+
+  // A burst of messages must not cost what requests need.
+  static constexpr int kMaxLinesPerSecond = 200;
+  static constexpr int kDefaultFacility = 16;  // local0
+
   std::ostream& out_;
   LogLevel min_level_;
-  std::string host_, app_, process_;
-  int facility_ = 16;  // local0
+  std::string host_;
+  std::string app_;
+  std::string process_;
+  int facility_ = kDefaultFacility;
   FileDescriptor syslog_;
-  // A burst must not cost what the requests need: this many lines a second, then one that counts the rest.
-  static constexpr int kMaxLinesPerSecond = 200;
   Time window_start_{};
-  int lines_in_window_ = 0, suppressed_lines_ = 0;
+  int lines_in_window_ = 0;
+  int suppressed_lines_ = 0;
 };
 
 }  // namespace rookproxy
