--- a/tests/support/fault_injection.h
+++ b/tests/support/fault_injection.h
@@ -19,8 +19,8 @@
 #include <stdexcept>
 
 #include "dispatcher/dispatcher.h"
-#include "dispatcher/module_time.h"
 #include "frontend/frames_frontend.h"
+#include "dispatcher/routing_time.h"
 #include "log/log.h"
 #include "net/clock.h"
 #include "upstream/lines.h"
