--- a/src/app/app.h
+++ b/src/app/app.h
@@ -5,8 +5,8 @@
 
 #include "admin/admin_server.h"
 #include "app/hot_restart.h"
-#include "auth/gatekeeper.h"
 #include "cluster/runtime/cluster.h"
+#include "auth/authenticator.h"
 #include "config/config.h"
 #include "discovery/dns_discovery_client.h"
 #include "dispatcher/dispatcher.h"
--- a/src/cluster/runtime/cluster.h
+++ b/src/cluster/runtime/cluster.h
@@ -13,7 +13,7 @@
 #include "cluster/runtime/cluster_settings.h"
 #include "cluster/transport/peer_socket.h"
 #include "log/log.h"
-#include "net/loop.h"
+#include "net/event_loop.h"
 
 namespace rookproxy {
 
--- a/src/cluster/transport/peer_socket.h
+++ b/src/cluster/transport/peer_socket.h
@@ -15,7 +15,7 @@
 #include "cluster/replay_window.h"
 #include "cluster/transport/byte_rate_limiter.h"
 #include "cluster/transport/codec.h"
-#include "net/loop.h"
+#include "net/event_loop.h"
 
 namespace rookproxy::cluster::transport {
 
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -11,9 +11,9 @@
 #include <string>
 #include <vector>
 
-#include "auth/settings.h"
 #include "config/config_error.h"
 #include "config/files.h"
+#include "auth/auth_settings.h"
 #include "dispatcher/interfaces.h"
 #include "log/log.h"
 #include "tls/context.h"
--- a/src/config/config_reader.h
+++ b/src/config/config_reader.h
@@ -10,7 +10,9 @@
 
 #include "base/time.h"
 #include "config/config_error.h"
-#include "net/fd.h"
+#include "net/file_descriptor.h"
+#include "net/socket_address.h"
+#include "net/sockets.h"
 
 namespace rookproxy {
 
--- a/src/discovery/dns_discovery_client.h
+++ b/src/discovery/dns_discovery_client.h
@@ -13,7 +13,7 @@
 #include "discovery/dns.h"
 #include "dispatcher/interfaces.h"
 #include "log/log.h"
-#include "net/loop.h"
+#include "net/event_loop.h"
 #include "policy/discovery_path.h"
 #include "policy/endpoint_list_version.h"
 #include "policy/poll_schedule.h"
--- a/src/frontend/connection_table.h
+++ b/src/frontend/connection_table.h
@@ -6,9 +6,9 @@
 #include <memory>
 #include <utility>
 
-#include "net/loop.h"
-#include "net/slots.h"
-#include "net/sweep.h"
+#include "net/event_loop.h"
+#include "net/incremental_scan.h"
+#include "net/slot_map.h"
 
 namespace rookproxy {
 
--- a/src/frontend/frames_connection_requests.cpp
+++ b/src/frontend/frames_connection_requests.cpp
@@ -2,6 +2,7 @@
 // authorization where callers are identified.
 #include <algorithm>
 #include <utility>
+#include <variant>
 
 #include "frontend/frames_connection.h"
 #include "sql/tables.h"
@@ -116,12 +117,13 @@
     waiting->class_index = *class_index;
     authorize(ticket, std::move(*waiting), std::move(result));
   };
-  auth::Authenticator::CheckId check = 0;
   const Time deadline = std::max(frontend_.loop_.now(), waiting->deadline - kResponseMargin);
-  auto result = frontend_.authenticator_->check_token(token, key_, deadline, on_checked, check);
-  if (result) return authorize(ticket, std::move(*waiting), std::move(*result));
+  auto check = frontend_.authenticator_->check_token(token, key_, deadline, on_checked);
+  if (auto* result = std::get_if<auth::AuthenticationResult>(&check)) {
+    return authorize(ticket, std::move(*waiting), std::move(*result));
+  }
   PendingRequest& request = *frontend_.pending_requests_.find(ticket);
-  request.check = check;
+  request.check = std::get<auth::Authenticator::CheckId>(check);
   request.bytes_in_check = bytes;
   frontend_.bytes_in_check_ += bytes;
 }
--- a/src/frontend/frames_frontend.h
+++ b/src/frontend/frames_frontend.h
@@ -11,7 +11,7 @@
 #include <unordered_set>
 #include <vector>
 
-#include "auth/certificate.h"
+#include "auth/certificate_authenticator.h"
 #include "dispatcher/dispatcher.h"
 #include "frontend/connection_table.h"
 #include "frontend/frame_codec.h"
--- a/tests/cluster/event_loop_script.h
+++ b/tests/cluster/event_loop_script.h
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "fakes/standins.h"
-#include "net/loop.h"
+#include "net/event_loop.h"
 
 namespace rookproxy::test {
 
