--- a/include/rookproxy/routing/router.h
+++ b/include/rookproxy/routing/router.h
@@ -1,11 +1,12 @@
-// The public interface of the decision module (decisions live in src/routing).
+// The public interface of the decision module, whose decisions live in src/routing.
 //
-// A host creates one Router per gateway process and feeds it batches of events; the router appends the
-// actions to carry out, in order. An instance is used by one thread at a time and instances share nothing.
-// All text and vectors are owned by value; nothing handed in needs to outlive the call.
-// Times are microseconds on the host's clock, which only moves forward.
+// A host creates one Router per dispatcher process and feeds it batches of events; the router appends the
+// actions to carry out, in order. An instance is used by one thread at a time, and instances share nothing.
+// All text and vectors are owned by value; nothing handed in needs to outlive the call. Times and durations
+// are microseconds on the host's clock, which only moves forward.
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
 #include <memory>
 #include <optional>
@@ -16,141 +17,207 @@
 
 namespace rookproxy::routing {
 
+// A point in time, or a duration, in microseconds.
 using Time = std::int64_t;
-using RequestId = std::uint64_t;  // chosen by the host, never reused in an instance's life
-using EngineId = std::uint32_t;   // chosen by the host, dense from 0; the same engine keeps its id
+// Chosen by the host, and never reused in an instance's life.
+using RequestId = std::uint64_t;
+// Chosen by the host, dense from 0; the same engine keeps its id.
+using EngineId = std::uint32_t;
+// The index of a class in Settings::classes.
 using ClassIndex = std::uint32_t;
 
-enum class Idempotency {
-  kIdempotent,
-  kKeyed,
-  kNonIdempotent
-};                                                    // may a request that possibly ran be sent again?
-enum class IdempotencyScope { kAll, kZone, kCell };   // keyed: which engines drop repeats of one request
-enum class EngineListMode { kPushed, kSubscribed };   // does the engine list come by itself?
-enum class MemoryPressure { kWait, kShrink, kPage };  // what an engine does when grants pass its memory
+// Whether a request that may have run may be sent again: always, within its scope and window, or never.
+enum class Idempotency { kIdempotent, kKeyed, kNonIdempotent };
 
+// For keyed requests: which engines drop a repeat. All of them, those of the same zone, or those of the same
+// cell.
+enum class IdempotencyScope { kAll, kZone, kCell };
+
+// Whether the engine list comes by itself, or has to be subscribed to.
+enum class EngineListMode { kPushed, kSubscribed };
+
+// What an engine does when memory grants exceed its memory: queries wait, get less than granted, or all slow
+// down.
+enum class MemoryPressure { kWait, kShrink, kPage };
+
+// A class of requests.
 struct ClassSettings {
   std::string name;
+  // What a response in time is worth against those of other classes.
   double priority_weight = 1;
-  Time latency_objective = 0;             // an answer within this (plus the stretch) earns the full worth
-  double latency_objective_per_work = 0;  // the aim grows by this times work over threads
+  // A response within this, plus the next, has the full weight.
+  Time latency_objective = 0;
+  // The objective grows by this times the request's work over its threads.
+  double latency_objective_per_work = 0;
   Time timeout = 0;
-  double late_weight = 0;  // share of the worth after the aim, before the client gives up
+  // Share of the weight that a response has after the objective and before the deadline.
+  double late_weight = 0;
   Idempotency idempotency = Idempotency::kIdempotent;
-  std::optional<IdempotencyScope> idempotency_scope;  // keyed classes
-  std::optional<Time> idempotency_window;             // keyed classes: how long repeats are dropped
-  bool ordered = false;                               // requests of one key run one at a time
+  // Keyed classes only. Absent: cell.
+  std::optional<IdempotencyScope> idempotency_scope;
+  // Keyed classes only: how long engines drop repeats. Absent: not at all.
+  std::optional<Time> idempotency_window;
+  // Requests of one key run one at a time.
+  bool ordered = false;
+  // Absent: all.
   std::optional<std::vector<std::uint32_t>> allowed_zones;
+  // Indices of Settings::machine_types. Absent: all.
   std::optional<std::vector<std::uint32_t>> allowed_machine_types;
+  // Threads that a request runs with on its engine.
   int threads = 1;
-  bool is_load = false;                       // holds its table group on its engine while it runs
-  bool waits_for_loads = false;               // stands still while a load holds its group
-  std::optional<std::uint32_t> max_attempts;  // absent: as the settings have it
+  // Its requests load the tables of a group, and hold the group on their engine while they run.
+  bool is_load = false;
+  // Its requests stand still while a load holds their group.
+  bool waits_for_loads = false;
+  // Absent: as Settings::max_attempts has it.
+  std::optional<std::uint32_t> max_attempts;
   bool operator==(const ClassSettings&) const = default;
 };
 
+// A tenant, whose quota holds for all instances together.
 struct TenantSettings {
   std::string name;
-  double quota_per_second = 0;  // over all gateways
+  // Requests per second; 0: without limit.
+  double quota_per_second = 0;
   double share = 0;
 };
 
+// A type of machine that engines run on.
 struct MachineTypeSettings {
   std::string name;
   std::optional<double> cores;
   std::optional<double> memory_mb;
 };
 
+// How engines that have just started must be spared.
 struct SlowStart {
-  double initial_share = 1;    // share of its capacity that an engine starts with at least
-  Time warm_up_period = 0;     // warm by then at the latest
-  double overload_factor = 1;  // pushed beyond this times its present capacity ...
-  Time overload_window = 0;    // ... for this long, it falls over
+  // Share of its capacity that an engine starts with at least, above 0 and up to 1.
+  double initial_share = 1;
+  // By then at the latest it has its full capacity.
+  Time warm_up_period = 0;
+  // Sent more than this many times its present capacity ...
+  double overload_factor = 1;
+  // ... during this time, it fails.
+  Time overload_window = 0;
 };
 
+// How many retries are allowed: a constant number and a share of the requests, both within the window.
 struct RetryBudget {
-  double min_retries = 0;  // further attempts allowed whatever the traffic
-  double retry_ratio = 0;  // and this many for each request taken
+  double min_retries = 0;
+  double retry_ratio = 0;
   Time window = 0;
 };
 
+// All settings of a Router.
 struct Settings {
   std::uint64_t seed = 0;
-  std::uint32_t instance_count = 1;  // gateways before the same fleet
+  // Dispatcher instances before the same engines, and the place of this one among them, from 0.
+  std::uint32_t instance_count = 1;
   std::uint32_t instance_index = 0;
+  // The zone of this instance, and the number of zones.
   std::uint32_t zone = 0;
   std::uint32_t zones = 1;
   std::vector<ClassSettings> classes;
   std::vector<TenantSettings> tenants;
   std::vector<MachineTypeSettings> machine_types;
   EngineListMode engine_list_mode = EngineListMode::kPushed;
+  // Whether attempts can be cancelled, and engines probed.
   bool may_cancel = false;
   bool may_probe = false;
-  bool reports_load = true;  // do engines report their load at all, in answers or to probes?
+  // Whether engines report their load at all, in responses or to probes.
+  bool reports_load = true;
+  // Whether a second attempt may be sent while the first one runs.
   bool hedging = false;
+  // Attempts of one request, the first included.
   std::uint32_t max_attempts = 1;
-  std::optional<Time>
-      max_retry_after;  // the longest advice that clients heed; absent: advice is not passed on
+  // The longest advice that clients heed. Absent: none is passed on.
+  std::optional<Time> max_retry_after;
   Time response_grace_period = 0;
   Time drain_grace_period = 0;
   std::optional<SlowStart> slow_start;
-  std::optional<Time> ordered_key_cooldown;  // a key rests this long after an attempt that may still run
+  // How long a key of an ordered class rests after an attempt that may still run.
+  std::optional<Time> ordered_key_cooldown;
   std::optional<RetryBudget> retry_budget;
+  // Whether engines heed the memory and the priority of SetExecutionOptions.
   bool memory_grants_supported = false;
   bool priorities_supported = false;
-  std::optional<double> max_memory_grant_share;  // share of an engine's memory that one query gets at most
+  // Share of an engine's memory that one query gets at most.
+  std::optional<double> max_memory_grant_share;
   MemoryPressure memory_pressure = MemoryPressure::kWait;
+  // How often engines send updates of an attempt. Absent: they send none.
   std::optional<Time> progress_interval;
+  // Whether responses tell what the request cost.
   bool reports_cost = false;
+  // Share of its weight that a request has beyond its tenant's quota.
   double over_quota_weight = 1;
-  double cross_zone_cost =
-      0;  // points of the goal for attempts that leave the zone, each as a share of first tries
-  double probe_cost = 0;  // ... and for probes
+  // Points of the goal that attempts outside the own zone, and probes, cost, each as a share of first
+  // attempts.
+  double cross_zone_cost = 0;
+  double probe_cost = 0;
 };
 
 // ---- events ----
 
+// Whether an engine takes new requests: yes, no more, or it is not there.
 enum class EngineState { kServing, kDraining, kRemoved };
 
+// An engine of the list.
 struct EngineEntry {
   EngineId id = 0;
-  std::string name;     // hashed for ties, so that gateways agree; carries no other meaning
-  Time started_at = 0;  // 0: long ago
+  // Hashed for ties, so that instances agree; has no other meaning.
+  std::string name;
+  // 0: long ago.
+  Time started_at = 0;
   EngineState state = EngineState::kServing;
   std::uint32_t zone = 0;
   std::uint32_t cell = 0;
   double weight = 1;
+  // Index of Settings::machine_types.
   std::uint32_t machine_type = 0;
 };
 
+// What an engine list is: remembered from before the start, all engines, those that changed, or a rejected
+// subscription.
 enum class EngineListKind { kCached, kSnapshot, kDelta, kRejected };
 
+// The engine list, or changes of it.
 struct EngineList {
   EngineListKind kind = EngineListKind::kSnapshot;
   std::vector<EngineEntry> entries;
 };
 
+// A client's request.
 struct RequestArrived {
   RequestId id = 0;
   ClassIndex class_index = 0;
-  std::uint64_t key = 0;  // 0: none
+  // For ordered and keyed classes. 0: none.
+  std::uint64_t key = 0;
+  // The client does not wait any longer.
   Time deadline = 0;
+  // The group of tables that it reads or loads.
   std::uint64_t group = 0;
-  std::optional<double> work;       // estimate, microseconds of one thread
-  std::optional<double> memory_mb;  // estimate
+  // Estimate, in microseconds of one thread.
+  std::optional<double> work;
+  // Estimate, in MB.
+  std::optional<double> memory_mb;
+  // Index of Settings::tenants.
   std::optional<std::uint32_t> tenant;
-  bool is_client_retry = false;  // the client marked it as its own further try
+  // The client marked it as its own further try.
+  bool is_client_retry = false;
 };
 
+// What an engine tells of its load.
 struct LoadReport {
-  std::optional<double> active_queries;              // queries in hand
-  std::optional<double> queries_waiting_for_memory;  // queries waiting for memory
-  std::optional<double> cpu_utilization;             // share
-  std::optional<double> memory_utilization;          // share
-  std::optional<double> disk_utilization;            // share
+  // Queries that it has, running or not.
+  std::optional<double> active_queries;
+  std::optional<double> queries_waiting_for_memory;
+  // Shares of what there is; granted memory may exceed 1.
+  std::optional<double> cpu_utilization;
+  std::optional<double> memory_utilization;
+  std::optional<double> disk_utilization;
 };
 
+// How an attempt or a probe ended, and whether it may have run.
 enum class Outcome {
   kServed,
   kError,           // may have run
@@ -162,41 +229,52 @@
   kNotSent,         // never ran
 };
 
+// An attempt has ended.
 struct AttemptEnded {
   RequestId request = 0;
   std::uint32_t attempt = 0;
   EngineId engine = 0;
   Outcome outcome = Outcome::kServed;
   Time latency = 0;
-  bool completed = false;           // the request has had its final answer
-  std::optional<double> work;       // what it cost, microseconds of one thread
-  std::optional<double> memory_mb;  // what it needed
+  // The request has had its final response.
+  bool completed = false;
+  // What it cost, in microseconds of one thread.
+  std::optional<double> work;
+  // What it needed, in MB.
+  std::optional<double> memory_mb;
   std::optional<LoadReport> report;
 };
 
-struct ResponseStarted {  // streamed answers: the attempt belongs to the client now
+// A streamed response has begun: the attempt belongs to the client from now on.
+struct ResponseStarted {
   RequestId request = 0;
   std::uint32_t attempt = 0;
 };
 
+// What an update of an attempt is about.
 enum class AttemptUpdateKind { kProgress, kSpilling, kWaitingForMemory, kWaitingForLoad };
 
+// An engine tells of an attempt that it runs.
 struct AttemptUpdate {
   RequestId request = 0;
   std::uint32_t attempt = 0;
   EngineId engine = 0;
   AttemptUpdateKind kind = AttemptUpdateKind::kProgress;
-  double amount = 0;  // progress: share done; spills: MB missing
+  // Progress: share done. Spilling: MB missing.
+  double amount = 0;
 };
 
-struct ClientDisconnected {  // the client has left
+// The request's client has left.
+struct ClientDisconnected {
   RequestId request = 0;
 };
 
+// A timer set by SetTimer is due.
 struct TimerFired {
   std::uint64_t token = 0;
 };
 
+// A probe has ended.
 struct ProbeEnded {
   EngineId engine = 0;
   Outcome outcome = Outcome::kServed;
@@ -204,65 +282,91 @@
   std::optional<LoadReport> report;
 };
 
+// Something that happened.
 using Event = std::variant<EngineList, RequestArrived, AttemptEnded, ResponseStarted, AttemptUpdate,
                            ClientDisconnected, TimerFired, ProbeEnded>;
 
 // ---- actions ----
 
-struct Send {  // attempts of a request are numbered 0, 1, 2 ... in the order of their sends
+// Send the request to the engine. Attempts of a request are numbered 0, 1, 2 ... in the order of their sends.
+struct Send {
   RequestId request = 0;
   EngineId engine = 0;
-  std::optional<Time> timeout;  // absent: until the client gives up
+  // Absent: until the request's deadline.
+  std::optional<Time> timeout;
 };
-struct SetExecutionOptions {  // for the request's next sends; the priority holds at once for attempts out
+
+// Use these for the request's next sends; the priority holds at once for its attempts in flight.
+struct SetExecutionOptions {
   RequestId request = 0;
-  std::optional<double> memory_mb;  // absent: the engine chooses
+  // Absent: the engine chooses.
+  std::optional<double> memory_mb;
   int priority = 1;
 };
+
+// Cancel an attempt in flight.
 struct Cancel {
   RequestId request = 0;
   std::uint32_t attempt = 0;
 };
-struct Reject {  // final answer: trying again is harmless
+
+// Final response: trying again is harmless.
+struct Reject {
   RequestId request = 0;
   std::optional<Time> retry_after;
 };
-struct Fail {  // final answer: promises nothing
+
+// Final response: promises nothing.
+struct Fail {
   RequestId request = 0;
 };
+
+// Fire a timer with this token at this time.
 struct SetTimer {
   Time at = 0;
   std::uint64_t token = 0;
 };
+
+// Ask the engine for its load.
 struct Probe {
   EngineId engine = 0;
 };
-struct SubscribeEngineList {};  // ask for the engine list's changes from now on
+
+// Ask for the engine list and its changes from now on.
+struct SubscribeEngineList {};
+
+// Write a line to the log.
 struct Log {
   std::string text;
 };
 
+// Something to do.
 using Action =
     std::variant<Send, SetExecutionOptions, Cancel, Reject, Fail, SetTimer, Probe, SubscribeEngineList, Log>;
 
+// Settings that contradict themselves; the message names the setting.
 struct InvalidSettings : std::invalid_argument {
   using std::invalid_argument::invalid_argument;
 };
 
+// Decides which engine runs which request, and when. Used by one thread at a time.
 class Router {
  public:
-  explicit Router(Settings settings);  // throws BadSettings, naming the setting
+  // Throws InvalidSettings.
+  explicit Router(Settings settings);
   ~Router();
   Router(Router&&) noexcept;
   Router& operator=(Router&&) noexcept;
   // Takes all that happened at `now` and appends what to do, in order.
   void handle(Time now, const std::vector<Event>& events, std::vector<Action>& actions);
-  // Other settings from now on. Indices of classes go on meaning the same classes; one whose entry is another
-  // takes over what is known of its namesake. Means, windows, health and open requests go on. Throws
-  // BadSettings, and then nothing has changed. A list of engines should follow where kinds or zones changed.
+  // Uses other settings from now on. Indices of classes go on meaning the same classes; a class whose
+  // settings differ takes over what is known of the class of its name. Averages, limits, health and open
+  // requests are kept. Throws InvalidSettings, and then nothing has changed. An engine list should follow
+  // where machine types or zones changed.
   void update_settings(Settings settings);
-  // How many of the listed engines get no new work now, or a trickle: draining, failing or out of reach.
-  std::size_t avoided_engines(Time now) const;
+  // How many of the listed engines get no new requests now, or one at a time: draining, failing or
+  // unreachable.
+  [[nodiscard]] std::size_t avoided_engines(Time now) const;
 
  private:
   class Impl;
