--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -63,9 +63,10 @@
 bool Admission::may_start(Engine& engine, const Request& request) const {
   const int level = priority(request);
   const int threads = state_.settings_of(request).threads;
-  if (!limit_.engine_has_room(engine, level) || !limit_.memory_has_room(engine, request)) return false;
+  const bool fits = limit_.engine_has_capacity(engine, level) && limit_.memory_has_capacity(engine, request);
+  if (!fits) return false;
   const bool is_warm = !slow_start_.warming_up(engine);
-  if (is_warm && !limit_.aggregate_has_room(level, limit_share(request), threads)) return false;
+  if (is_warm && !limit_.aggregate_has_capacity(level, limit_share(request), threads)) return false;
   return retries_.attempt_allowed(request, request.attempts_in_flight) &&
          retries_.engine_allowed(engine, request) && keys_.may_start(request) &&
          slow_start_.allows(engine, request);
--- a/src/routing/affinity.cpp
+++ b/src/routing/affinity.cpp
@@ -7,7 +7,7 @@
 #include "routing/hash.h"
 
 namespace rookproxy::routing {
-constexpr double kCentroidKept = 0.5;       // the paper's alpha: how much of a centroid a send keeps
+constexpr double kCentroidRetained = 0.5;   // the paper's alpha: how much of a centroid a send keeps
 constexpr double kOwnWeightExponent = 0.4;  // of n instances, what we saw counts n to the minus this
 constexpr double kAgreedNormSquared = 0.3;  // squared length of the rest, on which all agree by hash
 constexpr double kMinCentroid = 1e-3;       // a group's part below is forgotten
@@ -24,7 +24,8 @@
 }
 
 void Affinity::record_send(Engine& engine, std::uint64_t group) const {
-  engine.move_centroid(group, std::min(kCentroidKept, engine.centroid_sends / (engine.centroid_sends + 1.0)));
+  engine.move_centroid(group,
+                       std::min(kCentroidRetained, engine.centroid_sends / (engine.centroid_sends + 1.0)));
   engine.forget_groups_below(kMinCentroid, state_.now);
 }
 
--- a/src/routing/concurrency_limit.cpp
+++ b/src/routing/concurrency_limit.cpp
@@ -17,15 +17,15 @@
 constexpr double kMaxLimitedFactor = 4;  // ... where it binds an instance with several times the mean traffic
 constexpr double kMaxLateShare = 0.05;   // of responses, for it to grow so far
 constexpr double kLateWeight = 0.05;     // of one response in the share of late ones
-constexpr Time kLimitedSpan = 1'000'000;    // us; held back this lately counts as held back
-constexpr double kBurst = 2;                // room for chance, in square roots of the limit
-constexpr double kUsageSpan = 5'000'000;    // us, of the mean usage: what lasts as long is no chance
+constexpr Time kLimitedWindow = 1'000'000;        // us; held back this lately counts as held back
+constexpr double kBurst = 2;                      // room for chance, in square roots of the limit
+constexpr double kUsageTimeConstant = 5'000'000;  // us, of the mean usage: what lasts as long is no chance
 constexpr double kMinThreadsPerEngine = 2;  // limits of more threads than this bound engines by themselves
 constexpr double kMemoryShare = 1;  // of an engine's memory for all instances' grants; 0.7 to 1.7 did worse
 
 double full_load_threads(double cores) { return kThreadsPerCore * cores; }
 
-bool ConcurrencyLimit::engine_has_room(const Engine& engine, int priority) const {
+bool ConcurrencyLimit::engine_has_capacity(const Engine& engine, int priority) const {
   if (state_.now < engine.ejected_until) return false;
   const double capacity_share = slow_start_.capacity_share(engine);
   if (reports_.shows_full(engine, capacity_share)) return false;
@@ -36,24 +36,24 @@
          engine.concurrency_factor * our_threads * capacity_share / std::max(1.0, outliers_.slowness(engine));
 }
 
-bool ConcurrencyLimit::memory_has_room(const Engine& engine, const Request& request) const {
+bool ConcurrencyLimit::memory_has_capacity(const Engine& engine, const Request& request) const {
   const bool pages = state_.settings.memory_pressure == MemoryPressure::kPage;
   if (!pages || engine.memory_mb <= 0 || engine.granted_memory_mb <= 0) return true;
   return engine.granted_memory_mb + state_.memory_grant(request) <=
          kMemoryShare * engine.memory_mb / state_.effective_instances;
 }
 
-bool ConcurrencyLimit::aggregate_has_room(int priority, double limit_share, int threads) {
+bool ConcurrencyLimit::aggregate_has_capacity(int priority, double limit_share, int threads) {
   const double used = usage_.present.at_or_above(priority);
   const double limit = limit_share * factor_ * start_threads_;
   const double burst_limit = limit + limit_share * factor_ * kBurst * std::sqrt(2 * start_threads_);
   const bool within_mean = usage_.mean.at_or_above(priority) < limit;
-  const bool has_room = within_mean ? used < burst_limit : used > 0 && used + threads / 2.0 < limit;
-  if (!has_room) limited_at_ = state_.now;
-  return has_room;
+  const bool has_capacity = within_mean ? used < burst_limit : used > 0 && used + threads / 2.0 < limit;
+  if (!has_capacity) limited_at_ = state_.now;
+  return has_capacity;
 }
 
-void ConcurrencyLimit::update_usage() { usage_.update_mean(state_.now, kUsageSpan); }
+void ConcurrencyLimit::update_usage() { usage_.update_mean(state_.now, kUsageTimeConstant); }
 
 void ConcurrencyLimit::resize(double warm_cores) {
   start_threads_ = full_load_threads(warm_cores) / state_.effective_instances;
@@ -73,7 +73,7 @@
   const double all_engines_threads = start_threads_ + kMinThreadsPerEngine * state_.serving_engines;
   const double least = std::max(kFactor.least, kEngineFactor.most * start_threads_ / all_engines_threads);
   late_share_.add(factor < factor_ ? 1 : 0, kLateWeight);
-  const bool may_grow = state_.now - limited_at_ < kLimitedSpan && late_share_.value() < kMaxLateShare;
+  const bool may_grow = state_.now - limited_at_ < kLimitedWindow && late_share_.value() < kMaxLateShare;
   const double most = may_grow ? kMaxLimitedFactor : std::max(kFactor.most, factor_);
   factor_ = std::clamp(factor, least, std::max(most, least));
 }
--- a/src/routing/concurrency_limit.h
+++ b/src/routing/concurrency_limit.h
@@ -25,12 +25,12 @@
   // Whether an engine may be sent more at this priority. What runs at a lower priority gives way there, so it
   // takes no room from what ranks above it. A fresh report that the engine is full forbids it as well: one
   // query of each instance may be too many.
-  [[nodiscard]] bool engine_has_room(const Engine& engine, int priority) const;
+  [[nodiscard]] bool engine_has_capacity(const Engine& engine, int priority) const;
   // Whether the engine's memory has room for the request's grant. Where engines let in more than their memory
   // holds, all on them slow down together, and reports of it come too late: each instance, told of room,
   // fills its limit, and then all wait until the report is old. So each keeps its grants within its own part
   // of an engine's memory.
-  [[nodiscard]] bool memory_has_room(const Engine& engine, const Request& request) const;
+  [[nodiscard]] bool memory_has_capacity(const Engine& engine, const Request& request) const;
   // Whether all our attempts together leave room for `threads` more at this priority, within the part
   // `limit_share` of the aggregate limit. It bounds many instances where the limit of one engine holds less
   // than a query.
@@ -39,7 +39,7 @@
   // chance, and all instances have it at once. 100 that each kept it filled held 8 threads a core. Where the
   // limit is under one query a query fits if half of it does, or limits of two threads held four. Could harm
   // a lone heavy query, which then waits.
-  [[nodiscard]] bool aggregate_has_room(int priority, double limit_share, int threads);
+  [[nodiscard]] bool aggregate_has_capacity(int priority, double limit_share, int threads);
 
   // Adds (`by` 1) or removes (-1) an attempt of the request.
   void count_attempt(Engine& engine, const Request& request, const Attempt& attempt, int by) {
--- a/src/routing/dispatch.cpp
+++ b/src/routing/dispatch.cpp
@@ -31,7 +31,7 @@
   Request* best = nullptr;
   double best_rank = 0;
   for (auto& [id, engine] : state_.engines) {
-    if (engine.queue.empty() || !limit_.engine_has_room(engine, kHighestPriority)) continue;
+    if (engine.queue.empty() || !limit_.engine_has_capacity(engine, kHighestPriority)) continue;
     for (Request* const request : engine.queue) {
       const double rank = admission_.rank(*request);
       if ((best && rank <= best_rank) || !admission_.may_start(engine, *request)) continue;
@@ -50,7 +50,7 @@
     const std::size_t length = engine.queue.size();
     if (length > 0 && (!longest || length > longest->queue.size())) longest = &engine;
     const bool takes_more = length == 0 && engine.is_serving();
-    if (takes_more && limit_.engine_has_room(engine, kHighestPriority)) idle.push_back(&engine);
+    if (takes_more && limit_.engine_has_capacity(engine, kHighestPriority)) idle.push_back(&engine);
   }
   if (!longest || idle.empty()) return false;
   auto queue = longest->queue;
--- a/src/routing/engine.cpp
+++ b/src/routing/engine.cpp
@@ -19,13 +19,13 @@
   return has_restarted;
 }
 
-void Engine::move_centroid(std::uint64_t group, double kept) {
+void Engine::move_centroid(std::uint64_t group, double retained) {
   GroupAffinity& moved = affinity_record(group);
   ++centroid_sends;
-  centroid_norm_squared =
-      centroid_norm_squared * kept * kept + (1 - kept) * (2 * kept * moved.centroid + 1 - kept);
-  for (auto& one : groups) one.centroid *= kept;
-  moved.centroid += 1 - kept;
+  centroid_norm_squared = centroid_norm_squared * retained * retained +
+                          (1 - retained) * (2 * retained * moved.centroid + 1 - retained);
+  for (auto& one : groups) one.centroid *= retained;
+  moved.centroid += 1 - retained;
 }
 
 void Engine::forget_groups_below(double least, Time now) {
--- a/src/routing/engine.h
+++ b/src/routing/engine.h
@@ -90,7 +90,7 @@
   }
   // Moves the affinity centroid toward the group: an average over vectors in which all groups keep the share
   // `kept`.
-  void move_centroid(std::uint64_t group, double kept);
+  void move_centroid(std::uint64_t group, double retained);
   // Drops groups with a centroid below `least` that no attempt in flight has to do with.
   void forget_groups_below(double least, Time now);
   // Drops all groups, and empties the centroid.
--- a/src/routing/engine_selection.cpp
+++ b/src/routing/engine_selection.cpp
@@ -43,7 +43,7 @@
   const bool leaves_zone = engine.entry.zone != state_.settings.zone;
   if (leaves_zone) score += kCrossZoneDistance * state_.settings.cross_zone_cost;
   if (outliers_.unhealthy(engine)) {
-    const bool may_try = limit_.engine_has_room(engine, 0) && engine.queue.empty() &&
+    const bool may_try = limit_.engine_has_capacity(engine, 0) && engine.queue.empty() &&
                          c.idempotency == Idempotency::kIdempotent;
     score += may_try ? -kUnhealthyScore : kUnhealthyScore;
   }
--- a/src/routing/load_reports.cpp
+++ b/src/routing/load_reports.cpp
@@ -8,7 +8,7 @@
 namespace rookproxy::routing {
 constexpr double kFreshConfidence = 0.9;       // in a report just in
 constexpr double kReportHalfLife = 1'000'000;  // us, of that confidence
-constexpr double kConfidenceKept = 0.3;        // share kept when an engine that was shown with room was full
+constexpr double kConfidenceRetained = 0.3;    // share kept when an engine that was shown with room was full
 constexpr double kDistrustHalfLife = 20'000'000;  // us, of what was lost so
 constexpr double kMinProbeConfidence = 0.5;       // no probes below: their answers would not be believed
 constexpr Time kMinProbeInterval = 300'000;       // us; younger reports are not asked for again
@@ -55,7 +55,7 @@
   if (engine.reported_at == kNever) return;
   if (static_cast<double>(state_.now - engine.reported_at) > 2 * kReportHalfLife) return;
   if (engine.reported_queries * state_.mean_threads.value() >= full_load_threads(engine.cores)) return;
-  distrust_ = 1 - kConfidenceKept * confidence();
+  distrust_ = 1 - kConfidenceRetained * confidence();
   distrusted_at_ = state_.now;
 }
 
--- a/src/routing/outlier_detection.cpp
+++ b/src/routing/outlier_detection.cpp
@@ -8,13 +8,13 @@
 namespace rookproxy::routing {
 constexpr double kErrorWeight = 0.3;            // of an error in an engine's error rate
 constexpr double kLostConnectionWeight = 0.15;  // of a broken connection in it, which may be its peer's fault
-constexpr double kErrorRateKept = 0.7;          // share of the error rate kept at a success
+constexpr double kErrorRateRetained = 0.7;      // share of the error rate kept at a success
 constexpr double kMaxErrorRate = 0.45;          // beyond, one request at a time: two errors in a row
 constexpr double kMinMedianLatency = 0.2;       // of relative latencies, that slowness is measured by
 constexpr Time kEjection = 400'000;             // us, doubled with each failed connect in a row ...
 constexpr int kMaxDoublings = 4;
 constexpr Time kMaxEjection = 3'000'000;  // ... up to this
-constexpr Time kSuccessSpan = 500'000;    // us; a success this late outweighs an error
+constexpr Time kSuccessWindow = 500'000;  // us; a success this late outweighs an error
 
 bool OutlierDetection::fails_often(const Engine& engine) { return engine.error_rate.value() > kMaxErrorRate; }
 
@@ -33,7 +33,7 @@
 
 void OutlierDetection::record_success(Engine& engine) const {
   engine.record_success(state_.now);
-  engine.error_rate.scale(kErrorRateKept);
+  engine.error_rate.scale(kErrorRateRetained);
 }
 
 bool OutlierDetection::record_failure(Engine& engine, Outcome outcome) const {
@@ -56,7 +56,7 @@
 }
 
 bool OutlierDetection::recently_successful(const Engine& engine) const {
-  return engine.last_success_at >= 0 && state_.now - engine.last_success_at < kSuccessSpan;
+  return engine.last_success_at >= 0 && state_.now - engine.last_success_at < kSuccessWindow;
 }
 
 }  // namespace rookproxy::routing
--- a/src/routing/placement.cpp
+++ b/src/routing/placement.cpp
@@ -5,7 +5,7 @@
 #include "routing/hash.h"
 
 namespace rookproxy::routing {
-constexpr double kDemandSpan = 10'000'000;             // us, of a group's traffic by which it is planned
+constexpr double kDemandTimeConstant = 10'000'000;     // us, of a group's traffic by which it is planned
 constexpr std::size_t kMaxPlannedGroups = 256;         // the rest, least asked for, have the hash alone
 constexpr std::size_t kAlwaysPlannedGroups = 16;       // so few may be planned anew at once
 constexpr Time kPlanInterval = 1'000'000;              // us, between plans ...
@@ -13,7 +13,7 @@
 
 void Placement::record_demand(std::uint64_t group, double work, Time now) {
   if (demand_.size() >= 2 * kMaxPlannedGroups && !demand_.contains(group)) return;  // until the next plan
-  demand_[group].add(work, now, kDemandSpan);
+  demand_[group].add(work, now, kDemandTimeConstant);
 }
 
 bool Placement::plan_expired(Time now) const { return now - planned_at_ >= kPlanInterval; }
@@ -25,7 +25,7 @@
 
 std::vector<Placement::GroupDemand> Placement::groups_to_plan(Time now) {
   std::vector<GroupDemand> groups;
-  for (const auto& [group, work] : demand_) groups.push_back({work.value(now, kDemandSpan), group});
+  for (const auto& [group, work] : demand_) groups.push_back({work.value(now, kDemandTimeConstant), group});
   std::sort(groups.rbegin(), groups.rend());
   for (std::size_t i = kMaxPlannedGroups; i < groups.size(); ++i) demand_.erase(groups[i].group);
   groups.resize(std::min(groups.size(), kMaxPlannedGroups));
--- a/src/routing/quota.cpp
+++ b/src/routing/quota.cpp
@@ -3,9 +3,10 @@
 #include <algorithm>
 
 namespace rookproxy::routing {
-constexpr double kSavedSeconds = 5;          // of its quota that a tenant may save up
-constexpr double kTrafficSpan = 10'000'000;  // us, of requests by which our part of the traffic is told
-constexpr double kUneven = 2;                // times the even part: less may be an overload or chance
+constexpr double kSavedSeconds = 5;  // of its quota that a tenant may save up
+constexpr double kTrafficTimeConstant =
+    10'000'000;                // us, of requests by which our part of the traffic is told
+constexpr double kUneven = 2;  // times the even part: less may be an overload or chance
 
 static double bucket_capacity(double requests_per_second) {
   return kSavedSeconds * std::max(1.0, requests_per_second);
@@ -19,7 +20,7 @@
 Quota::Tenant& Quota::tenant(std::uint32_t index) {
   const double rate = state_.settings.tenants[index].quota_per_second / state_.settings.instance_count;
   const TokenBucket tokens(bucket_capacity(rate), state_.now);
-  const DecayingCounter requests(rate * kTrafficSpan / 1e6, state_.now);
+  const DecayingCounter requests(rate * kTrafficTimeConstant / 1e6, state_.now);
   return tenants_.try_emplace(index, Tenant{tokens, requests}).first->second;
 }
 
@@ -28,7 +29,7 @@
   if (!index || *index >= tenants.size() || tenants[*index].quota_per_second <= 0) return true;
   const double rate = tenants[*index].quota_per_second * quota_share_;
   Tenant& known = tenant(*index);
-  known.requests.add(1, state_.now, kTrafficSpan);
+  known.requests.add(1, state_.now, kTrafficTimeConstant);
   return known.tokens.try_take(rate, bucket_capacity(rate), state_.now);
 }
 
@@ -39,7 +40,8 @@
   for (std::uint32_t i = 0; i < state_.settings.tenants.size(); ++i) {
     const double quota = state_.settings.tenants[i].quota_per_second;
     if (quota <= 0) continue;
-    const double rate = tenant(i).requests.value(state_.now, kTrafficSpan) * 1e6 / kTrafficSpan;
+    const double rate =
+        tenant(i).requests.value(state_.now, kTrafficTimeConstant) * 1e6 / kTrafficTimeConstant;
     all_rates += rate;
     all_quotas += quota;
     least_share = std::min(least_share, rate / quota);
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -7,12 +7,12 @@
 #include "routing/router_impl.h"
 
 namespace rookproxy::routing {
-constexpr Time kTickInterval = 20'000;      // us, between looks at open requests
-constexpr Time kFleetInterval = 200'000;    // us, between looks at the figures of the fleet
-constexpr Time kStall = 150'000;            // us; a tick this late: this process stood still, not the engines
-constexpr Time kListRetryDelay = 300'000;   // us, before a rejected subscription is made again
-constexpr Time kTableLoadSpan = 1'000'000;  // us that a load seen to hold a group is reckoned with
-constexpr double kOwnQueriesWeight = 0.1;   // of one look in the mean of own queries per engine
+constexpr Time kTickInterval = 20'000;     // us, between looks at open requests
+constexpr Time kFleetInterval = 200'000;   // us, between looks at the figures of the fleet
+constexpr Time kStall = 150'000;           // us; a tick this late: this process stood still, not the engines
+constexpr Time kListRetryDelay = 300'000;  // us, before a rejected subscription is made again
+constexpr Time kTableLoadWindow = 1'000'000;  // us that a load seen to hold a group is reckoned with
+constexpr double kOwnQueriesWeight = 0.1;     // of one look in the mean of own queries per engine
 
 void Router::Impl::handle(Time now, const std::vector<Event>& events, std::vector<Action>& actions) {
   const bool is_first = state_.begin_batch(now, actions);
@@ -126,10 +126,10 @@
 }
 
 void Router::Impl::learn_from_end(const Request& request, const Attempt& attempt, Outcome outcome) {
-  const bool heard_of = attempt.last_update_at > attempt.sent_at;
+  const bool has_updates = attempt.last_update_at > attempt.sent_at;
   const bool unanswered = outcome == Outcome::kNoResponse;
-  const bool given_up = outcome == Outcome::kCancelled && (attempt.presumed_lost || heard_of);
-  if (unanswered && !heard_of) monitor_.record_loss(true);
+  const bool given_up = outcome == Outcome::kCancelled && (attempt.presumed_lost || has_updates);
+  if (unanswered && !has_updates) monitor_.record_loss(true);
   if (state_.stalled) return;
   const Time elapsed = state_.now - attempt.sent_at;
   if (unanswered || given_up) estimates_.record_latency(request, *attempt.target, elapsed);
@@ -139,7 +139,7 @@
 void Router::Impl::record_success(Request& request, Engine& engine, const AttemptEnded& ended) {
   monitor_.record_response();
   outliers_.record_success(engine);
-  blame_earlier_engines(request);
+  attribute_earlier_errors(request);
   outliers_.readmit_if_healthy(engine);
   if (state_.stalled) return;
   estimates_.record_response(request, engine, ended);
@@ -157,7 +157,7 @@
   if (!attempt.request_suspected) record_failure(engine, Outcome::kError);
 }
 
-void Router::Impl::blame_earlier_engines(Request& request) {
+void Router::Impl::attribute_earlier_errors(Request& request) {
   for (auto& attempt : request.attempts) {
     if (!std::exchange(attempt.request_suspected, false)) continue;
     const auto found = state_.engines.find(attempt.engine_id);
@@ -187,7 +187,7 @@
 
 void Router::Impl::avoid_table_load(Request& request, std::size_t attempt) {
   Engine& stopped_at = *request.attempts[attempt].target;
-  stopped_at.affinity_record(request.group).load_seen_until = state_.now + kTableLoadSpan;
+  stopped_at.affinity_record(request.group).load_seen_until = state_.now + kTableLoadWindow;
   for (const auto& [id, engine] : state_.engines) {
     if (!retries_.engine_allowed(engine, request) || outliers_.unhealthy(engine)) continue;
     const GroupAffinity group = engine.affinity(request.group);
--- a/src/routing/router_impl.h
+++ b/src/routing/router_impl.h
@@ -82,7 +82,7 @@
   // not found out.
   void record_error(Attempt& attempt, Engine& engine);
   // The request was served: engines that failed it before were at fault.
-  void blame_earlier_engines(Request& request);
+  void attribute_earlier_errors(Request& request);
   // A table load stops the attempt before it has done anything, while it keeps memory.
   void avoid_table_load(Request& request, std::size_t attempt);
   void check_silence(Request& request);
--- a/src/routing/slow_start.cpp
+++ b/src/routing/slow_start.cpp
@@ -7,10 +7,10 @@
 
 namespace rookproxy::routing {
 constexpr double kBudgetMargin = 0.5;     // share of our part that we use: estimates may be half of the work
-constexpr double kMinQueriesPerPart = 2;  // queries of mean work; a smaller part is dealt out in turns
+constexpr double kMinQueriesPerPart = 2;  // queries of mean work; a smaller part is dealt out in time slots
 constexpr double kUnestimatedFactor = 3;  // times its class's mean that a query without estimate may take
-constexpr double kTurnBudgetShare = 0.5;  // share of the budget that is dealt out in turns ...
-constexpr double kMaxTurnCapacity = 1.2;  // ... at most, in times the capacity that the engine has
+constexpr double kSlotBudgetShare = 0.5;  // share of the budget that is dealt out in time slots ...
+constexpr double kMaxSlotCapacity = 1.2;  // ... at most, in times the capacity that the engine has
 constexpr double kMaxQueryShare = 0.3;    // share of all instances' budget that one query may take of it
 constexpr double kCapacityUtilization = 0.85;  // share of its cores that an engine keeps busy at capacity
 
@@ -39,18 +39,18 @@
   engine.warm_up_sends.forget_until(state_.now - state_.settings.slow_start->overload_window);
   const double mean = state_.class_of(request).conservative_work();
   const double work = std::max(mean, request.work) * (request.has_estimate ? 1 : kUnestimatedFactor);
-  if (budget(engine) < kMinQueriesPerPart * mean) return has_turn(engine, request, work);
+  if (budget(engine) < kMinQueriesPerPart * mean) return has_time_slot(engine, request, work);
   return engine.warm_up_sends.total_with(work) <= budget(engine);
 }
 
-bool SlowStartLimiter::has_turn(const Engine& engine, const Request& request, double work) const {
+bool SlowStartLimiter::has_time_slot(const Engine& engine, const Request& request, double work) const {
   const SlowStart& slow_start = *state_.settings.slow_start;
   const auto window = static_cast<double>(slow_start.overload_window);
   const double capacity = kCapacityUtilization * engine.cores;
   // The engine may stay at its initial share until it is warm at once.
   const double least_budget = slow_start.overload_factor * slow_start.initial_share * capacity * window;
   if (!engine.warm_up_sends.empty() || work > kMaxQueryShare * least_budget) return false;
-  const double rate = std::min(kTurnBudgetShare * slow_start.overload_factor, kMaxTurnCapacity) * capacity /
+  const double rate = std::min(kSlotBudgetShare * slow_start.overload_factor, kMaxSlotCapacity) * capacity /
                       static_cast<double>(state_.classes.size());
   const auto age = static_cast<double>(state_.now - engine.warming_since);
   // The capacity share grows with the square of the age, so its mean so far is a third of this sum.
@@ -58,8 +58,8 @@
   const double round = state_.class_of(request).conservative_work() * state_.settings.instance_count;
   const double place = (state_.settings.instance_index + 0.5) / state_.settings.instance_count +
                        unit_interval(mix(engine.name_hash ^ request.class_index));
-  const double turns = dealt / round - (place - std::floor(place));
-  return turns >= 0 && (turns - std::floor(turns)) * round <= rate * capacity_share(engine) * window;
+  const double slots = dealt / round - (place - std::floor(place));
+  return slots >= 0 && (slots - std::floor(slots)) * round <= rate * capacity_share(engine) * window;
 }
 
 void SlowStartLimiter::record_send(Engine& engine, const Request& request) const {
--- a/src/routing/slow_start.h
+++ b/src/routing/slow_start.h
@@ -20,10 +20,10 @@
   [[nodiscard]] double capacity_share(const Engine& engine) const;
   // Whether the request may be sent now. Forgets sends that are older than the overload window.
   //
-  // Few instances split the engine's budget. Where a part is too small for a query they take turns: what may
-  // be sent since the start, which every instance knows from the list, is dealt out by class and instance
-  // index. A turn is for one query, lasts one overload window and is lost if unused, so that no instance
-  // catches up after a stall or a restart.
+  // Few instances split the engine's budget. Where a part is too small for a query they take time slots in
+  // turn: what may be sent since the start, which every instance knows from the list, is dealt out by class
+  // and instance index. A slot is for one query, lasts one overload window and is lost if unused, so that no
+  // instance catches up after a stall or a restart.
   [[nodiscard]] bool allows(Engine& engine, const Request& request) const;
   // Counts a send against the budget.
   void record_send(Engine& engine, const Request& request) const;
@@ -34,8 +34,8 @@
  private:
   // This instance's part of the work, in microseconds of one thread, that the engine may be sent in a window.
   [[nodiscard]] double budget(const Engine& engine) const;
-  // Whether one of this instance's turns for the request's class is due.
-  [[nodiscard]] bool has_turn(const Engine& engine, const Request& request, double work) const;
+  // Whether one of this instance's time slots for the request's class is due.
+  [[nodiscard]] bool has_time_slot(const Engine& engine, const Request& request, double work) const;
 
   const RoutingState& state_;
 };
--- a/src/routing/work_estimates.cpp
+++ b/src/routing/work_estimates.cpp
@@ -9,13 +9,13 @@
 constexpr double kSampleWeight = 0.05;  // of one response in a class's running means
 constexpr double kMaxWorkRatio = 20;    // times a class's mean work that one request counts in it at most
 constexpr double kMinRunTime = 1000;    // us; less is not told apart
-constexpr double kObjectiveOverRunTime = 3;  // of a class, before anything is known of it
-constexpr Range kLatencyRatio{0.05, 50};     // latency over run time, as one response may tell it
-constexpr double kMaxRatioStep = 4;          // times a class's mean ratio that one response counts at most
-constexpr double kMaxRelativeLatency = 8;    // times its class's ratio that a response counts for an engine
-constexpr Range kEngineWeight{0.1, 0.3};     // of one response in an engine's relative latency: more ...
-constexpr double kEngineSpan = 20'000'000;   // ... where they are rare: the age of the last, us, over this
-constexpr double kWorkStep = 0.08;           // of the running median of latencies, where nothing tells work
+constexpr double kObjectiveOverRunTime = 3;    // of a class, before anything is known of it
+constexpr Range kLatencyRatio{0.05, 50};       // latency over run time, as one response may tell it
+constexpr double kMaxRatioStep = 4;            // times a class's mean ratio that one response counts at most
+constexpr double kMaxRelativeLatency = 8;      // times its class's ratio that a response counts for an engine
+constexpr Range kEngineWeight{0.1, 0.3};       // of one response in an engine's relative latency: more ...
+constexpr double kFullWeightAge = 20'000'000;  // ... where they are rare: the age of the last, us, over this
+constexpr double kWorkStep = 0.08;             // of the running median of latencies, where nothing tells work
 constexpr double kLateWorkStep = kWorkStep / 5;  // late responses tell of engines, not of work
 constexpr Range kBias{0.1, 10};                  // true work over estimate, as it is learnt ...
 constexpr Range kBiasSample{0.2, 2};             // ... and as one response may tell it
@@ -46,7 +46,7 @@
 double WorkEstimates::record_latency(const Request& request, Engine& engine, Time latency) {
   const double run_time = std::max(kMinRunTime, state_.run_time(request));
   const double ratio = kLatencyRatio.clamp(static_cast<double>(latency) / run_time);
-  const double age = static_cast<double>(state_.now - engine.latency_updated_at) / kEngineSpan;
+  const double age = static_cast<double>(state_.now - engine.latency_updated_at) / kFullWeightAge;
   const double usual = state_.class_of(request).latency_ratio.value();
   engine.relative_latency.add(std::min(ratio / usual, kMaxRelativeLatency), kEngineWeight.clamp(age));
   engine.latency_updated_at = state_.now;
