--- a/src/routing/slow_start.cpp
+++ b/src/routing/slow_start.cpp
@@ -14,14 +14,7 @@
 constexpr double kMaxQueryShare = 0.3;    // share of all instances' budget that one query may take of it
 constexpr double kCapacityUtilization = 0.85;  // share of its cores that an engine keeps busy at capacity
 
-bool SlowStartLimiter::warming_up(const Engine& engine) const {
-  const auto& slow_start = state_.settings.slow_start;
-  const Time age = state_.now - engine.warming_since;
-  return slow_start && engine.warming_since > 0 && age < slow_start->warm_up_period;
-}
-
-double SlowStartLimiter::capacity_share(const Engine& engine) const {
-  if (!warming_up(engine)) return 1;
+double SlowStartLimiter::warming_capacity_share(const Engine& engine) const {
   const SlowStart& slow_start = *state_.settings.slow_start;
   const Time elapsed = std::max<Time>(0, state_.now - engine.warming_since);  // clocks may differ
   const double age = static_cast<double>(elapsed) / static_cast<double>(slow_start.warm_up_period);
@@ -34,8 +27,7 @@
          engine.cores * static_cast<double>(slow_start.overload_window) / state_.settings.instance_count;
 }
 
-bool SlowStartLimiter::allows(Engine& engine, const Request& request) const {
-  if (!warming_up(engine)) return true;
+bool SlowStartLimiter::budget_allows(Engine& engine, const Request& request) const {
   engine.warm_up_sends.forget_until(state_.now - state_.settings.slow_start->overload_window);
   const double mean = state_.class_of(request).conservative_work();
   const double work = std::max(mean, request.work) * (request.has_estimate ? 1 : kUnestimatedFactor);
--- a/src/routing/threads_by_priority.h
+++ b/src/routing/threads_by_priority.h
@@ -4,7 +4,6 @@
 #include <array>
 #include <cmath>
 #include <cstddef>
-#include <numeric>
 
 #include "rookproxy/routing/router.h"
 
@@ -25,7 +24,12 @@
   }
   // The threads of this priority and all higher ones.
   [[nodiscard]] double at_or_above(int priority) const {
-    return std::accumulate(threads_.begin() + priority, threads_.end(), 0.0);
+    double sum = 0;
+    for (int i = 0; i <= kHighestPriority;
+         ++i) {  // a constant length, since this is asked for each queued request
+      if (i >= priority) sum += threads_[static_cast<std::size_t>(i)];
+    }
+    return sum;
   }
 
  private:
