--- /dev/null
+++ b/src/app/cluster_settings.h
@@ -0,0 +1,12 @@
+// The cluster's settings from a configuration and the key files that it names.
+#pragma once
+
+#include "cluster/runtime/fleet.h"
+#include "config/config.h"
+
+namespace rookproxy {
+
+// Reads the key files of a configuration that has [fleet]. Throws SettingsError.
+[[nodiscard]] ClusterSettings cluster_settings(const Config& config);
+
+}  // namespace rookproxy
--- /dev/null
+++ b/src/app/frontends.cpp
@@ -0,0 +1,103 @@
+#include "app/frontends.h"
+
+#include <algorithm>
+#include <string>
+
+#include "app/limits.h"
+#include "app/listeners.h"
+
+namespace rookproxy {
+namespace {
+
+using TlsContext = std::shared_ptr<const tls::ServerContext>;
+
+// Of the memory that a dispatcher may use, one part each is for large messages that are being received and
+// for responses that clients have not taken.
+constexpr std::size_t kClientBufferPart = 8;
+
+// The TLS context for the platform's frontend; null where it has no TLS.
+TlsContext platform_tls(const Config& config, const TlsContext& context) {
+  return config.tls && config.tls->frames ? context : nullptr;
+}
+
+// The TLS context for the MySQL frontend; null where it has no TLS.
+TlsContext mysql_tls(const Config& config, const TlsContext& context) {
+  return config.tls && config.tls->mysql != TlsConfig::MysqlMode::kOff ? context : nullptr;
+}
+
+}  // namespace
+
+Frontends::Frontends(EventLoop& loop, Logger& log, Dispatcher& dispatcher, const Config& config,
+                     auth::Authenticator* authenticator, const TlsContext& tls) {
+  if (config.listen) {
+    platform_ = std::make_unique<FramesFrontend>(
+        loop, log, dispatcher, open_client_listener(*config.listen, config.passed_socket, ""),
+        FramesFrontend::Limits(), authenticator, platform_tls(config, tls));
+    log.write(LogLevel::kNotice, "start", "serving frames",
+              {{"port", std::to_string(platform_->port())},
+               {"engines", std::to_string(config.initial_endpoints.size())}});
+  }
+  if (config.mysql) {
+    const bool tls_required = config.tls && config.tls->mysql == TlsConfig::MysqlMode::kRequired;
+    mysql_ = std::make_unique<MysqlFrontend>(
+        loop, log, dispatcher,
+        open_client_listener(config.mysql->listen, config.mysql->passed_socket, "mysql."), *config.mysql,
+        config.seed, authenticator, mysql_tls(config, tls), tls_required);
+    log.write(LogLevel::kNotice, "start", "serving mysql", {{"port", std::to_string(mysql_->port())}});
+  }
+}
+
+void Frontends::start_accepting() {
+  if (platform_) platform_->set_accepting(true);
+  if (mysql_) mysql_->set_accepting(true);
+}
+
+void Frontends::set_platform_accepting(bool accepting) {
+  if (platform_) platform_->set_accepting(accepting);
+}
+
+void Frontends::change_credentials(const Config& config, const TlsContext& tls) {
+  if (platform_) platform_->credentials_changed(platform_tls(config, tls));
+  if (mysql_) mysql_->credentials_changed(mysql_tls(config, tls));
+}
+
+void Frontends::reload(const Config& config) {
+  if (mysql_) mysql_->reload(*config.mysql);
+}
+
+void Frontends::set_resource_limits(const Config& config, std::size_t process_count) {
+  const std::size_t buffer_bytes = (config.memory_mb << 20) / process_count / kClientBufferPart;
+  if (platform_) {
+    const std::size_t connections = max_client_connections(config.sockets) / process_count;
+    platform_->set_resource_limits(connections, buffer_bytes, buffer_bytes);
+  }
+  if (mysql_) {
+    const std::size_t connections = config.mysql->max_connections / process_count;
+    mysql_->set_resource_limits(std::max<std::size_t>(1, connections), buffer_bytes, buffer_bytes);
+  }
+}
+
+void Frontends::drain(const Config& config) {
+  if (platform_) platform_->drain();
+  if (mysql_ && !config.mysql->passed_socket) mysql_->stop_listening();
+}
+
+void Frontends::leave_mysql_clients_to_successor() {
+  if (mysql_) mysql_->close_after_next_response();
+}
+
+void Frontends::close_all_gracefully(Duration timeout) {
+  if (platform_) platform_->close_all_gracefully(timeout);
+  if (mysql_) mysql_->close_all_gracefully(timeout);
+}
+
+bool Frontends::is_active() const {
+  if (platform_ && (platform_->is_receiving() || !platform_->is_flushed())) return true;
+  return mysql_ && !mysql_->is_flushed();
+}
+
+bool Frontends::has_connections() const {
+  return (platform_ && platform_->has_connections()) || (mysql_ && mysql_->has_connections());
+}
+
+}  // namespace rookproxy
--- /dev/null
+++ b/src/app/limits.cpp
@@ -0,0 +1,68 @@
+#include "app/limits.h"
+
+#include <algorithm>
+
+#include "net/fd.h"
+#include "policy/descriptor_budget.h"
+#include "policy/drain.h"
+#include "policy/poll_schedule.h"
+
+namespace rookproxy {
+namespace {
+
+// Few attempts are lost with a connection that breaks; a connection for each was measured to cost engines
+// more than it saved.
+constexpr std::size_t kPreferredStreams = 6;
+
+// Statements and results may take this part of the memory; buffers, tables and the router have the rest.
+constexpr std::size_t kBufferedPart = 4;
+
+// The operating system may allow the process fewer descriptors than the configuration does.
+policy::DescriptorBudget descriptor_budget(std::size_t sockets) {
+  return policy::descriptor_budget(std::min(sockets, descriptor_limit()));
+}
+
+}  // namespace
+
+std::size_t max_client_connections(std::size_t sockets) { return descriptor_budget(sockets).clients; }
+
+std::size_t max_admin_connections(std::size_t sockets) { return descriptor_budget(sockets).admin; }
+
+std::size_t max_buffered_bytes(std::size_t memory_mb) { return (memory_mb << 20) / kBufferedPart; }
+
+PoolLimits pool_limits(const Config& config, std::size_t process_count) {
+  PoolLimits limits;
+  limits.max_connections = descriptor_budget(config.sockets).engines / process_count;
+  limits.max_streams_per_connection = config.streams_per_connection;
+  limits.preferred_streams_per_connection = std::min(kPreferredStreams, config.streams_per_connection);
+  limits.connect_timeout = config.connect_timeout;
+  limits.probe_timeout = config.connect_timeout;
+  limits.idle_timeout = config.keepalive / 3;
+  limits.response_timeout = config.connect_timeout;
+  limits.cancel_unresponsive_timeout = config.connect_timeout;
+  limits.page_timeout = 3 * config.connect_timeout;
+  for (const routing::ClassSettings& request_class : config.settings.classes) {
+    const Duration timeout = from_routing_duration(request_class.timeout);
+    limits.request_id_retention = std::max(limits.request_id_retention, timeout);
+  }
+  const auto interval = config.settings.progress_interval;
+  limits.unresponsive_timeout = interval ? 3 * from_routing_duration(*interval) : Duration(0);
+  if (config.engine_protocol == EngineProtocol::kMysql) {
+    limits.max_streams_per_connection = 1;      // a session runs one statement at a time
+    limits.unresponsive_timeout = Duration(0);  // and sends nothing until it has a response
+  }
+  return limits;
+}
+
+DispatcherLimits dispatcher_limits(const Config& config) {
+  const Duration poll_pause =
+      config.nameserver ? policy::PollSchedule(config.discovery_poll_interval).max_pause() : Duration(0);
+  DispatcherLimits limits;
+  limits.max_buffered_bytes = max_buffered_bytes(config.memory_mb);
+  limits.default_retry_after = config.rejection_retry_after;
+  limits.cancel_report_delay = config.timer_resolution;
+  limits.drain_margin = policy::drain_margin(poll_pause);
+  return limits;
+}
+
+}  // namespace rookproxy
--- /dev/null
+++ b/src/app/listeners.cpp
@@ -0,0 +1,31 @@
+#include "app/listeners.h"
+
+#include <cerrno>
+#include <cstring>
+
+#include "config/config_error.h"
+
+namespace rookproxy {
+
+FileDescriptor open_listener(const SocketAddress& address, const std::string& config_key) {
+  FileDescriptor listener = listen_tcp(address);
+  if (!listener) {
+    const std::string reason = std::strerror(errno);
+    throw ConfigError(config_key, "can't listen on " + address.to_string() + ": " + reason);
+  }
+  return listener;
+}
+
+FileDescriptor open_client_listener(const SocketAddress& address, std::optional<int> passed,
+                                    const std::string& key_prefix) {
+  if (!passed) return open_listener(address, key_prefix + "listen");
+  FileDescriptor listener = adopt_listener(*passed);
+  if (!listener) {
+    const std::string reason = std::strerror(errno);
+    throw ConfigError(key_prefix + "passed_socket",
+                      "descriptor " + std::to_string(*passed) + " is no TCP socket that listens: " + reason);
+  }
+  return listener;
+}
+
+}  // namespace rookproxy
--- a/src/config/peers_section.cpp
+++ b/src/config/peers_section.cpp
@@ -111,9 +111,9 @@
 std::optional<PeersConfig> peers_after_reload(const Config& running, const Config& fresh) {
   const json& document = *fresh.document;
   const bool named = document.contains("peers") || document.contains("peers_all");
-  const bool keeps_former = !named || fresh.peers_error;
+  const bool retains_former = !named || fresh.peers_error;
   std::optional<PeersConfig> peers = fresh.peers;
-  if (!peers && keeps_former && peer_messages_allowed(document) == json(true)) peers = running.peers;
+  if (!peers && retains_former && peer_messages_allowed(document) == json(true)) peers = running.peers;
   if (peers && running.peers) peers->listen = running.peers->listen;
   return peers;
 }
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,14 +1,21 @@
-// rookproxy: one dispatcher. See README.md for how to start it.
+// rookproxy: one dispatcher. README.md says how to start it.
 #include <unistd.h>
 
 #include <csignal>
+#include <functional>
+#include <iostream>
+#include <memory>
+#include <string>
+#include <vector>
 
 #include "app/app.h"
+#include "app/cluster_settings.h"
 #include "auth/settings.h"
 #include "net/file_watch.h"
 #include "net/signals.h"
 #include "options/options.h"
 
+namespace rookproxy {
 namespace {
 
 constexpr auto kSignals = {SIGTERM, SIGINT, SIGHUP};
@@ -21,45 +28,52 @@
     "one dispatcher share during an upgrade.\n"
     "Exit codes: 0 stopped after a drain, 1 failed while running, 2 bad usage or configuration.";
 
+// Checks what a start would read besides the configuration itself. Throws SettingsError.
+int check_configuration(const Config& config) {
+  if (config.peers_error) throw ConfigError(*config.peers_error);
+  if (config.access) static_cast<void>(auth::load_auth_files(*config.access));
+  if (config.tls) std::cout << tls::describe(*tls::ServerContext::load(config.tls->server)) << "\n";
+  if (config.cluster) static_cast<void>(cluster_settings(config));
+  return report_valid_configuration();
+}
+
+// Where callers are identified, revoked rights must not wait for a signal: the configuration's own files are
+// watched.
+std::unique_ptr<FileWatcher> watch_configuration(EventLoop& loop, const Config& config,
+                                                 const std::string& operators_file,
+                                                 const std::function<void()>& on_change) {
+  if (!config.access) return nullptr;
+  std::vector<std::string> files;
+  for (const std::string& file : {operators_file, read_environment().config_file}) {
+    if (!file.empty()) files.push_back(file);
+  }
+  return std::make_unique<FileWatcher>(loop, std::move(files), config.credential_poll_interval, on_change);
+}
+
+int run(const ProgramOptions& options, Logger& log) {
+  const Config config = load_config(read_environment(), options.config_file);
+  if (options.check_only) return check_configuration(config);
+  log.set_host(config.name);
+  configure_log(log, config.log);
+  EventLoop loop;
+  App app(loop, log, config);
+  const auto reload = [&] {
+    app.reload(
+        [&](const Config& running) { return load_config(read_environment(), options.config_file, running); });
+  };
+  const SignalWatcher signals(loop, kSignals, [&](int signal) { signal == SIGHUP ? reload() : app.drain(); });
+  const auto watch = watch_configuration(loop, config, options.config_file, reload);
+  loop.run();
+  // The kernel closes what is still open; to take everything down in order would serve nobody.
+  std::cerr.flush();
+  ::_exit(kExitSuccess);
+}
+
 }  // namespace
+}  // namespace rookproxy
 
 int main(int argc, char** argv) {
   using namespace rookproxy;
   block_signals(kSignals);  // before anything else: until the loop runs they wait
-  return run_program(
-      argc, argv, "rookproxy", kAbout, kFooter, false, [](const ProgramOptions& options, Logger& log) {
-        const Config config = load_config(read_environment(), options.config_file);
-        if (options.check_only) {
-          if (config.peers_error) throw ConfigError(*config.peers_error);
-          if (config.access) auth::load_auth_files(*config.access);
-          if (config.tls) std::cout << tls::describe(*tls::ServerContext::load(config.tls->server)) << "\n";
-          if (config.cluster) cluster_settings(config);
-          return report_valid_configuration();
-        }
-        log.set_host(config.name);
-        configure_log(log, config.log);
-        EventLoop loop;
-        App app(loop, log, config);
-        const auto reread = [&] {
-          app.reload([&](const Config& running) {
-            return load_config(read_environment(), options.config_file, running);
-          });
-        };
-        SignalWatcher signals(loop, kSignals, [&](int signal) { signal == SIGHUP ? reread() : app.drain(); });
-        // Where callers are identified, rights that were taken back must not wait for a signal.
-        std::unique_ptr<FileWatcher> watch;
-        if (config.access) {
-          std::vector<std::string> files;
-          for (const auto& file : {options.config_file, read_environment().config_file}) {
-            if (!file.empty()) files.push_back(file);
-          }
-          watch =
-              std::make_unique<FileWatcher>(loop, std::move(files), config.credential_poll_interval, reread);
-        }
-        loop.run();
-        // Connections still open are closed by the kernel; taking the tables down one by one would serve
-        // nobody.
-        std::cerr.flush();
-        ::_exit(kExitSuccess);
-      });
+  return run_program(argc, argv, "rookproxy", kAbout, kFooter, false, run);
 }
--- a/src/settings/text_values.h
+++ b/src/settings/text_values.h
@@ -59,7 +59,7 @@
 
 // A word of a protocol and the value it stands for.
 template <class Value>
-struct Keyword {
+struct Keyword {  // an entry of a table for read_keyword
   std::string_view word;
   Value value;
 };
--- a/src/simulator/request_table.h
+++ b/src/simulator/request_table.h
@@ -38,6 +38,7 @@
   void clear();
 
  private:
+  // A request that is remembered.
   struct TrackedRequest {
     std::string wire_id;
     int in_flight = 0;
--- a/src/simulator/session.h
+++ b/src/simulator/session.h
@@ -28,8 +28,6 @@
   [[nodiscard]] bool is_inside_batch() const { return in_batch_; }
 
  private:
-  struct MessageHandler;
-
   void begin_batch();
   void add_engine_row();
   void handle_message();
@@ -39,6 +37,7 @@
   void finish_batch(std::string& reply);
   SimulatedInstance& current_instance();
 
+  // An instance and its part in the batch that is being read.
   struct Participant {
     std::unique_ptr<SimulatedInstance> instance;
     bool in_batch = false;  // named in the batch that is being read
