--- a/src/app/app.cpp
+++ b/src/app/app.cpp
@@ -141,7 +141,7 @@
     connection_pool_ =
         std::make_unique<MysqlPool>(loop, log, dispatcher_, metrics_, limits,
                                     MysqlAccount{account.user, account.password, account.schema},
-                                    kMaxMysqlResultBytes, buffer_budget_bytes(config.memory_mb));
+                                    MysqlResultLimits{kMaxMysqlResultBytes, buffer_budget_bytes(config.memory_mb)});
   } else {
     connection_pool_ = std::make_unique<LineProtocolPool>(loop, log, dispatcher_, metrics_, limits);
   }
--- a/src/app/app.h
+++ b/src/app/app.h
@@ -14,8 +14,8 @@
 #include "frontend/mysql.h"
 #include "net/file_watcher.h"
 #include "policy/shutdown.h"
-#include "upstream/lines.h"
-#include "upstream/mysql.h"
+#include "upstream/line_protocol_connection.h"
+#include "upstream/mysql_pool.h"
 
 namespace rookproxy {
 
--- /dev/null
+++ b/src/upstream/line_protocol_connection.h
@@ -0,0 +1,82 @@
+// Connections that speak the platform's line protocol, and their pool.
+#pragma once
+
+#include <cstddef>
+#include <cstdint>
+#include <deque>
+#include <map>
+#include <memory>
+#include <optional>
+#include <string>
+#include <string_view>
+#include <vector>
+
+#include "upstream/connection_pool.h"
+#include "upstream/engine_connection.h"
+#include "upstream/line_protocol.h"
+
+namespace rookproxy {
+
+// Carries several attempts at a time, told apart by the ids of their requests. A response comes whole or in
+// pages, which are fetched one by one.
+class LineProtocolConnection final : public EngineConnection {
+ public:
+  using EngineConnection::EngineConnection;
+
+  bool cancel_attempt(AttemptKey attempt) override;
+  bool has_attempt_started(AttemptKey attempt) const override;
+  void set_priority(AttemptKey attempt, int priority) override;
+  void end_never_sent() override;
+  std::size_t on_bytes(std::string_view bytes) override;
+  void on_connected() override;
+  void on_flushed() override { start_waiting_attempts(); }
+
+ private:
+  // An attempt and what has come of its response.
+  struct OpenAttempt {
+    AttemptRequest request;
+    bool started = false;              // a byte of it was handed to the kernel: the peer may have seen it
+    Time page_deadline = Time::max();  // of a response in pages: when the next one is due
+    std::vector<std::optional<std::string>> pages;
+    std::size_t missing_pages = 0;
+    std::optional<LoadReport> report;
+  };
+  using OpenAttempts = std::map<std::string, OpenAttempt>;
+
+  void start_attempt(const AttemptRequest& request) override;
+  void probe() override;
+  void on_connection_lost(std::string_view reason) override;
+
+  void start_waiting_attempts();
+  void handle_response(const LineResponse& response);
+  void handle_probe_response(const LineResponse& response);
+  void handle_data(const std::string& id, OpenAttempt& attempt, const LineResponse& response);
+  void handle_page(const std::string& id, OpenAttempt& attempt, const LineResponse& response);
+  void handle_update(const OpenAttempt& attempt, const LineResponse& response);
+  void add_page(const std::string& id, OpenAttempt& attempt, std::size_t number, std::string_view body);
+  void end_attempt(const std::string& id, Outcome outcome, std::string body = "");
+  [[nodiscard]] OpenAttempts::iterator find_attempt(AttemptKey key);
+  void update_response_deadline();
+
+  OpenAttempts attempts_by_id_;
+  std::deque<std::string> waiting_ids_;  // of attempts that have not started, in order
+  std::string probe_id_;
+  // When the response of which a part has come has to be complete.
+  Time partial_response_deadline_ = Time::max();
+};
+
+// Makes LineProtocolConnections.
+class LineProtocolPool final : public ConnectionPool {
+ public:
+  using ConnectionPool::ConnectionPool;
+
+ private:
+  static constexpr std::size_t kInputLimit = 256 * 1024;
+
+  std::unique_ptr<EngineConnection> create_connection(SlotKey key, EngineId engine) override {
+    return std::make_unique<LineProtocolConnection>(*this, key, engine);
+  }
+  std::size_t input_limit() const override { return kInputLimit; }
+};
+
+}  // namespace rookproxy
--- /dev/null
+++ b/src/upstream/mysql_connection.cpp
@@ -0,0 +1,410 @@
+#include "upstream/mysql_connection.h"
+
+#include <algorithm>
+#include <utility>
+
+#include "upstream/mysql_error_class.h"
+#include "upstream/mysql_pool.h"
+
+namespace rookproxy {
+namespace {
+
+constexpr std::size_t kFirstPayloadKept = 1024;
+constexpr std::size_t kNonceSize = 20;
+// The first byte of packets, while a client logs in and in responses.
+constexpr char kOkPacket = '\x00';
+constexpr char kAuthMoreData = '\x01';
+constexpr char kAuthSwitchRequest = '\xfe';
+constexpr char kErrorPacket = '\xff';
+// caching_sha2_password: the server asks for all of the password; the client asks for the key to encrypt it.
+constexpr std::string_view kFullAuthRequest = "\x01\x04";
+constexpr std::string_view kPublicKeyRequest = "\x02";
+
+bool is_procedure_call(std::string_view statement) {
+  constexpr std::string_view kCall = "call";
+  const auto start = statement.find_first_not_of(" \t\r\n");
+  if (start == statement.npos || statement.size() < start + kCall.size()) return false;
+  return std::equal(kCall.begin(), kCall.end(), statement.begin() + static_cast<std::ptrdiff_t>(start),
+                    [](char expected, char actual) { return expected == (actual | 0x20); });
+}
+
+std::string little_endian(std::uint32_t value, std::size_t size) {
+  std::string bytes;
+  mysql::append_integer(bytes, value, size);
+  return bytes;
+}
+
+std::string command_payload(std::uint8_t code, std::string_view arguments) {
+  std::string payload(1, static_cast<char>(code));
+  payload += arguments;
+  return payload;
+}
+
+}  // namespace
+
+MysqlConnection::MysqlConnection(MysqlPool& pool, SlotKey key, EngineId engine)
+    : EngineConnection(pool, key, engine), mysql_pool_(pool), response_(pool.buffered_result_bytes()) {}
+
+bool MysqlConnection::can_accept(const Query* query) const {
+  if (attempt_ || cancelled_ || connection_to_kill_) return false;
+  if (!query) return true;
+  // A session's schema can be changed but not unset: with one, a statement would find tables that its client
+  // can't name.
+  return schema_.empty() || !wanted_schema(*query).empty();
+}
+
+const std::string& MysqlConnection::wanted_schema(const Query& query) const {
+  return query.schema.empty() ? mysql_pool_.account().schema : query.schema;
+}
+
+Stream::WriteId MysqlConnection::send_payload(std::string_view payload, std::uint64_t* completed_counter) {
+  return stream().write(mysql::split_into_packets(payload, sequence_), completed_counter);
+}
+
+void MysqlConnection::send_without_response(std::uint8_t code, std::string_view arguments) {
+  sequence_ = 0;
+  send_payload(command_payload(code, arguments));
+}
+
+void MysqlConnection::send_command(State next, std::uint8_t code, std::string_view arguments) {
+  using Kind = mysql::ResponseTracker::Kind;
+  state_ = next;
+  sequence_ = 0;
+  tracker_ = mysql::ResponseTracker(next == State::kPrepare ? Kind::kPrepare : Kind::kPlain);
+  response_.clear();
+  first_payload_.clear();
+  // Only the command that makes it run is the attempt; a schema or a preparation ahead of it is not.
+  const bool executes = next == State::kExecute;
+  const Stream::WriteId write =
+      send_payload(command_payload(code, arguments), executes ? attempts_written_counter() : nullptr);
+  if (executes) execute_write_ = write;
+}
+
+void MysqlConnection::start_attempt(const AttemptRequest& request) {
+  attempt_ = request;
+  execute_write_.reset();
+  if (state_ == State::kReady) advance();
+}
+
+void MysqlConnection::probe() {
+  ping_pending_ = true;
+  if (state_ == State::kReady) advance();
+}
+
+// False: the attempt is over.
+bool MysqlConnection::confirm_start() {
+  if (may_start(*attempt_)) return true;
+  attempt_.reset();
+  release_attempt();
+  return false;
+}
+
+// Sends the next command of what there is to do: a kill, a probe, or the next step of the attempt.
+void MysqlConnection::advance() {
+  state_ = State::kReady;
+  if (connection_to_kill_) {
+    return send_command(State::kKill, mysql::kQuery, "KILL QUERY " + std::to_string(*connection_to_kill_));
+  }
+  if (std::exchange(ping_pending_, false)) return send_command(State::kPing, mysql::kPing, "");
+  if (!attempt_) return;
+  if (!confirm_start()) return;
+  const Query& query = *attempt_->query;
+  if (query.kind == Query::Kind::kUseSchema) {
+    return send_command(State::kExecute, mysql::kInitDb, query.statement);
+  }
+  const std::string& schema = wanted_schema(query);
+  if (schema != schema_ && !schema.empty()) return send_command(State::kSelectSchema, mysql::kInitDb, schema);
+  if (query.kind == Query::Kind::kStatement) {
+    return send_command(State::kExecute, mysql::kQuery, query.statement);
+  }
+  if (query.kind == Query::Kind::kPrepare) {
+    close_prepared(query.statement);
+    return send_command(State::kPrepare, mysql::kStmtPrepare, query.statement);
+  }
+  const std::optional<std::uint32_t> statement_id = prepared_statements_.use(query.statement);
+  if (!statement_id) return send_command(State::kPrepare, mysql::kStmtPrepare, query.statement);
+  execute_prepared(*statement_id);
+}
+
+void MysqlConnection::execute_prepared(std::uint32_t statement_id) {
+  state_ = State::kReady;
+  if (!confirm_start()) return advance();
+  const Query& query = *attempt_->query;
+  const std::string id_bytes = little_endian(statement_id, 4);
+  for (const auto& [parameter, data] : query.long_data) {
+    send_without_response(mysql::kStmtSendLongData, id_bytes + little_endian(parameter, 2) + data);
+  }
+  send_command(State::kExecute, mysql::kStmtExecute, id_bytes + query.parameters);
+}
+
+void MysqlConnection::close_prepared(const std::string& text) {
+  for (const std::uint32_t id : prepared_statements_.evict(text)) {
+    send_without_response(mysql::kStmtClose, little_endian(id, 4));
+  }
+}
+
+bool MysqlConnection::cancel_attempt(AttemptKey attempt) {
+  if (!attempt_ || attempt_->key != attempt || cancelled_) return false;
+  // What was not sent can't have run; the steps before it may finish on their own.
+  const bool unsent = !execute_write_ || stream().cancel_write(*execute_write_);
+  const bool writes = attempt_->query->writes;
+  attempt_.reset();
+  if (unsent && state_ != State::kExecute) {
+    release_attempt();
+    return true;
+  }
+  if (unsent) {
+    fail_connection("taken back");  // the response that it awaits will never come
+    return true;
+  }
+  cancelled_ = true;
+  drain();
+  // The protocol can't cancel a statement on its own connection. One that only reads is stopped by another
+  // connection; one that writes runs to its end, since half an effect may be worse than a whole one.
+  if (writes) return false;
+  mysql_pool_.kill_query(engine(), engine_connection_id_);
+  // A response that never ends, or an engine that has vanished, keeps the connection no longer than the
+  // request could be sent again.
+  set_response_deadline(current_time() + limits().request_id_retention);
+  return false;
+}
+
+bool MysqlConnection::has_attempt_started(AttemptKey attempt) const {
+  return attempt_ && attempt_->key == attempt && execute_write_ &&
+         stream().has_write_started(*execute_write_);
+}
+
+void MysqlConnection::end_never_sent() {
+  if (!attempt_ || (execute_write_ && !stream().cancel_write(*execute_write_))) return;
+  const bool awaits_response = state_ == State::kExecute;
+  end_attempt(Outcome::kNotSent);
+  if (awaits_response) fail_connection("taken back");
+}
+
+void MysqlConnection::on_connection_lost(std::string_view reason) {
+  response_.clear();
+  cancelled_ = false;
+  if (!attempt_) return;
+  const bool started = execute_write_ && stream().has_write_started(*execute_write_);
+  const AttemptRequest attempt = *attempt_;
+  attempt_.reset();
+  if (!started) return retry_never_sent(attempt, reason);
+  complete_attempt(attempt.key, {Outcome::kConnectionLost, std::nullopt, std::string(reason)});
+}
+
+void MysqlConnection::end_attempt(Outcome outcome, std::string body) {
+  execute_write_.reset();
+  if (!attempt_) return;
+  const AttemptKey key = attempt_->key;
+  attempt_.reset();
+  complete_attempt(key, {outcome, std::nullopt, std::move(body)});
+  release_attempt();
+}
+
+std::size_t MysqlConnection::on_bytes(std::string_view bytes) {
+  if (bytes.size() < mysql::kHeaderSize) return 0;
+  mysql::PayloadReader header(bytes.substr(0, mysql::kHeaderSize));
+  const std::size_t size = header.integer(3);
+  const auto sequence = static_cast<std::uint8_t>(header.integer(1));
+  if (bytes.size() - mysql::kHeaderSize < size) return 0;
+  record_activity();
+  const std::string_view packet = bytes.substr(0, mysql::kHeaderSize + size);
+  try {
+    handle_packet(packet, sequence);
+  } catch (const mysql::MalformedPacketError& error) {
+    fail_connection(error.what());
+  }
+  return packet.size();
+}
+
+void MysqlConnection::handle_packet(std::string_view packet, std::uint8_t sequence) {
+  if (state_ == State::kGreeting || state_ == State::kLogin) {
+    sequence_ = static_cast<std::uint8_t>(sequence + 1);
+    return handle_login_packet(packet.substr(mysql::kHeaderSize));
+  }
+  // Servers send an error on their own when they close an idle session.
+  if (state_ == State::kReady) return fail_connection("an answer to nothing");
+  if (sequence != sequence_) throw mysql::MalformedPacketError("packets out of order");
+  ++sequence_;
+  handle_response_packet(packet);
+}
+
+void MysqlConnection::handle_response_packet(std::string_view packet) {
+  const std::string_view payload = packet.substr(mysql::kHeaderSize);
+  if (first_payload_.empty()) first_payload_ = payload.substr(0, kFirstPayloadKept);
+  response_.append(packet);
+  const MysqlResultLimits& result_limits = mysql_pool_.result_limits();
+  if (response_.size() > result_limits.max_result_bytes ||
+      mysql_pool_.buffered_result_bytes() > result_limits.max_total_result_bytes) {
+    reject_large_result();
+    fail_connection("the result is too large");
+  } else if (tracker_.on_packet(payload)) {
+    on_response_complete();
+  }
+}
+
+void MysqlConnection::handle_login_packet(std::string_view payload) {
+  if (payload.empty()) throw mysql::MalformedPacketError("an empty packet at log-in");
+  if (payload[0] == kErrorPacket) return handle_login_error(payload);
+  if (state_ == State::kGreeting) return answer_greeting(payload);
+  if (payload[0] == kOkPacket) {
+    EngineConnection::on_connected();
+    return advance();
+  }
+  if (payload[0] == kAuthSwitchRequest) return switch_auth_method(payload.substr(1));
+  if (payload == kFullAuthRequest) {
+    send_payload(kPublicKeyRequest);
+  } else if (payload[0] == kAuthMoreData && payload.size() > kFullAuthRequest.size()) {
+    send_password(payload.substr(1));
+  }  // otherwise the password was proven, and an OK packet follows
+}
+
+// Nothing ran. An overloaded engine says so here; a wrong password is for the operator to see.
+void MysqlConnection::handle_login_error(std::string_view payload) {
+  const mysql::ErrorInfo error = mysql::parse_error(payload);
+  const bool overloaded = classify_mysql_error(error.code) == MysqlErrorClass::kOverloaded;
+  end_attempt(overloaded ? Outcome::kRejected : Outcome::kConnectFailed, error.text);
+  fail_connection(error.text);
+}
+
+void MysqlConnection::answer_greeting(std::string_view payload) {
+  constexpr std::uint32_t kNeeded = mysql::kProtocol41 | mysql::kSecureConnection | mysql::kPluginAuth;
+  const mysql::Greeting greeting = mysql::parse_greeting(payload);
+  engine_connection_id_ = greeting.connection_id;
+  nonce_ = greeting.nonce;
+  if ((greeting.capabilities & kNeeded) != kNeeded) {
+    throw mysql::MalformedPacketError("a server too old to talk to");
+  }
+  const bool plugin_known = mysql::make_auth_response(greeting.plugin, "", "").has_value();
+  const MysqlAccount& account = mysql_pool_.account();
+  mysql::Login login;
+  login.capabilities = mysql::kCapabilities & ~(mysql::kConnectWithDb | mysql::kConnectAttrs);
+  login.user = account.user;
+  login.plugin = plugin_known ? greeting.plugin : std::string(mysql::kNativePassword);
+  login.auth_response = *mysql::make_auth_response(login.plugin, account.password, nonce_);
+  state_ = State::kLogin;
+  send_payload(mysql::login_payload(login));
+}
+
+void MysqlConnection::switch_auth_method(std::string_view payload) {
+  mysql::PayloadReader reader(payload);
+  const std::string plugin(reader.null_terminated_string());
+  nonce_ = std::string(reader.take_remaining().substr(0, kNonceSize));
+  const auto response = mysql::make_auth_response(plugin, mysql_pool_.account().password, nonce_);
+  if (!response) throw mysql::MalformedPacketError("a log-in method that is not known here");
+  send_payload(*response);
+}
+
+void MysqlConnection::send_password(std::string_view public_key) {
+  const auto encrypted =
+      mysql::encrypt_password(mysql_pool_.account().password, nonce_, std::string(public_key));
+  if (!encrypted) throw mysql::MalformedPacketError("a key that can't be read");
+  send_payload(*encrypted);
+}
+
+// The statement has run and would give as much on any engine: the client gets an error of the statement's
+// own, as a server would put it, and no error of the engine's that another attempt could avoid.
+void MysqlConnection::reject_large_result() {
+  if (!attempt_) return;
+  const std::string message =
+      "Result of more than " + std::to_string(mysql_pool_.result_limits().max_result_bytes) + " bytes";
+  if (attempt_->query->rows_as_text_lines) return end_attempt(Outcome::kError, message);
+  std::uint8_t first_sequence = 1;
+  end_attempt(Outcome::kServed, mysql::split_into_packets(
+                                    mysql::error_payload(mysql::kPacketTooLarge, message), first_sequence));
+}
+
+void MysqlConnection::on_response_complete() {
+  switch (state_) {
+    case State::kKill:
+      return fail_connection("stopped what it was to stop");
+    case State::kPing:
+      state_ = State::kReady;
+      complete_probe(tracker_.failed() ? Outcome::kError : Outcome::kServed, std::nullopt);
+      return advance();
+    case State::kSelectSchema:
+      return on_schema_selected();
+    case State::kPrepare:
+      return on_prepared();
+    case State::kExecute:
+      return on_execution_complete();
+    case State::kGreeting:
+    case State::kLogin:
+    case State::kReady:
+      return;
+  }
+}
+
+void MysqlConnection::on_schema_selected() {
+  if (!attempt_) return advance();
+  if (tracker_.failed())
+    return on_execution_complete();  // an unknown schema is the client's error; nothing ran
+  schema_ = wanted_schema(*attempt_->query);
+  advance();
+}
+
+void MysqlConnection::on_prepared() {
+  if (tracker_.failed()) return on_execution_complete();
+  mysql::PayloadReader reader(first_payload_);
+  reader.integer(1);
+  const auto statement_id = static_cast<std::uint32_t>(reader.integer(4));
+  if (!attempt_) {  // cancelled meanwhile
+    send_without_response(mysql::kStmtClose, little_endian(statement_id, 4));
+    return advance();
+  }
+  prepared_statements_.add(attempt_->query->statement, statement_id);
+  if (attempt_->query->kind == Query::Kind::kPrepare) return on_execution_complete();
+  close_prepared("");  // the oldest, if there are too many
+  execute_prepared(statement_id);
+}
+
+Outcome MysqlConnection::outcome_of_error(std::uint16_t code, bool was_executing) {
+  const Query& query = *attempt_->query;
+  // Text lines have no way to carry an error: there the attempt fails, elsewhere the client gets the packet.
+  const Outcome statement_error = query.rows_as_text_lines ? Outcome::kError : Outcome::kServed;
+  switch (classify_mysql_error(code)) {
+    case MysqlErrorClass::kUnknownStatement:
+      if (query.kind != Query::Kind::kExecute) return statement_error;
+      prepared_statements_.remove(query.statement);
+      return Outcome::kNotSent;
+    case MysqlErrorClass::kOverloaded:
+      return Outcome::kRejected;
+    case MysqlErrorClass::kEngineFault:
+      return was_executing ? Outcome::kError : Outcome::kRejected;
+    case MysqlErrorClass::kStatement:
+      break;
+  }
+  return statement_error;
+}
+
+// The last response that the attempt needs is complete, or the one that ended it: it decides how it ended.
+void MysqlConnection::on_execution_complete() {
+  const bool was_executing = state_ == State::kExecute;
+  state_ = State::kReady;
+  if (std::exchange(cancelled_, false)) return release_attempt();  // it drains, and closes
+  if (!attempt_) return advance();
+  const Query& query = *attempt_->query;
+  Outcome outcome = Outcome::kServed;
+  std::string message;
+  if (tracker_.failed()) {
+    // An error may stand at the end of rows: then the client sees it there, and the rows before it.
+    const bool is_first_packet = first_payload_.starts_with(kErrorPacket);
+    mysql::ErrorInfo error = is_first_packet ? mysql::parse_error(first_payload_) : mysql::ErrorInfo{};
+    outcome = outcome_of_error(error.code, was_executing);
+    message = std::move(error.text);
+  } else if (query.kind == Query::Kind::kUseSchema) {
+    schema_ = query.statement;
+  }
+  if (was_executing && is_procedure_call(query.statement)) drain();  // it may leave anything in the session
+  std::string body = response_.take();
+  try {
+    if (outcome == Outcome::kServed && query.rows_as_text_lines) body = mysql::format_rows(body);
+  } catch (const mysql::MalformedPacketError& error) {
+    outcome = Outcome::kError;
+    message = error.what();
+  }
+  end_attempt(outcome, outcome == Outcome::kServed ? std::move(body) : std::move(message));
+  if (ping_pending_ && state_ == State::kReady) advance();
+}
+
+}  // namespace rookproxy
--- /dev/null
+++ b/src/upstream/mysql_connection.h
@@ -0,0 +1,86 @@
+// One connection to an engine in MySQL's protocol.
+#pragma once
+
+#include <cstddef>
+#include <cstdint>
+#include <optional>
+#include <string>
+#include <string_view>
+
+#include "mysql/protocol.h"
+#include "upstream/engine_connection.h"
+#include "upstream/prepared_statements.h"
+#include "upstream/response_buffer.h"
+
+namespace rookproxy {
+
+class MysqlPool;
+
+// Runs one statement at a time. A prepared statement is prepared on the connection that runs it.
+class MysqlConnection final : public EngineConnection {
+ public:
+  MysqlConnection(MysqlPool& pool, SlotKey key, EngineId engine);
+
+  bool cancel_attempt(AttemptKey attempt) override;
+  bool has_attempt_started(AttemptKey attempt) const override;
+  void end_never_sent() override;
+  void on_connected() override {}  // usable only once it is logged in
+  std::size_t on_bytes(std::string_view bytes) override;
+  // Instead of serving attempts, it stops what that connection of the engine runs, and is closed.
+  void use_to_kill(std::uint32_t engine_connection_id) { connection_to_kill_ = engine_connection_id; }
+
+ private:
+  // Which response is awaited.
+  enum class State { kGreeting, kLogin, kReady, kSelectSchema, kPrepare, kExecute, kPing, kKill };
+
+  void start_attempt(const AttemptRequest& request) override;
+  void probe() override;
+  void on_connection_lost(std::string_view reason) override;
+  bool can_accept(const Query* query) const override;
+
+  void send_command(State next, std::uint8_t code, std::string_view arguments);
+  void send_without_response(std::uint8_t code, std::string_view arguments);
+  Stream::WriteId send_payload(std::string_view payload, std::uint64_t* completed_counter = nullptr);
+
+  void handle_login_packet(std::string_view payload);
+  void handle_login_error(std::string_view payload);
+  void answer_greeting(std::string_view payload);
+  void switch_auth_method(std::string_view payload);
+  void send_password(std::string_view public_key);
+
+  void advance();
+  [[nodiscard]] bool confirm_start();
+  void execute_prepared(std::uint32_t statement_id);
+  void close_prepared(const std::string& text);
+
+  void handle_packet(std::string_view packet, std::uint8_t sequence);
+  void handle_response_packet(std::string_view packet);
+  void reject_large_result();
+  void on_response_complete();
+  void on_schema_selected();
+  void on_prepared();
+  void on_execution_complete();
+  [[nodiscard]] Outcome outcome_of_error(std::uint16_t code, bool was_executing);
+  void end_attempt(Outcome outcome, std::string body = "");
+
+  [[nodiscard]] const std::string& wanted_schema(const Query& query) const;
+
+  MysqlPool& mysql_pool_;
+  State state_ = State::kGreeting;
+  std::uint8_t sequence_ = 0;
+  std::uint32_t engine_connection_id_ = 0;
+  std::string nonce_;
+  std::string schema_;
+  std::optional<std::uint32_t> connection_to_kill_;
+  std::optional<AttemptRequest> attempt_;
+  bool cancelled_ = false;  // what runs was cancelled: its response is read and dropped
+  // The command that makes the attempt run.
+  std::optional<Stream::WriteId> execute_write_;
+  bool ping_pending_ = false;
+  PreparedStatements prepared_statements_;
+  mysql::ResponseTracker tracker_;
+  ResponseBuffer response_;
+  std::string first_payload_;  // of the response, cut off
+};
+
+}  // namespace rookproxy
--- /dev/null
+++ b/src/upstream/mysql_pool.cpp
@@ -0,0 +1,24 @@
+#include "upstream/mysql_pool.h"
+
+#include <utility>
+
+#include "upstream/mysql_connection.h"
+
+namespace rookproxy {
+
+MysqlPool::MysqlPool(EventLoop& loop, Logger& log, EngineTransportCallbacks& callbacks, Metrics& metrics,
+                     const PoolLimits& limits, MysqlAccount account, const MysqlResultLimits& result_limits)
+    : ConnectionPool(loop, log, callbacks, metrics, limits),
+      account_(std::move(account)),
+      result_limits_(result_limits) {}
+
+std::unique_ptr<EngineConnection> MysqlPool::create_connection(SlotKey key, EngineId engine) {
+  return std::make_unique<MysqlConnection>(*this, key, engine);
+}
+
+void MysqlPool::kill_query(EngineId engine, std::uint32_t engine_connection_id) {
+  EngineConnection* connection = open_connection(engine).connection;
+  if (connection) static_cast<MysqlConnection*>(connection)->use_to_kill(engine_connection_id);
+}
+
+}  // namespace rookproxy
--- a/tests/integration/deployments_test.cpp
+++ b/tests/integration/deployments_test.cpp
@@ -16,7 +16,7 @@
 #include "policy/drain.h"
 #include "policy/poll_schedule.h"
 #include "support/scenario.h"
-#include "upstream/lines.h"
+#include "upstream/line_protocol_connection.h"
 
 using namespace rookproxy;
 using namespace std::chrono_literals;
--- a/tests/integration/event_order_test.cpp
+++ b/tests/integration/event_order_test.cpp
@@ -10,7 +10,7 @@
 #include "config/config.h"
 #include "dispatcher/dispatcher.h"
 #include "fakes/standins.h"
-#include "upstream/lines.h"
+#include "upstream/line_protocol_connection.h"
 
 using namespace rookproxy;
 using namespace std::chrono_literals;
--- a/tests/support/fault_injection.h
+++ b/tests/support/fault_injection.h
@@ -23,7 +23,7 @@
 #include "frontend/frames.h"
 #include "log/log.h"
 #include "net/clock.h"
-#include "upstream/lines.h"
+#include "upstream/line_protocol_connection.h"
 
 namespace rookproxy::test {
 
--- a/tests/support/scenario.cpp
+++ b/tests/support/scenario.cpp
@@ -23,7 +23,7 @@
 #include "support/confine.h"
 #include "support/descriptors.h"
 #include "support/process.h"
-#include "upstream/lines.h"
+#include "upstream/line_protocol_connection.h"
 
 namespace rookproxy::test {
 namespace {
