--- a/src/auth/certificate.h
+++ b/src/auth/certificate.h
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "auth/gatekeeper.h"
-#include "tls/context.h"
+#include "tls/server_channel.h"
 
 namespace rookproxy::auth {
 
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -13,7 +13,7 @@
 #include "base/errors.h"
 #include "dispatcher/interfaces.h"
 #include "log/log.h"
-#include "tls/context.h"
+#include "tls/server_context.h"
 
 namespace rookproxy {
 
--- a/tests/auth/mutation_test.cpp
+++ b/tests/auth/mutation_test.cpp
@@ -13,7 +13,7 @@
 #include "auth/gatekeeper.h"
 #include "fakes/callers.h"
 #include "fakes/standins.h"
-#include "tls/context.h"
+#include "tls/server_context.h"
 
 namespace rookproxy::test {
 namespace {
