--- a/src/config/config.h
+++ b/src/config/config.h
@@ -16,7 +16,7 @@
 #include "auth/auth_settings.h"
 #include "dispatcher/interfaces.h"
 #include "log/log.h"
-#include "tls/context.h"
+#include "tls/server_context.h"
 
 namespace rookproxy {
 
