--- a/tests/frontend/parsers_test.cpp
+++ b/tests/frontend/parsers_test.cpp
@@ -65,8 +65,6 @@
   });
 }
 
-}
-
 TEST_CASE("mysql: numbers, lengths and messages") {
   for (const std::uint64_t value :
        {0ull, 250ull, 251ull, 65535ull, 65536ull, 16777215ull, 16777216ull, ~0ull}) {
