--- a/src/app/app.h
+++ b/src/app/app.h
@@ -11,7 +11,7 @@
 #include "discovery/dns_discovery_client.h"
 #include "dispatcher/dispatcher.h"
 #include "frontend/frames_frontend.h"
-#include "frontend/mysql.h"
+#include "frontend/mysql_frontend.h"
 #include "net/file_watch.h"
 #include "policy/shutdown.h"
 #include "upstream/lines.h"
--- /dev/null
+++ b/src/frontend/mysql_connection.cpp
@@ -0,0 +1,218 @@
+#include "frontend/mysql_connection.h"
+
+#include <chrono>
+#include <utility>
+
+namespace rookproxy {
+namespace {
+
+using mysql::PayloadReader;
+
+constexpr std::size_t kMaxCommandBytes = 4u << 20;       // of one command, as a server's max_allowed_packet
+constexpr std::size_t kMaxLoginPacketBytes = 64 * 1024;  // of a packet before the log-in is complete
+constexpr std::size_t kInputLimit = kMaxCommandBytes + 64 * 1024;
+constexpr std::size_t kMaxUnreadBytes = 8u << 20;          // that one client may leave unread
+constexpr std::size_t kLargeCommandThreshold = 16 * 1024;  // larger partial commands share a budget
+constexpr char kErrorPacket = '\xff';                      // first byte of a packet that reports an error
+constexpr std::size_t kPacketLengthSize = 3;
+
+// Numbers the packets of a response from `sequence` on, where they are not numbered so already.
+void renumber(std::string& packets, std::uint8_t sequence) {
+  for (std::size_t offset = 0; offset + mysql::kHeaderSize <= packets.size();) {
+    if (offset == 0 && static_cast<std::uint8_t>(packets[kPacketLengthSize]) == sequence) return;
+    const std::string_view remaining = std::string_view{packets}.substr(offset);
+    PayloadReader header(remaining.substr(0, kPacketLengthSize));
+    packets[offset + kPacketLengthSize] = static_cast<char>(sequence++);
+    offset += mysql::kHeaderSize + header.integer(kPacketLengthSize);
+  }
+}
+
+}  // namespace
+
+MysqlFrontend::Connection::Connection(MysqlFrontend& frontend, SlotKey key, FileDescriptor fd)
+    : frontend_(frontend),
+      key_(key),
+      nonce_(mysql::generate_nonce()),
+      reserved_bytes_(frontend.partial_command_bytes_),
+      stream_(frontend.loop_, std::move(fd), *this, false, kInputLimit) {
+  mysql::Greeting greeting;
+  greeting.connection_id = frontend_.next_thread_id_++;
+  greeting.capabilities = mysql::kCapabilities | (frontend_.tls_ ? std::uint32_t{mysql::kSsl} : 0U);
+  greeting.nonce = nonce_;
+  greeting.plugin = mysql::kCachingSha2;
+  greeting.version = "8.0.36-rookproxy";
+  reply(mysql::greeting_payload(greeting));
+  close_after(kLoginTimeout);
+}
+
+// One command at a time, as a server's session has it.
+std::size_t MysqlFrontend::Connection::on_bytes(std::string_view bytes) {
+  if (state_ == State::kClosing) return bytes.size();
+  if (is_waiting()) return 0;
+  const std::size_t max_bytes = is_logging_in() ? kMaxLoginPacketBytes : kMaxCommandBytes;
+  const mysql::Message message = mysql::parse_message(bytes, max_bytes);
+  if (message.consumed == 0) return reserve_command_bytes(bytes) ? 0 : bytes.size();
+  reserved_bytes_.release();
+  const std::uint8_t expected_sequence = is_logging_in() ? sequence_ : 0;
+  sequence_ = message.next_sequence;
+  if (message.too_large) {
+    fatal(mysql::kPacketTooLarge, "Got a packet bigger than 'max_allowed_packet' bytes");
+    return bytes.size();
+  }
+  if (message.out_of_order || message.first_sequence != expected_sequence) {
+    fatal(mysql::kPacketsOutOfOrder, "Got packets out of order");
+    return bytes.size();
+  }
+  handle_message(message);
+  return message.consumed;
+}
+
+void MysqlFrontend::Connection::handle_message(const mysql::Message& message) {
+  try {
+    if (state_ == State::kLogin) {
+      log_in(message.payload);
+    } else if (state_ == State::kAuthResponse) {
+      handle_auth_response(message.payload);
+    } else {
+      close_after(frontend_.config_.idle_timeout);
+      handle_command(message.payload);
+    }
+  } catch (const mysql::MalformedPacketError& malformed) {
+    fatal(mysql::kMalformedPacket, std::string("Malformed communication packet: ") + malformed.what());
+  }
+}
+
+// A large command may be buffered only while the budget for such commands lasts. False: the client has been
+// told.
+bool MysqlFrontend::Connection::reserve_command_bytes(std::string_view bytes) {
+  if (bytes.size() < mysql::kHeaderSize || reserved_bytes_.is_held()) return true;
+  const std::size_t length = PayloadReader(bytes.substr(0, kPacketLengthSize)).integer(kPacketLengthSize);
+  if (length <= kLargeCommandThreshold) return true;
+  if (reserved_bytes_.try_reserve(length, frontend_.max_partial_command_bytes_)) return true;
+  sequence_ = static_cast<std::uint8_t>(bytes[kPacketLengthSize] + 1);
+  fatal(mysql::kOutOfResources, "No room for a command so large");
+  return false;
+}
+
+// A client that does not read its responses is not closed gracefully: that would wait for just those bytes of
+// which there are too many.
+void MysqlFrontend::Connection::write(std::string packets) {
+  stream_.write(std::move(packets));
+  const std::size_t queued = stream_.queued_bytes();
+  if (queued <= kLargeCommandThreshold) return;
+  if (queued <= kMaxUnreadBytes &&
+      frontend_.connections_.unread_response_bytes() <= frontend_.max_unread_response_bytes_) {
+    return;
+  }
+  frontend_.log_.write(LogLevel::kNotice, "mysql", "answers not taken", {{"user", login_.user}});
+  frontend_.loop_.defer([&frontend = frontend_, key = key_] { frontend.drop(key); });
+}
+
+void MysqlFrontend::Connection::ok() { reply(mysql::ok_payload(0, 0, autocommit_ ? mysql::kAutocommit : 0)); }
+
+void MysqlFrontend::Connection::error(std::uint16_t code, const std::string& text) {
+  reply(mysql::error_payload(code, text));
+}
+
+void MysqlFrontend::Connection::fatal(std::uint16_t code, const std::string& text) {
+  frontend_.log_.write(LogLevel::kNotice, "mysql", text, {{"user", login_.user}});
+  error(code, text);
+  close_gracefully();
+}
+
+void MysqlFrontend::Connection::not_supported(const std::string& what) {
+  error(mysql::kNotSupportedYet,
+        "rookproxy doesn't support " + what + ": consecutive statements may run on different engines");
+}
+
+std::string MysqlFrontend::Connection::retry_message(std::optional<Duration> retry_after) {
+  const auto pause = std::chrono::ceil<std::chrono::milliseconds>(retry_after.value_or(Duration(0)));
+  return "Refused, nothing was run; try again in " + std::to_string(pause.count()) + " ms";
+}
+
+std::string MysqlFrontend::Connection::may_have_run() const {
+  return pending_writes_ ? "it may have run" : "it changed nothing";
+}
+
+void MysqlFrontend::Connection::handle_response(Response response) {
+  request_.reset();
+  state_ = State::kReady;
+  stream_.set_read_paused(false);
+  close_after(frontend_.config_.idle_timeout);
+  if (response.status == ResponseStatus::kServed) {
+    handle_result(std::move(response.body));
+  } else if (response.status == ResponseStatus::kRejected) {
+    error(mysql::kServerNotAvailable, retry_message(response.retry_after));
+  } else if (response.cause == ResponseCause::kDeadline) {
+    error(mysql::kQueryTimeout, "No answer within the deadline; " + may_have_run());
+  } else {
+    error(mysql::kUnknownError,
+          "Failed, " + may_have_run() + (response.detail.empty() ? "" : ": " + response.detail));
+  }
+  if (frontend_.closing_after_response_ && state_ == State::kReady) {
+    // Its next command is for a process that stays. What it may have sent already is not run.
+    return close_gracefully();
+  }
+  recheck_certificate();
+}
+
+void MysqlFrontend::Connection::handle_result(std::string packets) {
+  const bool failed = packets.size() > mysql::kHeaderSize && packets[mysql::kHeaderSize] == kErrorPacket;
+  if (pending_kind_ == Query::Kind::kUseSchema && !failed) schema_ = pending_schema_;
+  if (pending_kind_ == Query::Kind::kPrepare && !failed) keep_prepared_statement(packets);
+  if (!autocommit_ && pending_kind_ != Query::Kind::kPrepare) mysql::clear_autocommit_status(packets);
+  renumber(packets, sequence_);
+  write(std::move(packets));
+}
+
+// The statement id in the response is the engine's: the client gets one of ours, valid on every engine.
+void MysqlFrontend::Connection::keep_prepared_statement(std::string& packets) {
+  PayloadReader reader(std::string_view{packets}.substr(mysql::kHeaderSize));
+  reader.integer(7);  // status, statement id and number of columns
+  pending_statement_.parameter_count = reader.integer(2);
+  std::string id;
+  mysql::append_integer(id, statements_.add(std::move(pending_statement_)), kStatementIdSize);
+  packets.replace(mysql::kHeaderSize + 1, kStatementIdSize, id);
+}
+
+void MysqlFrontend::Connection::close_after(Duration timeout) {
+  frontend_.loop_.cancel(timer_);
+  timer_ = frontend_.loop_.run_at(frontend_.loop_.now() + timeout, [this] {
+    timer_ = {};
+    read_now();  // a command that lies unread starts the timer again
+    if (!is_waiting() && timer_ == TimerId{}) close_gracefully();
+  });
+}
+
+void MysqlFrontend::Connection::recheck_certificate() {
+  if (state_ != State::kReady || !certificate_ || !caller_ ||
+      caller_->identity.credential_kind != policy::CredentialKind::kCertificate) {
+    return;
+  }
+  const policy::Denial denial = certificate_->authenticate(*frontend_.tls_).denial;
+  if (denial == policy::Denial::kNone) return;
+  sequence_ = 0;
+  fatal(mysql::kAccessDenied, std::string(policy::reason_message(denial)));
+}
+
+std::optional<RequestKey> MysqlFrontend::Connection::take_open_request() {
+  if (frontend_.authenticator_) {
+    frontend_.authenticator_->cancel_check(std::exchange(token_check_, 0));
+    frontend_.authenticator_->remove_source(source());
+  }
+  return std::exchange(request_, std::nullopt);
+}
+
+void MysqlFrontend::Connection::close_gracefully() {
+  state_ = State::kClosing;
+  frontend_.loop_.cancel(timer_);
+  reserved_bytes_.release();
+  stream_.close_gracefully(frontend_.linger_timeout_);
+}
+
+void MysqlFrontend::Connection::close_when_answered() {
+  read_now();
+  if (!is_waiting()) close_gracefully();
+}
+
+}  // namespace rookproxy
--- /dev/null
+++ b/src/frontend/mysql_connection_commands.cpp
@@ -0,0 +1,219 @@
+// The commands of a MySQL session: what is answered here, and what is submitted to the dispatcher.
+#include <utility>
+
+#include "frontend/mysql_connection.h"
+#include "sql/lexer.h"
+#include "sql/session.h"
+#include "sql/tables.h"
+
+namespace rookproxy {
+namespace {
+
+using mysql::PayloadReader;
+
+constexpr std::uint16_t kNoDatabaseSelected = 1046;
+
+// Whether another caller could run the statement that this one may not run.
+bool concerns_caller(policy::Denial denial) {
+  return denial == policy::Denial::kExpired || denial == policy::Denial::kRevocationUnknown ||
+         denial == policy::Denial::kUnknownTenant || denial == policy::Denial::kNoKnownRole;
+}
+
+}  // namespace
+
+// False: the client has been told.
+bool MysqlFrontend::Connection::authorize(Query::Kind kind, const std::string& statement) {
+  if (!frontend_.authenticator_) return true;
+  if (!revalidate_caller()) return false;
+  return kind == Query::Kind::kUseSchema ? authorize_schema(statement) : authorize_statement(statement);
+}
+
+bool MysqlFrontend::Connection::authorize_schema(const std::string& schema) {
+  const policy::Denial denial =
+      frontend_.authenticator_->authorize_schema(caller_->identity, schema, {"mysql", ""});
+  if (denial == policy::Denial::kNone) return true;
+  error(denial == policy::Denial::kSchemaNotAllowed ? mysql::kDatabaseDenied : mysql::kAccessDenied,
+        "Access denied for user '" + login_.user + "' to database '" + schema +
+            "': " + std::string(policy::reason_message(denial)));
+  return false;
+}
+
+// A prepare needs the rights that the execution would need.
+bool MysqlFrontend::Connection::authorize_statement(const std::string& statement) {
+  const policy::Identity& identity = caller_->identity;
+  const auto analysis = sql::analyze_statement(statement, schema_, sql::Dialect::kMysql);
+  const bool writes = analysis.effect == policy::StatementEffect::kWrites;
+  const std::string& class_name = writes ? frontend_.config_.load_class : frontend_.config_.read_class;
+  const policy::Denial denial =
+      frontend_.authenticator_->authorize(identity, class_name, writes, analysis, {"mysql", ""});
+  if (denial == policy::Denial::kNone) return true;
+  frontend_.dispatcher_.record_rejection(frontend_.dispatcher_.find_class(class_name).value(),
+                                         ResponseStatus::kRejected, identity.tenant);
+  std::string reason(policy::reason_message(denial));
+  if (denial == policy::Denial::kUnresolvedTables) reason += " (" + analysis.unresolved_reason + ")";
+  error(concerns_caller(denial) ? mysql::kAccessDenied : mysql::kCommandDenied,
+        "Command denied to user '" + login_.user + "': " + reason);
+  return false;
+}
+
+void MysqlFrontend::Connection::handle_command(std::string_view payload) {
+  if (payload.empty()) return error(mysql::kUnknownCommand, "Empty command");
+  PayloadReader reader(payload.substr(1));
+  switch (static_cast<std::uint8_t>(payload[0])) {
+    case mysql::kQuit:
+      return close_gracefully();
+    case mysql::kPing:
+      return ok();
+    case mysql::kChangeUser:
+      return change_user(reader.take_remaining());
+    case mysql::kInitDb:
+      return use_schema(std::string(reader.take_remaining()));
+    case mysql::kQuery:
+      return handle_query(std::string(reader.take_remaining()));
+    case mysql::kStmtPrepare:
+      return prepare(std::string(reader.take_remaining()));
+    case mysql::kStmtExecute:
+      return execute(reader);
+    case mysql::kStmtSendLongData:
+      return statements_.append_long_data(reader);
+    case mysql::kStmtClose:
+      return statements_.remove(static_cast<std::uint32_t>(reader.integer(kStatementIdSize)));
+    case mysql::kStmtReset:
+      return reset_statement(reader);
+    case mysql::kStmtFetch:
+      return not_supported("cursors");
+    case mysql::kResetConnection:
+      statements_.clear();
+      autocommit_ = true;
+      return ok();
+    default:
+      return error(mysql::kUnknownCommand, "Unknown command");
+  }
+}
+
+bool MysqlFrontend::Connection::rejected_locally(const std::string& statement) {
+  if (sql::tokenize(statement).empty()) {
+    error(mysql::kEmptyQuery, "Query was empty");
+    return true;
+  }
+  const auto state = sql::find_session_state(statement);
+  if (state) not_supported(*state);
+  return state.has_value();
+}
+
+// With autocommit off a server would open a transaction here, to be ended by a COMMIT that could reach
+// another engine.
+bool MysqlFrontend::Connection::needs_transaction(const std::string& statement) {
+  if (autocommit_ || sql::is_read_only(statement) || sql::commits_implicitly(statement)) return false;
+  error(mysql::kNotSupportedYet,
+        "rookproxy doesn't support transactions, and autocommit is off: SET autocommit = 1 to run this "
+        "statement");
+  return true;
+}
+
+// Statements that concern the session alone need no engine.
+bool MysqlFrontend::Connection::answered_locally(const std::string& statement) {
+  const sql::SessionStatement kind = sql::classify_session_statement(statement);
+  switch (kind) {
+    case sql::SessionStatement::kNone:
+      return false;
+    case sql::SessionStatement::kAutocommitOn:
+    case sql::SessionStatement::kAutocommitOff:
+      autocommit_ = kind == sql::SessionStatement::kAutocommitOn;
+      break;
+    case sql::SessionStatement::kNoEffect:
+    case sql::SessionStatement::kEndTransaction:
+      break;
+  }
+  ok();
+  return true;
+}
+
+void MysqlFrontend::Connection::handle_query(std::string statement) {
+  if (answered_locally(statement) || rejected_locally(statement) || needs_transaction(statement)) return;
+  submit(Query::Kind::kStatement, std::move(statement));
+}
+
+void MysqlFrontend::Connection::use_schema(std::string schema) {
+  if (schema.empty()) return error(kNoDatabaseSelected, "No database selected");
+  pending_schema_ = schema;
+  submit(Query::Kind::kUseSchema, std::move(schema));
+}
+
+void MysqlFrontend::Connection::prepare(std::string statement) {
+  if (statements_.is_full()) {
+    return error(mysql::kTooManyStatements, "Can't create more than " +
+                                                std::to_string(PreparedStatements::kMaxStatements) +
+                                                " prepared statements on one connection");
+  }
+  if (rejected_locally(statement)) return;
+  pending_statement_ = PreparedStatement{};
+  pending_statement_.text = statement;
+  submit(Query::Kind::kPrepare, std::move(statement));
+}
+
+// Reads a statement's id. Null: the client has been told that there is none.
+PreparedStatement* MysqlFrontend::Connection::find_statement(PayloadReader& reader) {
+  const auto id = static_cast<std::uint32_t>(reader.integer(kStatementIdSize));
+  PreparedStatement* statement = statements_.find(id);
+  if (!statement) {
+    error(mysql::kUnknownStatement, "Unknown prepared statement handler (" + std::to_string(id) + ")");
+  }
+  return statement;
+}
+
+void MysqlFrontend::Connection::reset_statement(PayloadReader& reader) {
+  PreparedStatement* statement = find_statement(reader);
+  if (!statement) return;
+  statement->clear_long_data();
+  ok();
+}
+
+void MysqlFrontend::Connection::execute(PayloadReader& reader) {
+  PreparedStatement* statement = find_statement(reader);
+  if (!statement || needs_transaction(statement->text)) return;
+  PreparedExecution execution = PreparedStatements::make_execution(*statement, reader);
+  switch (execution.error) {
+    case ExecutionError::kNone:
+      return submit(Query::Kind::kExecute, statement->text, std::move(execution.query));
+    case ExecutionError::kLongDataTooLarge:
+      return error(mysql::kPacketTooLarge, "Got a packet bigger than 'max_allowed_packet' bytes");
+    case ExecutionError::kCursorRequested:
+      return not_supported("cursors");
+    case ExecutionError::kTypesNotBound:
+      return error(mysql::kWrongArguments, "Incorrect arguments to EXECUTE: no types were bound");
+  }
+}
+
+void MysqlFrontend::Connection::submit(Query::Kind kind, std::string statement,
+                                       std::shared_ptr<Query> query) {
+  if (!authorize(kind, statement)) return;
+  const bool runs = kind == Query::Kind::kStatement || kind == Query::Kind::kExecute;
+  const bool writes = runs && !sql::is_read_only(statement);
+  const MysqlFrontConfig& config = frontend_.config_;
+  const std::string& class_name = writes ? config.load_class : config.read_class;
+  IncomingRequest incoming;
+  // By name each time: a reload may have changed the index.
+  incoming.class_index = frontend_.dispatcher_.find_class(class_name).value();
+  const bool names_tables = runs || kind == Query::Kind::kPrepare;
+  incoming.table_group = names_tables ? sql::table_group(statement, schema_) : 0;
+  incoming.deadline = frontend_.loop_.now() + (writes ? config.load_timeout : config.read_timeout);
+  query->id = frontend_.new_call_id();
+  query->class_name = class_name;
+  query->statement = std::move(statement);
+  query->kind = kind;
+  query->schema = schema_;
+  query->writes = writes;
+  query->rows_as_text_lines = false;
+  incoming.query = std::move(query);
+  if (frontend_.authenticator_) incoming.tenant = caller_->identity.tenant;
+  pending_kind_ = kind;
+  pending_writes_ = writes;
+  state_ = State::kBusy;
+  // What the client sends ahead waits in the kernel and takes no memory here.
+  stream_.set_read_paused(true);
+  frontend_.loop_.cancel(timer_);
+  request_ = frontend_.dispatcher_.submit(incoming, frontend_, key_);
+}
+
+}  // namespace rookproxy
--- /dev/null
+++ b/src/frontend/mysql_frontend.cpp
@@ -0,0 +1,135 @@
+#include "frontend/mysql_frontend.h"
+
+#include <utility>
+
+#include "frontend/mysql_connection.h"
+
+namespace rookproxy {
+namespace {
+
+constexpr std::size_t kCallIdLength = 16;
+constexpr std::size_t kBitsPerHexDigit = 4;
+// Odd, so that steps of it pass through all 64-bit numbers before one comes twice.
+constexpr std::uint64_t kCallIdStep = 0x9e3779b97f4a7c15ULL;
+
+}  // namespace
+
+MysqlFrontend::MysqlFrontend(EventLoop& loop, Logger& log, Dispatcher& dispatcher, FileDescriptor listener,
+                             MysqlFrontConfig config, std::uint64_t seed, auth::Authenticator* authenticator,
+                             std::shared_ptr<const tls::ServerContext> tls, bool tls_required)
+    : loop_(loop),
+      log_(log),
+      dispatcher_(dispatcher),
+      config_(std::move(config)),
+      authenticator_(authenticator),
+      tls_(std::move(tls)),
+      tls_required_(tls_required),
+      call_id_state_(seed ^ static_cast<std::uint64_t>(loop.now().time_since_epoch().count())),
+      connections_(loop),
+      port_(local_port(listener)),
+      acceptor_(std::make_unique<Acceptor>(
+          loop, std::move(listener), [this](FileDescriptor fd) { accept(std::move(fd)); }, false)) {}
+
+MysqlFrontend::~MysqlFrontend() = default;
+
+// Ids look like the platform's, 16 hex digits: never the same twice in a process's life, and unlikely to meet
+// another process's.
+std::string MysqlFrontend::new_call_id() {
+  call_id_state_ += kCallIdStep;
+  std::string id;
+  id.reserve(kCallIdLength);
+  for (std::size_t digit = kCallIdLength; digit > 0; --digit) {
+    id += "0123456789abcdef"[call_id_state_ >> (kBitsPerHexDigit * (digit - 1)) & 15];
+  }
+  return id;
+}
+
+// At the limit the oldest connection that has not logged in is evicted: silent clients must not shut out
+// those who have a password. False if there is none.
+bool MysqlFrontend::evict_if_full() {
+  if (connections_.size() < config_.max_connections) return true;
+  const SlotKey oldest = connections_.eviction_candidate();
+  if (oldest == 0) return false;
+  Connection* connection = connections_.find(oldest);
+  // A log-in may lie unread. Otherwise nothing but a greeting was written, which a reset may take along.
+  connection->read_now();
+  if (!connection->is_logged_in()) drop(oldest);
+  return connections_.size() < config_.max_connections;
+}
+
+void MysqlFrontend::accept(FileDescriptor fd) {
+  if (!evict_if_full()) {
+    // Rejected as a server does it, so that the client's library can say why.
+    std::uint8_t sequence = 0;
+    const std::string packet = mysql::split_into_packets(
+        mysql::error_payload(mysql::kTooManyConnections, "Too many connections"), sequence);
+    send_best_effort(fd, packet);
+    return;
+  }
+  connections_.emplace(*this, std::move(fd));
+}
+
+// Its open command is cancelled at once; what was written to it still gets there.
+void MysqlFrontend::client_disconnected(SlotKey key) {
+  Connection* connection = connections_.find(key);
+  if (!connection) return;
+  connection->close_gracefully();
+  if (const auto request = connection->take_open_request()) dispatcher_.cancel_request(*request);
+}
+
+void MysqlFrontend::drop(SlotKey key) {
+  Connection* connection = connections_.find(key);
+  if (!connection) return;
+  if (const auto request = connection->take_open_request()) dispatcher_.cancel_request(*request);
+  connection->close();
+  connections_.remove(key);
+}
+
+ResponseStatus MysqlFrontend::on_response(std::uint64_t ticket, Response response) {
+  const ResponseStatus status = response.status;
+  if (Connection* connection = connections_.find(ticket)) connection->handle_response(std::move(response));
+  return status;
+}
+
+void MysqlFrontend::reload(MysqlFrontConfig config) {
+  config.listen = config_.listen;
+  config_ = std::move(config);
+}
+
+void MysqlFrontend::credentials_changed(std::shared_ptr<const tls::ServerContext> tls) {
+  tls_ = std::move(tls);
+  if (tls_) connections_.recheck_certificates();
+}
+
+void MysqlFrontend::set_accepting(bool accepting) {
+  if (!acceptor_) return;
+  accepting ? acceptor_->start() : acceptor_->stop();
+}
+
+void MysqlFrontend::set_resource_limits(std::size_t max_connections, std::size_t max_partial_command_bytes,
+                                        std::size_t max_unread_response_bytes) {
+  config_.max_connections = max_connections;
+  max_partial_command_bytes_ = max_partial_command_bytes;
+  max_unread_response_bytes_ = max_unread_response_bytes;
+}
+
+void MysqlFrontend::close_after_next_response() {
+  set_accepting(false);
+  closing_after_response_ = true;
+}
+
+void MysqlFrontend::close_all_gracefully(Duration timeout) {
+  linger_timeout_ = timeout;
+  shutting_down_ = true;
+  close_after_next_response();
+  connections_.close_when_answered();
+}
+
+// The acceptor is destroyed at the iteration's end: the signal may have come in the middle of its own call.
+void MysqlFrontend::stop_listening() {
+  loop_.defer([this] { acceptor_.reset(); });
+}
+
+bool MysqlFrontend::is_flushed() const { return connections_.is_flushed(); }
+
+}  // namespace rookproxy
--- a/tests/integration/connection_close_test.cpp
+++ b/tests/integration/connection_close_test.cpp
@@ -22,7 +22,7 @@
 #include "dispatcher/dispatcher.h"
 #include "fakes/standins.h"
 #include "frontend/frames_frontend.h"
-#include "frontend/mysql.h"
+#include "frontend/mysql_frontend.h"
 #include "support/process.h"
 
 using namespace rookproxy;
