--- a/src/cluster/acceptor.h
+++ b/src/cluster/acceptor.h
@@ -18,22 +18,24 @@
   explicit Acceptor(bool has_recovered) : has_recovered_(has_recovered) {}
 
   // Whether it votes in the epoch after `known_epoch`.
-  bool is_voting(std::uint32_t known_epoch) const {
+  [[nodiscard]] bool is_voting(std::uint32_t known_epoch) const {
     return has_recovered_ && vote_floor_ <= known_epoch && !is_retired_;
   }
   // Whether the floor is known.
-  bool has_recovered() const { return has_recovered_; }
-  bool is_retired() const { return is_retired_; }
+  [[nodiscard]] bool has_recovered() const { return has_recovered_; }
+  [[nodiscard]] bool is_retired() const { return is_retired_; }
   // The last epoch in which this member may have voted, in this process or an earlier one. Certain only if
   // the floor is known.
-  std::uint32_t highest_voted_epoch() const { return std::max(highest_voted_epoch_, vote_floor_); }
+  [[nodiscard]] std::uint32_t highest_voted_epoch() const {
+    return std::max(highest_voted_epoch_, vote_floor_);
+  }
   // The last epoch in which this process has voted; 0: none.
-  std::uint32_t highest_voted_epoch_of_process() const { return highest_voted_epoch_; }
+  [[nodiscard]] std::uint32_t highest_voted_epoch_of_process() const { return highest_voted_epoch_; }
 
   // Of the current instance.
-  const std::optional<Ballot>& promised_ballot() const { return promised_ballot_; }
-  const std::optional<Ballot>& accepted_ballot() const { return accepted_ballot_; }
-  const std::optional<ClusterConfig>& accepted_plan() const { return accepted_plan_; }
+  [[nodiscard]] const std::optional<Ballot>& promised_ballot() const { return promised_ballot_; }
+  [[nodiscard]] const std::optional<Ballot>& accepted_ballot() const { return accepted_ballot_; }
+  [[nodiscard]] const std::optional<ClusterConfig>& accepted_plan() const { return accepted_plan_; }
 
   // Votes from now on in the epochs above `vote_floor`.
   void start_voting(std::uint32_t vote_floor) {
@@ -44,7 +46,7 @@
   void retire() { is_retired_ = true; }
 
   // Whether a higher ballot has been promised.
-  bool has_promised_above(const Ballot& ballot) const {
+  [[nodiscard]] bool has_promised_above(const Ballot& ballot) const {
     return promised_ballot_ && ballot < *promised_ballot_;
   }
   void promise(std::uint32_t epoch, const Ballot& ballot) {
--- a/src/cluster/consensus.h
+++ b/src/cluster/consensus.h
@@ -55,11 +55,11 @@
                                                      const MessageBody& body);
   // Call it at next_due(), or earlier.
   [[nodiscard]] std::vector<OutgoingMessage> on_timer(Time now);
-  Time next_due() const;
+  [[nodiscard]] Time next_due() const;
 
   // Proposes a plan, whose epoch must be the known plan's plus 1.
   [[nodiscard]] ProposeOutcome propose(Time now, const ClusterConfig& next_plan);
-  ProposalState proposal_state() const { return proposer_.state(); }
+  [[nodiscard]] ProposalState proposal_state() const { return proposer_.state(); }
 
   // The members that membership believes to be alive, with this one or without it; decides who renews leases.
   void set_alive_members(const std::vector<MemberId>& alive) { renewal_.set_alive(alive, settings_); }
@@ -67,25 +67,25 @@
   void retire() { acceptor_.retire(); }
 
   // The last plan learned. Without a quorum it may be outdated.
-  const ClusterConfig& plan() const { return plan_; }
-  std::uint32_t epoch() const { return plan_.epoch; }
+  [[nodiscard]] const ClusterConfig& plan() const { return plan_; }
+  [[nodiscard]] std::uint32_t epoch() const { return plan_.epoch; }
   // Whether all parts of the plan may be acted on (spill and shifted affinity included). Without the lease,
   // those fall back to the settings, and only the conservative parts (returning zones, retirements) stay in
   // force. A clock that goes back ends the lease.
-  bool lease_holds(Time now) const;
+  [[nodiscard]] bool lease_holds(Time now) const;
   // Whether a majority has been heard of within a lease's duration, though it may hold another epoch.
-  bool has_quorum(Time now) const;
+  [[nodiscard]] bool has_quorum(Time now) const;
   // Whether it would vote in the epoch after the known one.
-  bool is_voting() const { return acceptor_.is_voting(plan_.epoch); }
+  [[nodiscard]] bool is_voting() const { return acceptor_.is_voting(plan_.epoch); }
   // What this member may have voted for.
-  const Acceptor& acceptor() const { return acceptor_; }
-  const ConsensusMetrics& metrics() const { return metrics_; }
-  Time last_event_time() const { return clock_.last_event_time(); }
+  [[nodiscard]] const Acceptor& acceptor() const { return acceptor_; }
+  [[nodiscard]] const ConsensusMetrics& metrics() const { return metrics_; }
+  [[nodiscard]] Time last_event_time() const { return clock_.last_event_time(); }
 
  private:
   friend class ConsensusStateEncoder;
 
-  std::uint32_t next_epoch() const { return plan_.epoch + 1; }
+  [[nodiscard]] std::uint32_t next_epoch() const { return plan_.epoch + 1; }
   ConsensusContext make_context(Outbox& outbox, Incarnation sender_incarnation = 0);
   void advance_clock(Time now);
   void run_timers(const ConsensusContext& context);
@@ -98,7 +98,7 @@
                     const ConsensusContext& context);
   void learn_plan(const ClusterConfig& plan, const ConsensusContext& context);
   void request_newer_plan(MemberId from, const ConsensusContext& context);
-  Elapsed earliest_next_proposal() const { return learned_at_ + settings_.min_epoch_interval; }
+  [[nodiscard]] Elapsed earliest_next_proposal() const { return learned_at_ + settings_.min_epoch_interval; }
 
   std::uint32_t next_query_number();
   void send_renewal_query(const ConsensusContext& context);
--- a/src/cluster/consensus_settings.h
+++ b/src/cluster/consensus_settings.h
@@ -35,9 +35,9 @@
   bool recover_after_restart = true;  // false, in tests only: votes at once and forgets its earlier votes
 
   // The smallest number of members that is more than half of them.
-  std::size_t majority() const { return member_count / 2 + 1; }
+  [[nodiscard]] std::size_t majority() const { return member_count / 2 + 1; }
   // The smallest number of members that has one in common with every majority.
-  std::size_t recovery_quorum() const { return member_count - majority() + 1; }
+  [[nodiscard]] std::size_t recovery_quorum() const { return member_count - majority() + 1; }
 };
 
 // Counters since the start of the process.
--- a/src/cluster/gossip_selector.h
+++ b/src/cluster/gossip_selector.h
@@ -16,14 +16,15 @@
   GossipSelector(const MembershipSettings& settings, std::size_t first_member);
 
   // How often each change is gossiped: about 3 log2(member_count) times.
-  unsigned max_transmissions() const { return max_transmissions_; }
+  [[nodiscard]] unsigned max_transmissions() const { return max_transmissions_; }
   // At most `limit` updates for the message to `to`, and counts their transmissions. `repairs`: fills the
   // room with the table in turn; a member that has just started or stalled has nothing to repair with.
   std::vector<GossipUpdate> select(MemberId to, std::size_t limit, bool repairs, MemberTable& table);
 
  private:
-  std::vector<MemberId> recent_changes(MemberId to, std::size_t limit, const MemberTable& table) const;
-  bool is_about_third(MemberId member, MemberId to, const MemberTable& table) const;
+  [[nodiscard]] std::vector<MemberId> recent_changes(MemberId to, std::size_t limit,
+                                                     const MemberTable& table) const;
+  [[nodiscard]] bool is_about_third(MemberId member, MemberId to, const MemberTable& table) const;
 
   MemberId self_;
   std::size_t updates_per_message_;
--- a/src/cluster/lease_renewal.h
+++ b/src/cluster/lease_renewal.h
@@ -23,11 +23,13 @@
   void set_alive(const std::vector<MemberId>& alive, const ConsensusSettings& settings);
 
   // When the next query is due; kNever while one is pending.
-  Elapsed next_query_due(const ConsensusSettings& settings) const;
+  [[nodiscard]] Elapsed next_query_due(const ConsensusSettings& settings) const;
   // When the pending query times out; kNever without one.
-  Elapsed query_deadline(const ConsensusSettings& settings) const;
+  [[nodiscard]] Elapsed query_deadline(const ConsensusSettings& settings) const;
   // Whether a query with this number is pending.
-  bool is_pending(std::uint32_t query_number) const { return query_ && query_->number == query_number; }
+  [[nodiscard]] bool is_pending(std::uint32_t query_number) const {
+    return query_ && query_->number == query_number;
+  }
 
   void start_query(std::uint32_t query_number, Elapsed now);
   // A reply to the pending query. Grants the lease to `from` if the others have it already.
@@ -51,6 +53,7 @@
  private:
   friend class ConsensusStateEncoder;
 
+  // The query that is pending, and what has come of it.
   struct Query {
     std::uint32_t number = 0;
     Elapsed sent_at{};
@@ -60,8 +63,8 @@
     MemberSet replied;
   };
 
-  Duration rank_delay(const ConsensusSettings& settings) const;
-  Lease make_lease(std::uint32_t known_epoch, const ConsensusContext& context) const;
+  [[nodiscard]] Duration rank_delay(const ConsensusSettings& settings) const;
+  [[nodiscard]] Lease make_lease(std::uint32_t known_epoch, const ConsensusContext& context) const;
 
   std::size_t rank_;  // alive members with a lower id
   std::size_t alive_count_;
--- a/src/cluster/member_table.h
+++ b/src/cluster/member_table.h
@@ -35,7 +35,9 @@
   bool has_acked : 1 = false;              // a ping since the start or the last stall
 
   // Alive or suspect: a single lost datagram must not count.
-  bool counts_as_alive() const { return state == MemberState::kAlive || state == MemberState::kSuspect; }
+  [[nodiscard]] bool counts_as_alive() const {
+    return state == MemberState::kAlive || state == MemberState::kSuspect;
+  }
 };
 
 // A record for every configured member, this one included (whose record stays unused).
@@ -43,17 +45,17 @@
  public:
   explicit MemberTable(const MembershipSettings& settings);
 
-  std::size_t size() const { return records_.size(); }
-  bool contains(MemberId member) const { return member < records_.size(); }
+  [[nodiscard]] std::size_t size() const { return records_.size(); }
+  [[nodiscard]] bool contains(MemberId member) const { return member < records_.size(); }
   const MemberRecord& operator[](MemberId member) const { return records_[member]; }
   MemberRecord& operator[](MemberId member) { return records_[member]; }
 
   // Members other than this one that count as alive.
-  std::size_t alive_others() const { return alive_others_; }
+  [[nodiscard]] std::size_t alive_others() const { return alive_others_; }
   // Members that have acked since the start or the last stall.
-  std::size_t acked_count() const { return acked_count_; }
+  [[nodiscard]] std::size_t acked_count() const { return acked_count_; }
   // When the first suspicion times out; `latest` if none does before.
-  Time next_suspicion_deadline(Time latest) const;
+  [[nodiscard]] Time next_suspicion_deadline(Time latest) const;
 
   // Starts the deadline that the state has, and lets the change be gossiped.
   void set_state(MemberId member, std::optional<MemberState> state, Incarnation incarnation, Time now);
--- a/src/cluster/membership.h
+++ b/src/cluster/membership.h
@@ -52,17 +52,17 @@
   // The updates for the message that is sent to `to` now, at most `limit`.
   std::vector<GossipUpdate> gossip_for(MemberId to, std::size_t limit);
 
-  Time next_due() const { return next_due_; }
+  [[nodiscard]] Time next_due() const { return next_due_; }
   // Goes with every message.
-  Incarnation incarnation() const { return own_incarnation_; }
+  [[nodiscard]] Incarnation incarnation() const { return own_incarnation_; }
   // Nothing: not heard of since the start, or forgotten. This member itself is alive.
-  std::optional<MemberState> state_of(MemberId member) const;
+  [[nodiscard]] std::optional<MemberState> state_of(MemberId member) const;
   // This member, and those that are alive or suspect.
-  std::vector<MemberId> alive_members() const;
-  std::size_t alive_count() const { return table_.alive_others() + 1; }
+  [[nodiscard]] std::vector<MemberId> alive_members() const;
+  [[nodiscard]] std::size_t alive_count() const { return table_.alive_others() + 1; }
   // False if this process has started or stalled lately, or is late: what it knows may be outdated.
-  bool is_current(Time now) const;
-  MembershipMetrics metrics() const;
+  [[nodiscard]] bool is_current(Time now) const;
+  [[nodiscard]] MembershipMetrics metrics() const;
 
  private:
   MembershipContext make_context(Time now);
--- a/src/cluster/membership_settings.h
+++ b/src/cluster/membership_settings.h
@@ -17,7 +17,7 @@
   std::string_view setting;  // name of the field
   std::string advice;        // what to set instead
 
-  std::string text() const { return std::string(setting) + ": " + advice; }
+  [[nodiscard]] std::string text() const { return std::string(setting) + ": " + advice; }
 };
 
 // Timing and bounds of one member.
@@ -37,9 +37,9 @@
 
   // From suspected to failed: suspicion_multiplier * log2(member_count + 1) periods, since gossip takes
   // longer in a larger cluster.
-  Duration suspicion_timeout() const;
+  [[nodiscard]] Duration suspicion_timeout() const;
   // A timer that is later than this counts as a stall.
-  Duration effective_stall_threshold() const;
+  [[nodiscard]] Duration effective_stall_threshold() const;
   // The first setting that is out of its range.
   [[nodiscard]] std::optional<SettingFault> find_fault() const;
 };
--- a/src/cluster/messages.h
+++ b/src/cluster/messages.h
@@ -43,7 +43,7 @@
 struct Ballot {
   std::uint32_t round = 0;
   MemberId member = 0;
-  auto operator<=>(const Ballot&) const = default;
+  auto operator<=>(const Ballot&) const = default;  // NOLINT(modernize-use-nullptr): a false positive
 };
 
 // Phase 1a.
--- a/src/cluster/monotonic_clock.h
+++ b/src/cluster/monotonic_clock.h
@@ -27,13 +27,17 @@
   }
 
   // As of the last event.
-  Elapsed elapsed() const { return elapsed_; }
+  [[nodiscard]] Elapsed elapsed() const { return elapsed_; }
   // What elapsed() would be if an event came at `now`.
-  Elapsed elapsed_at(Time now) const { return elapsed_ + std::max(Duration(0), now - last_event_time_); }
+  [[nodiscard]] Elapsed elapsed_at(Time now) const {
+    return elapsed_ + std::max(Duration(0), now - last_event_time_);
+  }
   // The wall-clock time of the last event.
-  Time last_event_time() const { return last_event_time_; }
+  [[nodiscard]] Time last_event_time() const { return last_event_time_; }
   // The wall-clock time of `then`, or of the last event if `then` has passed.
-  Time wall_time(Elapsed then) const { return last_event_time_ + std::max(Duration(0), then - elapsed_); }
+  [[nodiscard]] Time wall_time(Elapsed then) const {
+    return last_event_time_ + std::max(Duration(0), then - elapsed_);
+  }
 
  private:
   Time last_event_time_;
--- a/src/cluster/plan_lease.h
+++ b/src/cluster/plan_lease.h
@@ -17,11 +17,11 @@
   explicit PlanLease(std::size_t member_count) : received_queries_(member_count) {}
 
   // Whether a majority has lately confirmed that it holds the known plan.
-  bool is_valid(Elapsed now) const { return now < lease_expires_at_; }
+  [[nodiscard]] bool is_valid(Elapsed now) const { return now < lease_expires_at_; }
   // Whether a majority has lately been heard of, though it may hold the plan of another epoch.
-  bool has_quorum(Elapsed now) const { return now < quorum_expires_at_; }
+  [[nodiscard]] bool has_quorum(Elapsed now) const { return now < quorum_expires_at_; }
   // When count_expiry() has something to do; kNever if no lease is held.
-  Elapsed next_expiry() const { return is_expiry_counted_ ? kNever : lease_expires_at_; }
+  [[nodiscard]] Elapsed next_expiry() const { return is_expiry_counted_ ? kNever : lease_expires_at_; }
 
   // A majority holds the known plan. Never shortens the lease.
   void extend(Elapsed until, ConsensusMetrics& metrics);
@@ -35,11 +35,13 @@
   // A renewal query came from `from`; its Lease must name it.
   void record_query(MemberId from, std::uint32_t query_number, Elapsed now);
   // Until when a Lease from `from` is valid; nothing if it answers no query of that member or has expired.
-  std::optional<Elapsed> expiry_of(MemberId from, const Lease& lease, const ConsensusContext& context) const;
+  [[nodiscard]] std::optional<Elapsed> expiry_of(MemberId from, const Lease& lease,
+                                                 const ConsensusContext& context) const;
 
  private:
   friend class ConsensusStateEncoder;
 
+  // A renewal query of another member.
   struct ReceivedQuery {
     std::uint32_t number = 0;  // 0: none
     Elapsed received_at{};
--- a/src/cluster/probe_order.h
+++ b/src/cluster/probe_order.h
@@ -22,7 +22,7 @@
     shuffle(random);
   }
 
-  const std::vector<MemberId>& members() const { return members_; }
+  [[nodiscard]] const std::vector<MemberId>& members() const { return members_; }
 
   // The next member of the pass. There must be another member.
   MemberId next(std::mt19937& random) {
--- a/src/cluster/prober.h
+++ b/src/cluster/prober.h
@@ -35,13 +35,14 @@
   void expire(const MembershipContext& context);
 
   // When expire() has something to do; `latest` if not before then.
-  Time next_deadline(Time latest) const;
+  [[nodiscard]] Time next_deadline(Time latest) const;
   // The deadlines were checked late: acks may lie unread.
   void extend_deadlines(Duration by);
   // After a stall: forgets everything under way, and acks to earlier pings prove nothing.
   void reset();
 
  private:
+  // A ping that must be answered.
   struct Probe {
     MemberId member;
     std::uint32_t number;
@@ -62,7 +63,7 @@
   void ping(MemberId member, const MembershipContext& context);
   void start_probe(MemberId member, const MembershipContext& context);
   void request_indirect_pings(Probe& probe, const MembershipContext& context);
-  void suspect(const Probe& probe, const MembershipContext& context);
+  static void suspect(const Probe& probe, const MembershipContext& context);
 
   ProbeOrder order_;
   std::vector<Probe> probes_;
--- a/src/cluster/proposer.h
+++ b/src/cluster/proposer.h
@@ -25,14 +25,16 @@
 // Works on the instance of the epoch after the known plan's. Consensus sends its messages.
 class Proposer {
  public:
-  ProposalState state() const { return state_; }
-  bool has_request() const { return requested_plan_.has_value(); }
+  [[nodiscard]] ProposalState state() const { return state_; }
+  [[nodiscard]] bool has_request() const { return requested_plan_.has_value(); }
   // Whether there is a plan to propose or an instance to close.
-  bool has_work() const { return has_request() || is_closing_; }
+  [[nodiscard]] bool has_work() const { return has_request() || is_closing_; }
   // The ballot of the round under way.
-  std::optional<Ballot> ballot() const { return round_ ? std::optional(round_->ballot) : std::nullopt; }
-  bool is_preparing() const { return round_ && !round_->is_accepting; }
-  bool is_accepting() const { return round_ && round_->is_accepting; }
+  [[nodiscard]] std::optional<Ballot> ballot() const {
+    return round_ ? std::optional(round_->ballot) : std::nullopt;
+  }
+  [[nodiscard]] bool is_preparing() const { return round_ && !round_->is_accepting; }
+  [[nodiscard]] bool is_accepting() const { return round_ && round_->is_accepting; }
 
   // Proposes `plan` from now on, not before `earliest_start`.
   void request(const ClusterConfig& plan, Elapsed earliest_start, const ConsensusContext& context);
@@ -42,9 +44,9 @@
   void expire(const ConsensusContext& context);
 
   // When expire() has something to do; kNever if nothing is under way.
-  Elapsed next_expiry() const;
+  [[nodiscard]] Elapsed next_expiry() const;
   // When a round is to be started; kNever while one is under way or there is no work.
-  Elapsed next_start() const { return has_work() && !round_ ? retry_at_ : kNever; }
+  [[nodiscard]] Elapsed next_start() const { return has_work() && !round_ ? retry_at_ : kNever; }
 
   // Phase 1. Returns the ballot to prepare, or nothing if the ballots are used up.
   [[nodiscard]] std::optional<Ballot> start_round(const ConsensusContext& context);
--- a/src/cluster/rate_limited_outbox.h
+++ b/src/cluster/rate_limited_outbox.h
@@ -33,7 +33,7 @@
     messages_.push_back({to, std::move(body)});
   }
 
-  std::uint64_t dropped() const { return dropped_; }
+  [[nodiscard]] std::uint64_t dropped() const { return dropped_; }
   // Hands the messages over; the outbox is empty afterwards.
   [[nodiscard]] std::vector<OutgoingMessage> take() { return std::exchange(messages_, {}); }
 
--- a/src/cluster/replay_window.h
+++ b/src/cluster/replay_window.h
@@ -34,9 +34,10 @@
   // window.
   [[nodiscard]] Result check(MemberId sender, Incarnation incarnation, std::uint64_t sequence, Time now);
   // How many datagrams were classified as `result`.
-  std::uint64_t count(Result result) const { return counts_[static_cast<std::size_t>(result)]; }
+  [[nodiscard]] std::uint64_t count(Result result) const { return counts_[static_cast<std::size_t>(result)]; }
 
  private:
+  // What was accepted of one member.
   struct SenderState {
     Incarnation incarnation = 0;
     std::uint64_t highest = 0;  // sequence number
@@ -44,7 +45,7 @@
   };
 
   Result classify(MemberId sender, Incarnation incarnation, std::uint64_t sequence, Time now);
-  bool is_in_future(Incarnation incarnation, Time now) const;
+  [[nodiscard]] bool is_in_future(Incarnation incarnation, Time now) const;
 
   Duration max_clock_skew_;
   std::vector<SenderState> senders_;
--- a/src/cluster/runtime/cluster.cpp
+++ b/src/cluster/runtime/cluster.cpp
@@ -102,7 +102,7 @@
   timer_ = loop_.run_at(std::max(due, loop_.now() + kMinTimerDelay), [this] { on_timer(); });
 }
 
-void Cluster::apply(cluster::Membership::Result result) {
+void Cluster::apply(const cluster::Membership::Result& result) {
   socket_.set_incarnation(membership_.incarnation());
   if (!result.changes.empty()) consensus_.set_alive_members(membership_.alive_members());
   for (const cluster::MemberChange& change : result.changes) {
--- a/src/cluster/runtime/cluster.h
+++ b/src/cluster/runtime/cluster.h
@@ -42,14 +42,14 @@
   Cluster(const Cluster&) = delete;
   Cluster& operator=(const Cluster&) = delete;
 
-  QuorumState quorum_state() const;
+  [[nodiscard]] QuorumState quorum_state() const;
   // The last plan learned; its numbers are meaningless unless is_plan_readable().
-  const cluster::ClusterConfig& plan() const { return consensus_.plan(); }
+  [[nodiscard]] const cluster::ClusterConfig& plan() const { return consensus_.plan(); }
   // Whether the plan numbers the zones that are configured here.
-  bool is_plan_readable() const { return plan().fingerprint == own_fingerprint_; }
+  [[nodiscard]] bool is_plan_readable() const { return plan().fingerprint == own_fingerprint_; }
 
   // Checks a new configuration. Throws SettingsError if it can't be applied in service.
-  PreparedReload prepare_reload(const ClusterSettings& fresh) const;
+  [[nodiscard]] PreparedReload prepare_reload(const ClusterSettings& fresh) const;
   // Applies it as a whole, and can't fail. Keys are in force at once. Other zones make this dispatcher
   // propose a plan with them, until one was seen in force or a time limit is over. Only a reload does this: a
   // process that starts with other zones than the cluster's may be the one with an outdated file.
@@ -59,17 +59,17 @@
   void leave();
 
   // As METRICS shows them, with names that begin with 'fleet.'.
-  std::vector<MetricValue> metrics() const;
+  [[nodiscard]] std::vector<MetricValue> metrics() const;
 
  private:
   void on_message(const cluster::transport::Envelope& envelope);
   void on_timer();
-  void apply(cluster::Membership::Result result);
+  void apply(const cluster::Membership::Result& result);
   void send(const std::vector<cluster::OutgoingMessage>& messages);
   void schedule_timer();
 
   void propose_zones();
-  Duration zone_proposal_timeout() const { return 15 * settings_.lease_duration; }
+  [[nodiscard]] Duration zone_proposal_timeout() const { return 15 * settings_.lease_duration; }
 
   void log_state_changes();
   void log_quorum_state();
--- a/src/cluster/transport/codec.h
+++ b/src/cluster/transport/codec.h
@@ -39,16 +39,17 @@
 
   // At most kMaxDatagramBytes, or why the envelope can't be encoded. `to`: nothing for all members. The
   // receiver is authenticated, so that a datagram for one member can't be replayed to another.
-  std::variant<std::string, DropReason> encode(const Envelope& envelope, std::optional<MemberId> to) const;
+  [[nodiscard]] std::variant<std::string, DropReason> encode(const Envelope& envelope,
+                                                             std::optional<MemberId> to) const;
   // Where a key is set, interprets nothing that is not authenticated.
-  std::variant<Envelope, DropReason> decode(std::string_view datagram) const;
+  [[nodiscard]] std::variant<Envelope, DropReason> decode(std::string_view datagram) const;
   // How many updates of any content fit beside the envelope's body; those that it has are ignored.
-  std::size_t gossip_capacity(Envelope envelope) const;
+  [[nodiscard]] std::size_t gossip_capacity(Envelope envelope) const;
 
  private:
-  std::variant<std::string_view, DropReason> authenticate(std::string_view datagram) const;
-  std::variant<Envelope, DropReason> read(std::string_view payload) const;
-  std::optional<DropReason> find_fault(const Envelope& envelope) const;
+  [[nodiscard]] std::variant<std::string_view, DropReason> authenticate(std::string_view datagram) const;
+  [[nodiscard]] std::variant<Envelope, DropReason> read(std::string_view payload) const;
+  [[nodiscard]] std::optional<DropReason> find_fault(const Envelope& envelope) const;
 
   std::uint32_t cluster_fingerprint_;
   MemberId self_;
--- a/src/cluster/transport/message_authenticator.h
+++ b/src/cluster/transport/message_authenticator.h
@@ -36,19 +36,22 @@
   // Throws KeyError on a key under kMinKeyBytes, or if libcrypto lacks HMAC with SHA-256.
   explicit MessageAuthenticator(const std::vector<std::string>& keys);
 
-  bool is_enabled() const { return !contexts_.empty(); }
+  [[nodiscard]] bool is_enabled() const { return !contexts_.empty(); }
   // The authentication code of `prefix` and `text` together, kMacBytes long. Needs a key.
-  std::string sign(std::string_view prefix, std::string_view text) const { return digest(0, prefix, text); }
+  [[nodiscard]] std::string sign(std::string_view prefix, std::string_view text) const {
+    return digest(0, prefix, text);
+  }
   // Whether the code is that of any of the keys. Takes the same time whichever it is.
-  bool verify(std::string_view prefix, std::string_view text, std::string_view mac) const;
+  [[nodiscard]] bool verify(std::string_view prefix, std::string_view text, std::string_view mac) const;
 
  private:
+  // Frees what libcrypto has allocated.
   struct ContextDeleter {
     void operator()(evp_mac_ctx_st* context) const;
   };
   using Context = std::unique_ptr<evp_mac_ctx_st, ContextDeleter>;
 
-  std::string digest(std::size_t key, std::string_view prefix, std::string_view text) const;
+  [[nodiscard]] std::string digest(std::size_t key, std::string_view prefix, std::string_view text) const;
 
   std::vector<Context> contexts_;  // one per key, restarted for each text
 };
--- a/src/cluster/transport/message_fields.h
+++ b/src/cluster/transport/message_fields.h
@@ -19,7 +19,7 @@
 // Keeps the first of several failures.
 class FirstFailure {
  public:
-  const std::optional<DropReason>& failure() const { return failure_; }
+  [[nodiscard]] const std::optional<DropReason>& failure() const { return failure_; }
   void fail(DropReason reason) {
     if (!failure_) failure_ = reason;
   }
@@ -39,7 +39,7 @@
   }
   void list(const std::vector<std::uint64_t>& values) { fields_.push_back(values); }
   // Whether the optional fields follow.
-  bool has_more(bool is_present) const { return is_present; }
+  [[nodiscard]] static bool has_more(bool is_present) { return is_present; }
   nlohmann::json take() { return std::move(fields_); }
 
  private:
@@ -76,7 +76,7 @@
     return kNull;
   }
   // Whether there are more fields; the parameter is FieldWriter's.
-  bool has_more(bool) const { return position_ < fields_.size(); }
+  [[nodiscard]] bool has_more(bool) const { return position_ < fields_.size(); }
   // Fails if there are more fields.
   void expect_end() {
     if (has_more(false)) fail(DropReason::kMalformed);
@@ -103,7 +103,7 @@
 
 // Passes the fields of a message through a FieldWriter or a FieldReader. The messages are taken apart by
 // structured bindings: one that gets another field does not compile until the field is listed here.
-template <class Io>
+template <class Io>  // FieldWriter or FieldReader
 class FieldTransfer {
  public:
   explicit FieldTransfer(Io& io) : io_(io) {}
--- a/src/cluster/transport/peer_socket.h
+++ b/src/cluster/transport/peer_socket.h
@@ -40,7 +40,9 @@
   std::uint64_t delivered = 0;
   std::array<std::uint64_t, kDropReasonCount> dropped_by_reason{};  // received or to be sent
 
-  std::uint64_t count(DropReason reason) const { return dropped_by_reason[static_cast<std::size_t>(reason)]; }
+  [[nodiscard]] std::uint64_t count(DropReason reason) const {
+    return dropped_by_reason[static_cast<std::size_t>(reason)];
+  }
 };
 
 // Of the list of members in its order. Dispatchers with another list number the members otherwise, and are
@@ -68,11 +70,11 @@
   // until it closes its socket or ends.
   void open();
   void close();
-  bool is_open() const { return static_cast<bool>(socket_); }
+  [[nodiscard]] bool is_open() const { return static_cast<bool>(socket_); }
   // The errno of the last attempt to open; 0: it succeeded.
-  int open_errno() const { return open_errno_; }
+  [[nodiscard]] int open_errno() const { return open_errno_; }
   // The address that is bound; its port is meaningless while the socket is closed.
-  SocketAddress local() const { return {settings_.listen_address.ip, local_port(socket_)}; }
+  [[nodiscard]] SocketAddress local() const { return {settings_.listen_address.ip, local_port(socket_)}; }
 
   // Sends one datagram, once. Returns why it was not sent, which is counted.
   std::optional<DropReason> send(MemberId to, const MessageBody& body);
@@ -86,7 +88,7 @@
   void set_codec(Codec codec) { codec_ = std::move(codec); }
   void set_keys(const std::vector<std::string>& keys) { set_codec(make_codec(keys)); }
   void set_incarnation(Incarnation incarnation) { incarnation_ = incarnation; }
-  const TransportMetrics& metrics() const { return metrics_; }
+  [[nodiscard]] const TransportMetrics& metrics() const { return metrics_; }
 
  private:
   void on_ready(std::uint32_t events) override;
@@ -94,7 +96,8 @@
   std::optional<DropReason> send_to(const SocketAddress& address, std::optional<MemberId> to,
                                     const MessageBody& body);
   std::optional<DropReason> write(const SocketAddress& address, const std::string& datagram);
-  std::vector<GossipUpdate> gossip_for(std::optional<MemberId> to, const Envelope& envelope) const;
+  [[nodiscard]] std::vector<GossipUpdate> gossip_for(std::optional<MemberId> to,
+                                                     const Envelope& envelope) const;
   DropReason count_drop(DropReason reason);
 
   EventLoop& loop_;
--- a/src/cluster/transport/plan_packing.cpp
+++ b/src/cluster/transport/plan_packing.cpp
@@ -60,10 +60,10 @@
 }
 
 bool are_offsets_representable(const ClusterConfig& plan, std::uint64_t base_time) {
-  for (const Time time : times_of(plan)) {
-    if (time != Time{} && *to_milliseconds(time) - base_time + 1 > kMaxTimeOffset) return false;
-  }
-  return true;
+  const std::vector<Time> times = times_of(plan);
+  return std::all_of(times.begin(), times.end(), [base_time](Time time) {
+    return time == Time{} || *to_milliseconds(time) - base_time + 1 <= kMaxTimeOffset;
+  });
 }
 
 std::uint64_t to_offset(Time time, std::uint64_t base_time) {
--- a/src/cluster/vote_recovery.h
+++ b/src/cluster/vote_recovery.h
@@ -18,11 +18,13 @@
   explicit VoteRecovery(Elapsed first_query_at) : next_query_at_(first_query_at) {}
 
   // When the next query is due.
-  Elapsed next_query_due() const { return next_query_at_; }
+  [[nodiscard]] Elapsed next_query_due() const { return next_query_at_; }
   // When the member votes again because the quorum is lost; kNever if it is not.
-  Elapsed bootstrap_due(const ConsensusSettings& settings) const;
+  [[nodiscard]] Elapsed bootstrap_due(const ConsensusSettings& settings) const;
   // Whether a query with this number is pending.
-  bool is_pending(std::uint32_t query_number) const { return query_ && query_->number == query_number; }
+  [[nodiscard]] bool is_pending(std::uint32_t query_number) const {
+    return query_ && query_->number == query_number;
+  }
 
   void start_query(std::uint32_t query_number, const ConsensusContext& context);
   // A reply to the pending query.
@@ -44,6 +46,7 @@
  private:
   friend class ConsensusStateEncoder;
 
+  // The query that is pending.
   struct Query {
     std::uint32_t number = 0;
     Elapsed sent_at{};
--- a/tests/integration/cluster_processes_test.cpp
+++ b/tests/integration/cluster_processes_test.cpp
@@ -1,4 +1,4 @@
-// Dispatchers of one fleet as real processes, with a bad network between them.
+// Dispatchers of one cluster as real processes, with a fault-injecting network between them.
 #include <sys/stat.h>
 
 #include <catch2/catch.hpp>
@@ -170,7 +170,9 @@
 
 }  // namespace
 
-TEST_CASE("fleet processes: all see all and act as one, whatever becomes of their datagrams") {
+TEST_CASE(
+    "cluster processes: all members see all and share one plan, with datagrams lost, duplicated and "
+    "reordered") {
   struct Row {
     const char* name;
     std::size_t members;
@@ -195,7 +197,7 @@
   }
 }
 
-TEST_CASE("fleet processes: one cut off keeps the careful part, and the majority goes on") {
+TEST_CASE("cluster processes: a partitioned member loses the lease, and the majority goes on") {
   struct Row {
     const char* name;
     bool out, in;  // cut
@@ -227,7 +229,7 @@
   }
 }
 
-TEST_CASE("fleet processes: who was stopped acts on nothing before it has heard the others again") {
+TEST_CASE("cluster processes: a stalled member acts on nothing until it has heard the others again") {
   Fleet fleet(3);
   fleet.start();
   fleet.wait_whole();
@@ -244,7 +246,7 @@
   fleet.wait_whole();
 }
 
-TEST_CASE("fleet processes: killed and started anew, a member votes only after it has learned") {
+TEST_CASE("cluster processes: a killed and restarted member votes only after recovery") {
   Fleet fleet(3);
   fleet.start();
   fleet.wait_whole();
@@ -268,7 +270,8 @@
   }
 }
 
-TEST_CASE("fleet processes: other zones at SIGHUP are one epoch for all, read by those that have them") {
+TEST_CASE(
+    "cluster processes: other zones at SIGHUP are one epoch for all, readable to those that have them") {
   Fleet fleet(3);
   fleet.start();
   fleet.wait_whole();
@@ -303,7 +306,7 @@
   }
 }
 
-TEST_CASE("fleet processes: who has another key is heard by nobody, until it has the right one") {
+TEST_CASE("cluster processes: a member with another key is heard by nobody until it has the right one") {
   Fleet fleet(3);
   write_key(fleet.folder(2) + "/key", kKeyText + "!");
   fleet.start();
@@ -317,7 +320,7 @@
   fleet.wait_whole();
 }
 
-TEST_CASE("fleet processes: keys are changed in three rounds, and no datagram is lost to it") {
+TEST_CASE("cluster processes: keys are changed in three rounds without the loss of a datagram") {
   Fleet fleet(3);
   fleet.start();
   fleet.wait_whole();
@@ -341,7 +344,7 @@
   CHECK(fleet.everywhere("dropped.forged") == Values(3, 0));
 }
 
-TEST_CASE("fleet processes: a reload that is turned down changes nothing of the fleet") {
+TEST_CASE("cluster processes: a rejected reload changes nothing of the cluster") {
   Fleet fleet(3);
   fleet.start();
   fleet.wait_whole();
@@ -356,7 +359,7 @@
   fleet.wait_whole();
 }
 
-TEST_CASE("fleet processes: started with other zones, a dispatcher makes no plan of them by itself") {
+TEST_CASE("cluster processes: a dispatcher that starts with other zones proposes no plan of them by itself") {
   Fleet fleet(3);
   fleet.start();
   for (std::size_t i = 0; i < 3; ++i) fleet.zones(i, {"z", "y"}), fleet.process(i).send_signal(SIGHUP);
@@ -373,7 +376,7 @@
   for (std::size_t i : {0u, 1u}) CHECK(fleet.figure(i, "reads_plan") == 1);
 }
 
-TEST_CASE("fleet processes: a successor takes the address over, and nobody misses the member for long") {
+TEST_CASE("cluster processes: a successor takes the address over, and the member is missed only briefly") {
   Fleet fleet(3);
   fleet.start();
   fleet.wait_whole();
@@ -392,7 +395,7 @@
   fleet.wait_whole();
 }
 
-TEST_CASE("fleet processes: --check names the key that is at fault") {
+TEST_CASE("cluster processes: --check names the invalid key") {
   const std::string folder = make_temporary_directory();
   write_key(folder + "/good", kKeyText);
   write_key(folder + "/short", "short");
