--- a/tests/integration/slow_start_processes_test.cpp
+++ b/tests/integration/slow_start_processes_test.cpp
@@ -1,4 +1,4 @@
-// Cold engines under the sum of what a fleet of real processes sends.
+// An engine in slow start under the sum of what a cluster of real processes sends.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <cmath>
@@ -17,11 +17,19 @@
 using nlohmann::json;
 
 constexpr std::size_t kProcesses = 20;
-constexpr double kFrom = 0.3, kMultiple = 3, kSpan = 1, kCores = 8, kBusy = 0.85;
+// The engine starts with this share of its capacity ...
+constexpr double kInitialShare = 0.3;
+// ... and fails when it gets more than this times its present capacity for this long (in seconds).
+constexpr double kOverloadFactor = 3;
+constexpr double kOverloadWindow = 1;
+constexpr double kCores = 8;
+// The share of an engine's capacity that dispatchers use.
+constexpr double kTargetUtilization = 0.85;
+constexpr std::uint32_t kTableGroups = 40;
 
-json engine(const std::string& id, const AutoReplyLineEngine& at, std::int64_t started_ms) {
+json engine_entry(const std::string& id, const AutoReplyLineEngine& engine, std::int64_t started_ms) {
   return {{"id", id},
-          {"host_port", "127.0.0.1:" + std::to_string(at.port())},
+          {"host_port", "127.0.0.1:" + std::to_string(engine.port())},
           {"locality", "z"},
           {"flavor", "m"},
           {"phase", "up"},
@@ -29,7 +37,7 @@
           {"up_since_ms", started_ms}};
 }
 
-std::string request(std::uint32_t stream, std::uint64_t call, const std::string& work_ms) {
+std::string encode_request(std::uint32_t stream, std::uint64_t call, const std::string& work_ms) {
   char id[17];
   std::snprintf(id, sizeof id, "%016llx", static_cast<unsigned long long>(call));
   const frames::Fields fields{{"op", "lookup"}, {"ttl", "3000"}, {"call", id}, {"work", work_ms}};
@@ -39,34 +47,36 @@
     payload += static_cast<char>(value.size() >> 8);
     payload += static_cast<char>(value.size()) + value;
   }
-  // Groups of tables have their homes all over the engines.
-  return frames::encode_frame(frames::kRequest, stream,
-                              payload + "SELECT x FROM sales_" + std::to_string(stream % 40) + ".orders");
+  // Table groups are spread over all engines.
+  const std::string group = std::to_string(stream % kTableGroups);
+  return frames::encode_frame(frames::kRequest, stream, payload + "SELECT x FROM sales_" + group + ".orders");
 }
 
-class Fleet {
+// Dispatcher processes before two engines and a third that has just started.
+class DispatcherCluster {
  public:
-  Fleet() : config_(default_dispatcher_config()) {
-    json members = json::array({engine("warm-1", warm_[0], 0), engine("warm-2", warm_[1], 0)});
+  DispatcherCluster() : config_(default_dispatcher_config()) {
+    json members = json::array({engine_entry("warm-1", warm_[0], 0), engine_entry("warm-2", warm_[1], 0)});
     const auto now = std::chrono::system_clock::now().time_since_epoch();
-    members.push_back(
-        engine("cold", cold_, std::chrono::duration_cast<std::chrono::milliseconds>(now).count()));
+    members.push_back(engine_entry("cold", new_engine_,
+                                   std::chrono::duration_cast<std::chrono::milliseconds>(now).count()));
     config_["known"]["batch"] =
         json::array({{{"offset", 1},
                       {"topology", {{"revision", 1}, {"complete", true}, {"members", std::move(members)}}}}});
     config_["settings"]["fleet_size"] = kProcesses;
-    config_["settings"]["safety"].update({{"cold_from", kFrom},
-                                          {"cold", 15'000'000},
-                                          {"fall_multiple", kMultiple},
-                                          {"overload_for", static_cast<std::int64_t>(kSpan * 1e6)}});
-    cold_.record_statements();
+    config_["settings"]["safety"].update(
+        {{"cold_from", kInitialShare},
+         {"cold", 15'000'000},
+         {"fall_multiple", kOverloadFactor},
+         {"overload_for", static_cast<std::int64_t>(kOverloadWindow * 1e6)}});
+    new_engine_.record_statements();
   }
-  ~Fleet() {
+  ~DispatcherCluster() {
     processes_.clear();
     std::filesystem::remove_all(root_);
   }
-  // All at once; those that were there are killed.
-  void start() {
+  // Starts all at once; those that ran before are killed.
+  void restart() {
     processes_.clear();
     clients_.clear();
     ++starts_;
@@ -78,72 +88,77 @@
       processes_.emplace_back();
       processes_.back().start(folder, folder + "/log" + std::to_string(starts_));
     }
-    for (const DispatcherProcess& one : processes_) {
-      one.wait_for_log("ready to serve");
+    for (const DispatcherProcess& process : processes_) {
+      process.wait_for_log("ready to serve");
       clients_.push_back(TestConnection::connect(
-          static_cast<std::uint16_t>(std::stoi(one.wait_for_log("start [rookproxy@32473 port=\"")))));
+          static_cast<std::uint16_t>(std::stoi(process.wait_for_log("start [rookproxy@32473 port=\"")))));
     }
   }
-  // Each client asks for so much at a time and waits for all of it, until the span is over.
-  void ask_for(std::chrono::milliseconds time, std::uint32_t at_a_time, const std::string& work_ms) {
-    const auto until = std::chrono::steady_clock::now() + time;
-    while (std::chrono::steady_clock::now() < until) {
+  // Each client sends so many requests at a time and waits for all responses, until the duration is over.
+  void send_for(std::chrono::milliseconds duration, std::uint32_t at_a_time, const std::string& work_ms) {
+    const auto end = std::chrono::steady_clock::now() + duration;
+    while (std::chrono::steady_clock::now() < end) {
       for (std::size_t i = 0; i < clients_.size(); ++i) {
-        for (std::uint32_t n = 0; n < at_a_time; ++n) clients_[i].send(request(n + 1, ++calls_, work_ms));
+        for (std::uint32_t n = 0; n < at_a_time; ++n)
+          clients_[i].send(encode_request(n + 1, ++calls_, work_ms));
       }
       for (TestConnection& client : clients_) {
-        for (std::uint32_t n = 0; n < at_a_time; ++n) answer(client);
+        for (std::uint32_t n = 0; n < at_a_time; ++n) receive_response(client);
       }
     }
   }
-  // The most that reached the cold engine within a span.
-  std::size_t most_in_a_span() {
-    const auto times = cold_.arrival_times();
+  // The most requests that reached the new engine within an overload window.
+  std::size_t max_in_window() {
+    const auto times = new_engine_.arrival_times();
     std::size_t most = 0;
     for (std::size_t first = 0, last = 0; last < times.size(); ++last) {
-      while (times[last] - times[first] >= std::chrono::duration<double>(kSpan)) ++first;
+      while (times[last] - times[first] >= std::chrono::duration<double>(kOverloadWindow)) ++first;
       most = std::max(most, last - first + 1);
     }
     return most;
   }
   int served() const { return served_; }
-  int refused() const { return refused_; }
+  int rejected() const { return rejected_; }
 
  private:
-  void answer(TestConnection& client) {
+  void receive_response(TestConnection& client) {
     frames::Frame frame;
     std::size_t used = 0;
     while (frames::parse_frame(client.buffer(), frame, used) != frames::ParseStatus::kComplete) {
-      require(client.read_more(), "no answer");
+      require(client.read_more(), "no response");
     }
-    ++(frame.payload[0] == frames::kServed ? served_ : refused_);
+    ++(frame.payload[0] == frames::kServed ? served_ : rejected_);
     client.take(used);
   }
   std::string root_ = make_temporary_directory();
   json config_;
-  AutoReplyLineEngine warm_[2], cold_;
+  AutoReplyLineEngine warm_[2];
+  AutoReplyLineEngine new_engine_;
   std::vector<DispatcherProcess> processes_;
   std::vector<TestConnection> clients_;
   std::uint64_t calls_ = 0;
-  int starts_ = 0, served_ = 0, refused_ = 0;
+  int starts_ = 0;
+  int served_ = 0;
+  int rejected_ = 0;
 };
 
 }  // namespace
 
-TEST_CASE("cold fleet: twenty processes before an engine that has just started") {
-  // Guards against what nobody sees alone: each process's share is fine, their sum pushes the engine over;
-  // also when all are killed and begin anew within its ramp.
+TEST_CASE("slow start: twenty processes before an engine that has just started") {
+  // Guards against what no process sees alone: each one's part is small enough, their sum overloads the
+  // engine; also when all are killed and start anew within its slow start.
   const auto [work_ms, at_a_time] = GENERATE(std::pair(20.0, 24u), std::pair(100.0, 12u));
-  const double n = kMultiple * kFrom * kBusy * kCores * kSpan * 1000 / work_ms;
-  Fleet fleet;
-  fleet.start();
-  fleet.ask_for(1500ms, at_a_time, std::to_string(work_ms));
-  fleet.start();
-  fleet.ask_for(1500ms, at_a_time, std::to_string(work_ms));
-  const auto most = static_cast<double>(fleet.most_in_a_span());
-  std::printf("work of %.0f ms: %.0f in a span of %.0f allowed; %d served, %d refused\n", work_ms, most, n,
-              fleet.served(), fleet.refused());
-  CHECK(most <= n + 2 * std::sqrt(n) + 2);
-  CHECK(most >= n / 8);  // it is not just left alone
-  CHECK(fleet.refused() == 0);
+  const double allowed =
+      kOverloadFactor * kInitialShare * kTargetUtilization * kCores * kOverloadWindow * 1000 / work_ms;
+  DispatcherCluster cluster;
+  cluster.restart();
+  cluster.send_for(1500ms, at_a_time, std::to_string(work_ms));
+  cluster.restart();
+  cluster.send_for(1500ms, at_a_time, std::to_string(work_ms));
+  const auto most = static_cast<double>(cluster.max_in_window());
+  std::printf("work of %.0f ms: %.0f in a window of %.0f allowed; %d served, %d rejected\n", work_ms, most,
+              allowed, cluster.served(), cluster.rejected());
+  CHECK(most <= allowed + 2 * std::sqrt(allowed) + 2);
+  CHECK(most >= allowed / 8);  // it is not just left idle
+  CHECK(cluster.rejected() == 0);
 }
--- a/tests/log/log_test.cpp
+++ b/tests/log/log_test.cpp
@@ -9,6 +9,7 @@
 #include <string>
 
 #include "fakes/standins.h"
+#include "net/sockets.h"
 
 using namespace rookproxy;
 using namespace std::chrono_literals;
