--- a/src/admin/admin_response.cpp
+++ b/src/admin/admin_response.cpp
@@ -2,6 +2,7 @@
 
 #include <algorithm>
 #include <cstdint>
+#include <initializer_list>
 
 namespace rookproxy {
 namespace {
@@ -9,17 +10,20 @@
 // Lines of a name and a value each.
 class MetricsText {
  public:
-  void add(std::string_view name, std::uint64_t value) {
+  void add(std::string_view name, std::uint64_t value) { add_joined({name}, value); }
+
+  // Adds a value whose name is joined from parts.
+  void add_joined(std::initializer_list<std::string_view> name_parts, std::uint64_t value) {
     text_ += "svc.";
-    text_ += name;
+    for (const auto part : name_parts) text_ += part;
     text_ += '=' + std::to_string(value) + '\n';
   }
 
-  void add_classes(const std::string& prefix, const MetricsByClass& classes) {
+  void add_classes(std::string_view prefix, const MetricsByClass& classes) {
     for (const auto& [name, metrics] : classes) {
-      add(prefix + "passed." + name, metrics.served);
-      add(prefix + "dropped." + name, metrics.rejected);
-      add(prefix + "bad_gateway." + name, metrics.failed);
+      add_joined({prefix, "passed.", name}, metrics.served);
+      add_joined({prefix, "dropped.", name}, metrics.rejected);
+      add_joined({prefix, "bad_gateway.", name}, metrics.failed);
     }
   }
 
@@ -29,7 +33,7 @@
     add("token_checks.run", auth.signature_checks_run);
     add("token_checks.bad", auth.signature_checks_failed);
     add("token_checks.us", static_cast<std::uint64_t>(auth.signature_check_time.count()));
-    for (const auto& [code, count] : auth.denied_by_code) add("denied." + code, count);
+    for (const auto& [code, count] : auth.denied_by_code) add_joined({"denied.", code}, count);
   }
 
   [[nodiscard]] std::string take() { return std::move(text_); }
--- a/src/dispatcher/dispatcher.cpp
+++ b/src/dispatcher/dispatcher.cpp
@@ -123,7 +123,7 @@
   event.memory_mb = incoming.estimated_memory_mb;
   event.is_client_retry = incoming.is_client_retry;
   event.tenant = find_tenant(incoming.tenant);
-  queue_event(std::move(event));
+  queue_event(event);
 }
 
 void Dispatcher::cancel_request(RequestKey key) {
@@ -355,8 +355,8 @@
   }
   // The handler may have submitted further requests, which moves the table's content.
   const Request* current = requests_.find(key.request);
-  event.completed = !current || current->is_completed;
-  queue_event(std::move(event));
+  event.completed = current == nullptr || current->is_completed;
+  queue_event(event);
 }
 
 // ---- responses
