--- a/src/frontend/mysql_connection_login.cpp
+++ b/src/frontend/mysql_connection_login.cpp
@@ -1,5 +1,6 @@
 // The log-in of a MySQL connection: TLS, certificate, token or password, and a change of user in a session.
 #include <utility>
+#include <variant>
 
 #include "frontend/mysql_connection.h"
 
@@ -122,8 +123,11 @@
     if (state_ == State::kReady && frontend_.shutting_down_) close_gracefully();
   };
   const Time deadline = frontend_.loop_.now() + kTokenCheckTimeout;
-  auto result = frontend_.authenticator_->check_token(token, source(), deadline, on_checked, token_check_);
-  if (result) return finish_token_check(std::move(*result));
+  auto check = frontend_.authenticator_->check_token(token, source(), deadline, on_checked);
+  if (auto* result = std::get_if<auth::AuthenticationResult>(&check)) {
+    return finish_token_check(std::move(*result));
+  }
+  token_check_ = std::get<auth::Authenticator::CheckId>(check);
   stream_.set_read_paused(true);
 }
 
--- a/tests/integration/dispatcher_fixture.h
+++ b/tests/integration/dispatcher_fixture.h
@@ -15,6 +15,7 @@
 #include "dispatcher/dispatcher.h"
 #include "dispatcher/routing_time.h"
 #include "fakes/standins.h"
+#include "net/sockets.h"
 #include "support/run_until.h"
 #include "upstream/lines.h"
 
