--- a/bench/access_load.cpp
+++ b/bench/access_load.cpp
@@ -85,7 +85,7 @@
     payload += static_cast<char>(value.size() >> 8);
     payload += static_cast<char>(value.size()) + value;
   }
-  return frames::make_frame(frames::kRequest, stream, payload + kStatement);
+  return frames::encode_frame(frames::kRequest, stream, payload + kStatement);
 }
 
 struct Timings {
@@ -103,7 +103,7 @@
 // thread spins, so that its own waking is not measured.
 Timings ask(std::uint16_t port, double rate, Clock::duration length, const std::vector<std::string>& tokens) {
   struct Line {
-    Fd fd;
+    FileDescriptor fd;
     std::string in;
     std::vector<Clock::time_point> due{Clock::time_point()};  // by stream
   };
@@ -136,11 +136,11 @@
       line.in.append(bytes, static_cast<std::size_t>(got));
       frames::Frame frame;
       std::size_t used = 0;
-      while (frames::parse_frame(line.in, frame, used) == frames::Parse::kOne) {
-        if (frame.type == frames::kAnswer && frame.stream < line.due.size() && frame.stream > 0) {
+      while (frames::parse_frame(line.in, frame, used) == frames::ParseStatus::kComplete) {
+        if (frame.type == frames::kResponse && frame.stream_id < line.due.size() && frame.stream_id > 0) {
           ++answered;
           outcome.us.push_back(
-              std::chrono::duration<double, std::micro>(Clock::now() - line.due[frame.stream]).count());
+              std::chrono::duration<double, std::micro>(Clock::now() - line.due[frame.stream_id]).count());
           ++(frame.payload[0] == 0 ? outcome.served : outcome.other);
         }
         line.in.erase(0, used);
@@ -153,7 +153,7 @@
 // Bad tokens at that rate, each another one, over connections that are opened anew as they are closed.
 void flood(std::uint16_t port, double rate, const std::string& token, std::atomic<bool>& stop,
            std::atomic<std::uint64_t>& sent) {
-  std::vector<Fd> lines(20);
+  std::vector<FileDescriptor> lines(20);
   std::vector<std::uint32_t> streams(20, 0);
   const auto begin = Clock::now();
   std::uint64_t number = 0, call = std::uint64_t{1} << 62;
@@ -216,23 +216,23 @@
   app.add_option("--rounds", rounds, "of each kind, in turns");
   app.add_option("--bad-rate", bad_rate, "bad tokens a second");
   CLI11_PARSE(app, argc, argv);
-  const std::string folder = test::new_folder();
+  const std::string folder = test::make_temporary_directory();
   {
-    test::LinesEngine one, two;
-    test::Callers callers(folder);
+    test::AutoReplyLineEngine one, two;
+    test::CredentialFixture callers(folder);
     callers.make_key("k", "ES256");
-    callers.publish({"k"});
-    const auto free_port = [] { return local_port(test::listen_anywhere()); };
+    callers.publish_keys({"k"});
+    const auto free_port = [] { return local_port(test::listen_on_free_port()); };
     const std::uint16_t off_port = free_port(), on_port = free_port();
     const std::vector<std::uint16_t> engines{one.port(), two.port()};
     json on = base(engines, on_port);
-    on["access"] = callers.section();
+    on["access"] = callers.access_section();
     on["access"]["users"] = json::array();
     Server off_server(program, folder, "off", base(engines, off_port)), on_server(program, folder, "on", on);
     std::this_thread::sleep_for(1s);
     std::vector<std::string> tokens;
     for (int i = 0; i < 200; ++i)
-      tokens.push_back(callers.token("k", "student", {{"sub", "s-" + std::to_string(i)}}));
+      tokens.push_back(callers.mint_token("k", "student", {{"sub", "s-" + std::to_string(i)}}));
     const auto length = std::chrono::duration_cast<Clock::duration>(std::chrono::duration<double>(seconds));
     ask(off_port, rate, 500ms, {});
     ask(on_port, rate, 500ms, tokens);
--- a/src/agent/main.cpp
+++ b/src/agent/main.cpp
@@ -1,36 +1,42 @@
-// rookproxy-agent: keeps the dispatchers of one machine. See README.md.
+// rookproxy-agent: runs the dispatchers of one machine. See README.md.
 #include <csignal>
 
-#include "agent/server.h"
+#include "agent/agent_server.h"
 #include "net/signals.h"
 #include "options/options.h"
 
 namespace {
 
+using namespace rookproxy;
+
 constexpr const char* kAbout =
     "Starts the instances that the file names, keeps them running and takes orders from rookproxyctl\n"
     "on a Unix socket. SIGTERM drains all of them, then ends.";
 constexpr const char* kFooter =
     "Exit codes: 0 all drained, 1 failed while running, 2 bad usage or configuration.";
 
+int run_agent(const ProgramOptions& options, Logger& logger) {
+  const AgentConfig config = load_agent_config(options.config_file);
+  if (options.check_only) return report_valid_configuration();
+  configure_log(logger, config.log);
+  EventLoop loop;
+  Supervisor supervisor(loop, logger, config);
+  const auto begin_shutdown = [&] { supervisor.begin_shutdown([&loop] { loop.stop(); }); };
+  SignalWatcher signals(loop, {SIGCHLD, SIGTERM, SIGINT}, [&](int signal) {
+    if (signal == SIGCHLD) {
+      supervisor.reap_children();
+    } else {
+      begin_shutdown();
+    }
+  });
+  AgentServer server(loop, logger, config.socket, supervisor, begin_shutdown);
+  supervisor.start_all();
+  loop.run();
+  return kExitSuccess;
+}
+
 }  // namespace
 
 int main(int argc, char** argv) {
-  using namespace rookproxy;
-  return run_program(argc, argv, "rookproxy-agent", kAbout, kFooter, true,
-                     [](const ProgramOptions& options, Logger& log) {
-                       const AgentConfig config = load_agent_config(options.config_file);
-                       if (options.check_only) return report_valid_configuration();
-                       configure_log(log, config.log);
-                       EventLoop loop;
-                       Supervisor supervisor(loop, log, config);
-                       const auto shut_down = [&] { supervisor.begin_shutdown([&loop] { loop.stop(); }); };
-                       SignalWatcher signals(loop, {SIGCHLD, SIGTERM, SIGINT}, [&](int signal) {
-                         signal == SIGCHLD ? supervisor.reap_children() : shut_down();
-                       });
-                       AgentServer server(loop, log, config.socket, supervisor, shut_down);
-                       supervisor.start_all();
-                       loop.run();
-                       return int(kExitSuccess);
-                     });
+  return run_program(argc, argv, "rookproxy-agent", kAbout, kFooter, true, run_agent);
 }
--- /dev/null
+++ b/src/agent/process.cpp
@@ -0,0 +1,62 @@
+#include "agent/process.h"
+
+#include <fcntl.h>
+#include <sys/prctl.h>
+#include <unistd.h>
+
+#include <csignal>
+#include <cstddef>
+#include <cstdlib>
+
+namespace rookproxy {
+namespace {
+
+constexpr int kOrphanedExitCode = 125;
+constexpr int kCannotRunExitCode = 127;
+// Copies of passed descriptors are made above this number, out of the way of their final numbers.
+constexpr int kFirstCopiedDescriptor = 64;
+
+// A child must not inherit how the agent handles signals.
+void reset_signals() {
+  sigset_t none;
+  sigemptyset(&none);
+  ::sigprocmask(SIG_SETMASK, &none, nullptr);
+  std::signal(SIGPIPE, SIG_DFL);
+}
+
+void pass_descriptors(const std::vector<int>& descriptors) {
+  std::vector<int> copies;
+  copies.reserve(descriptors.size());
+  for (const int descriptor : descriptors) {
+    copies.push_back(::fcntl(descriptor, F_DUPFD_CLOEXEC, kFirstCopiedDescriptor));
+  }
+  for (std::size_t index = 0; index < copies.size(); ++index) {
+    ::dup2(copies[index], kFirstPassedDescriptor + static_cast<int>(index));
+  }
+}
+
+// The child's part, up to its program. The agent has a single thread, so that allocating is safe here.
+[[noreturn]] void run_child(const ProcessSpec& spec, pid_t agent) {
+  reset_signals();
+  // An instance whose agent has died drains: nobody would be left to stop it.
+  ::prctl(PR_SET_PDEATHSIG, SIGTERM);
+  if (::getppid() != agent) ::_exit(kOrphanedExitCode);
+  for (const auto& [name, value] : spec.environment) ::setenv(name.c_str(), value.c_str(), 1);
+  pass_descriptors(spec.passed_descriptors);
+  std::vector<char*> arguments;
+  for (const auto& argument : spec.command) arguments.push_back(const_cast<char*>(argument.c_str()));
+  arguments.push_back(nullptr);
+  ::execvp(arguments[0], arguments.data());
+  ::_exit(kCannotRunExitCode);
+}
+
+}  // namespace
+
+pid_t start_process(const ProcessSpec& spec) {
+  const pid_t agent = ::getpid();
+  const pid_t process = ::fork();
+  if (process == 0) run_child(spec, agent);
+  return process;
+}
+
+}  // namespace rookproxy
