--- a/src/admin/admin_client.cpp
+++ b/src/admin/admin_client.cpp
@@ -1,4 +1,8 @@
 #include "admin/admin_client.h"
+#include "net/event_loop.h"
+#include "net/file_descriptor.h"
+#include "net/socket_address.h"
+#include "net/sockets.h"
 
 #include <utility>
 
--- a/src/admin/admin_client.h
+++ b/src/admin/admin_client.h
@@ -6,6 +6,8 @@
 #include <string>
 #include <string_view>
 
+#include "net/event_loop.h"
+#include "net/socket_address.h"
 #include "net/sockets.h"
 #include "net/stream.h"
 
--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -6,6 +6,9 @@
 #include <utility>
 
 #include "admin/admin_response.h"
+#include "net/event_loop.h"
+#include "net/file_descriptor.h"
+#include "net/slot_map.h"
 
 namespace rookproxy {
 namespace {
--- a/src/admin/admin_server.h
+++ b/src/admin/admin_server.h
@@ -8,6 +8,8 @@
 
 #include "admin/admin_source.h"
 #include "net/acceptor.h"
+#include "net/event_loop.h"
+#include "net/file_descriptor.h"
 #include "net/slot_map.h"
 #include "net/stream.h"
 
--- a/src/agent/agent_server.cpp
+++ b/src/agent/agent_server.cpp
@@ -1,4 +1,9 @@
 #include "agent/agent_server.h"
+#include "net/acceptor.h"
+#include "net/event_loop.h"
+#include "net/file_descriptor.h"
+#include "net/slot_map.h"
+#include "net/sockets.h"
 
 #include <sys/stat.h>
 #include <unistd.h>
--- a/src/agent/agent_server.h
+++ b/src/agent/agent_server.h
@@ -13,6 +13,9 @@
 #include <vector>
 
 #include "agent/supervisor.h"
+#include "net/acceptor.h"
+#include "net/event_loop.h"
+#include "net/slot_map.h"
 #include "net/stream.h"
 
 namespace rookproxy {
--- a/src/agent/main.cpp
+++ b/src/agent/main.cpp
@@ -2,7 +2,8 @@
 #include <csignal>
 
 #include "agent/agent_server.h"
-#include "net/signals.h"
+#include "net/event_loop.h"
+#include "net/signal_watcher.h"
 #include "options/options.h"
 
 namespace {
--- a/src/agent/supervisor.cpp
+++ b/src/agent/supervisor.cpp
@@ -9,6 +9,10 @@
 #include <utility>
 
 #include "agent/process.h"
+#include "net/event_loop.h"
+#include "net/file_descriptor.h"
+#include "net/socket_address.h"
+#include "net/sockets.h"
 
 namespace rookproxy {
 namespace {
--- a/src/agent/supervisor.h
+++ b/src/agent/supervisor.h
@@ -15,6 +15,7 @@
 #include "admin/admin_client.h"
 #include "config/agent_config.h"
 #include "net/event_loop.h"
+#include "net/file_descriptor.h"
 
 namespace rookproxy {
 
--- a/src/app/app.cpp
+++ b/src/app/app.cpp
@@ -10,8 +10,9 @@
 #include "app/limits.h"
 #include "app/listeners.h"
 #include "app/reload.h"
-#include "upstream/lines.h"
-#include "upstream/mysql.h"
+#include "net/event_loop.h"
+#include "upstream/line_protocol_connection.h"
+#include "upstream/mysql_pool.h"
 
 namespace rookproxy {
 namespace {
@@ -128,8 +129,11 @@
   });
 }
 
-std::vector<Cluster::MetricValue> App::optional_metrics() const {
-  return cluster_ ? cluster_->metrics() : std::vector<Cluster::MetricValue>();
+std::vector<NamedMetric> App::optional_metrics() const {
+  std::vector<NamedMetric> named;
+  if (!cluster_) return named;
+  for (const auto& [name, value] : cluster_->metrics()) named.push_back({name, value});
+  return named;
 }
 
 void App::serve_clients() {
--- a/src/app/app.h
+++ b/src/app/app.h
@@ -7,18 +7,19 @@
 #include <string>
 #include <vector>
 
-#include "admin/ops.h"
+#include "admin/admin_server.h"
 #include "app/frontends.h"
 #include "app/graceful_shutdown.h"
 #include "app/process_lease.h"
 #include "app/readiness.h"
-#include "auth/gatekeeper.h"
-#include "cluster/runtime/fleet.h"
+#include "auth/authenticator.h"
+#include "cluster/runtime/cluster.h"
 #include "config/config.h"
-#include "discovery/directory.h"
+#include "discovery/dns_discovery_client.h"
 #include "dispatcher/dispatcher.h"
-#include "net/file_watch.h"
-#include "upstream/pool.h"
+#include "net/event_loop.h"
+#include "net/file_watcher.h"
+#include "upstream/connection_pool.h"
 
 namespace rookproxy {
 
--- a/src/app/cluster_settings.h
+++ b/src/app/cluster_settings.h
@@ -1,7 +1,7 @@
 // The cluster's settings from a configuration and the key files that it names.
 #pragma once
 
-#include "cluster/runtime/fleet.h"
+#include "cluster/runtime/cluster.h"
 #include "config/config.h"
 
 namespace rookproxy {
--- a/src/app/frontends.cpp
+++ b/src/app/frontends.cpp
@@ -5,6 +5,7 @@
 
 #include "app/limits.h"
 #include "app/listeners.h"
+#include "net/event_loop.h"
 
 namespace rookproxy {
 namespace {
--- a/src/app/frontends.h
+++ b/src/app/frontends.h
@@ -4,11 +4,12 @@
 #include <cstddef>
 #include <memory>
 
-#include "auth/gatekeeper.h"
+#include "auth/authenticator.h"
 #include "config/config.h"
 #include "dispatcher/dispatcher.h"
-#include "frontend/frames.h"
-#include "frontend/mysql.h"
+#include "frontend/frames_frontend.h"
+#include "frontend/mysql_frontend.h"
+#include "net/event_loop.h"
 
 namespace rookproxy {
 
--- a/src/app/graceful_shutdown.h
+++ b/src/app/graceful_shutdown.h
@@ -6,7 +6,7 @@
 #include "app/process_lease.h"
 #include "dispatcher/dispatcher.h"
 #include "log/log.h"
-#include "net/loop.h"
+#include "net/event_loop.h"
 #include "policy/shutdown.h"
 
 namespace rookproxy {
--- a/src/app/limits.cpp
+++ b/src/app/limits.cpp
@@ -2,7 +2,9 @@
 
 #include <algorithm>
 
-#include "net/fd.h"
+#include "net/file_descriptor.h"
+#include "net/socket_address.h"
+#include "net/sockets.h"
 #include "policy/descriptor_budget.h"
 #include "policy/drain.h"
 #include "policy/poll_schedule.h"
--- a/src/app/limits.h
+++ b/src/app/limits.h
@@ -5,7 +5,7 @@
 
 #include "config/config.h"
 #include "dispatcher/dispatcher.h"
-#include "upstream/pool.h"
+#include "upstream/connection_pool.h"
 
 namespace rookproxy {
 
--- a/src/app/listeners.cpp
+++ b/src/app/listeners.cpp
@@ -4,6 +4,9 @@
 #include <cstring>
 
 #include "config/config_error.h"
+#include "net/file_descriptor.h"
+#include "net/socket_address.h"
+#include "net/sockets.h"
 
 namespace rookproxy {
 
--- a/src/app/readiness.cpp
+++ b/src/app/readiness.cpp
@@ -1,4 +1,5 @@
 #include "app/readiness.h"
+#include "net/event_loop.h"
 
 #include <chrono>
 #include <utility>
--- a/src/app/readiness.h
+++ b/src/app/readiness.h
@@ -4,7 +4,7 @@
 #include <functional>
 #include <string>
 
-#include "net/loop.h"
+#include "net/event_loop.h"
 
 namespace rookproxy {
 
--- a/src/auth/authenticator.cpp
+++ b/src/auth/authenticator.cpp
@@ -1,4 +1,5 @@
 #include "auth/authenticator.h"
+#include "net/event_loop.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/auth/certificate_authenticator.h
+++ b/src/auth/certificate_authenticator.h
@@ -4,7 +4,7 @@
 #include <cstdint>
 
 #include "auth/authenticator.h"
-#include "tls/context.h"
+#include "tls/server_channel.h"
 
 namespace rookproxy::auth {
 
--- a/src/cluster/runtime/cluster.cpp
+++ b/src/cluster/runtime/cluster.cpp
@@ -1,4 +1,5 @@
 #include "cluster/runtime/cluster.h"
+#include "net/event_loop.h"
 
 #define XXH_INLINE_ALL
 #include <xxhash.h>
--- a/src/cluster/transport/peer_socket.h
+++ b/src/cluster/transport/peer_socket.h
@@ -16,6 +16,10 @@
 #include "cluster/transport/byte_rate_limiter.h"
 #include "cluster/transport/codec.h"
 #include "net/event_loop.h"
+#include "net/file_descriptor.h"
+#include "net/slot_map.h"
+#include "net/socket_address.h"
+#include "net/sockets.h"
 
 namespace rookproxy::cluster::transport {
 
--- a/src/config/agent_config.cpp
+++ b/src/config/agent_config.cpp
@@ -6,6 +6,7 @@
 #include <set>
 
 #include "config/sections.h"
+#include "net/socket_address.h"
 
 namespace rookproxy {
 namespace {
--- a/src/config/agent_config.h
+++ b/src/config/agent_config.h
@@ -8,6 +8,7 @@
 #include <vector>
 
 #include "config/config.h"
+#include "net/socket_address.h"
 
 namespace rookproxy {
 
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -11,11 +11,12 @@
 #include <string>
 #include <vector>
 
+#include "auth/auth_settings.h"
 #include "config/config_error.h"
 #include "config/files.h"
-#include "auth/auth_settings.h"
 #include "dispatcher/interfaces.h"
 #include "log/log.h"
+#include "net/socket_address.h"
 #include "tls/server_context.h"
 
 namespace rookproxy {
--- a/src/config/config_reader.cpp
+++ b/src/config/config_reader.cpp
@@ -1,4 +1,5 @@
 #include "config/config_reader.h"
+#include "net/socket_address.h"
 
 #include <algorithm>
 #include <chrono>
--- a/src/config/peers_section.cpp
+++ b/src/config/peers_section.cpp
@@ -5,6 +5,7 @@
 #include <utility>
 
 #include "config/sections.h"
+#include "net/socket_address.h"
 
 namespace rookproxy {
 namespace {
--- a/src/ctl/agent_client.cpp
+++ b/src/ctl/agent_client.cpp
@@ -16,7 +16,9 @@
 #include <thread>
 #include <variant>
 
-#include "net/fd.h"
+#include "net/file_descriptor.h"
+#include "net/socket_address.h"
+#include "net/sockets.h"
 
 namespace rookproxy::ctl {
 namespace {
--- a/src/ctl/files.cpp
+++ b/src/ctl/files.cpp
@@ -14,7 +14,9 @@
 #include <utility>
 
 #include "ctl/command.h"
-#include "net/fd.h"
+#include "net/file_descriptor.h"
+#include "net/socket_address.h"
+#include "net/sockets.h"
 
 namespace rookproxy::ctl {
 namespace {
--- a/src/demo/main.cpp
+++ b/src/demo/main.cpp
@@ -12,6 +12,7 @@
 
 #include "fakes/standins.h"
 #include "mysql/protocol.h"
+#include "net/sockets.h"
 
 namespace {
 
--- a/src/discovery/dns_discovery_client.cpp
+++ b/src/discovery/dns_discovery_client.cpp
@@ -1,4 +1,7 @@
 #include "discovery/dns_discovery_client.h"
+#include "net/event_loop.h"
+#include "net/socket_address.h"
+#include "net/sockets.h"
 
 #include <sys/epoll.h>
 #include <sys/socket.h>
--- a/src/dispatcher/dispatcher.cpp
+++ b/src/dispatcher/dispatcher.cpp
@@ -6,6 +6,7 @@
 #include "dispatcher/routing_time.h"
 #include "dispatcher/stricter_settings.h"
 #include "net/clock.h"
+#include "net/event_loop.h"
 
 namespace rookproxy {
 namespace {
--- a/src/fakes/lines_engine.cpp
+++ b/src/fakes/lines_engine.cpp
@@ -3,6 +3,8 @@
 #include <memory>
 
 #include "net/acceptor.h"
+#include "net/event_loop.h"
+#include "net/file_descriptor.h"
 #include "net/slot_map.h"
 #include "net/sockets.h"
 #include "net/stream.h"
--- a/src/fakes/relay.cpp
+++ b/src/fakes/relay.cpp
@@ -1,4 +1,9 @@
 #include "fakes/relay.h"
+#include "net/event_loop.h"
+#include "net/file_descriptor.h"
+#include "net/slot_map.h"
+#include "net/socket_address.h"
+#include "net/sockets.h"
 
 #include <sys/epoll.h>
 #include <sys/eventfd.h>
--- a/src/fakes/relay.h
+++ b/src/fakes/relay.h
@@ -15,6 +15,7 @@
 #include <vector>
 
 #include "net/event_loop.h"
+#include "net/socket_address.h"
 #include "net/sockets.h"
 
 namespace rookproxy::test {
--- a/src/fakes/standins.cpp
+++ b/src/fakes/standins.cpp
@@ -1,4 +1,7 @@
 #include "fakes/standins.h"
+#include "net/file_descriptor.h"
+#include "net/socket_address.h"
+#include "net/sockets.h"
 
 #include <poll.h>
 #include <sys/socket.h>
--- a/src/fakes/standins.h
+++ b/src/fakes/standins.h
@@ -16,6 +16,7 @@
 #include "discovery/dns.h"
 #include "fakes/tls_peer.h"
 #include "mysql/protocol.h"
+#include "net/file_descriptor.h"
 #include "net/sockets.h"
 
 namespace rookproxy::test {
--- a/src/frontend/frame_request.cpp
+++ b/src/frontend/frame_request.cpp
@@ -7,7 +7,7 @@
 #include <utility>
 
 #include "base/numbers.h"
-#include "dispatcher/module_time.h"
+#include "dispatcher/routing_time.h"
 #include "sql/lexer.h"
 
 namespace rookproxy {
--- a/src/frontend/frames_connection.h
+++ b/src/frontend/frames_connection.h
@@ -14,6 +14,8 @@
 #include "frontend/byte_reservation.h"
 #include "frontend/frame_request.h"
 #include "frontend/frames_frontend.h"
+#include "net/file_descriptor.h"
+#include "net/slot_map.h"
 
 namespace rookproxy {
 
--- a/src/frontend/frames_connection_requests.cpp
+++ b/src/frontend/frames_connection_requests.cpp
@@ -5,7 +5,9 @@
 #include <variant>
 
 #include "frontend/frames_connection.h"
-#include "sql/tables.h"
+#include "net/slot_map.h"
+#include "sql/statement_analysis.h"
+#include "sql/table_group.h"
 
 namespace rookproxy {
 namespace {
--- a/src/frontend/frames_frontend.cpp
+++ b/src/frontend/frames_frontend.cpp
@@ -3,6 +3,9 @@
 #include <utility>
 
 #include "frontend/frames_connection.h"
+#include "net/event_loop.h"
+#include "net/file_descriptor.h"
+#include "net/slot_map.h"
 
 namespace rookproxy {
 namespace {
--- a/src/frontend/frames_frontend.h
+++ b/src/frontend/frames_frontend.h
@@ -15,6 +15,10 @@
 #include "dispatcher/dispatcher.h"
 #include "frontend/connection_table.h"
 #include "frontend/frame_codec.h"
+#include "net/acceptor.h"
+#include "net/event_loop.h"
+#include "net/file_descriptor.h"
+#include "net/slot_map.h"
 #include "net/stream.h"
 
 namespace rookproxy {
--- a/src/frontend/mysql_connection.cpp
+++ b/src/frontend/mysql_connection.cpp
@@ -1,4 +1,6 @@
 #include "frontend/mysql_connection.h"
+#include "net/file_descriptor.h"
+#include "net/slot_map.h"
 
 #include <chrono>
 #include <utility>
--- a/src/frontend/mysql_connection.h
+++ b/src/frontend/mysql_connection.h
@@ -13,6 +13,8 @@
 #include "frontend/mysql_frontend.h"
 #include "frontend/prepared_statements.h"
 #include "mysql/protocol.h"
+#include "net/file_descriptor.h"
+#include "net/slot_map.h"
 
 namespace rookproxy {
 
--- a/src/frontend/mysql_connection_commands.cpp
+++ b/src/frontend/mysql_connection_commands.cpp
@@ -3,8 +3,9 @@
 
 #include "frontend/mysql_connection.h"
 #include "sql/lexer.h"
-#include "sql/session.h"
-#include "sql/tables.h"
+#include "sql/session_statement.h"
+#include "sql/statement_analysis.h"
+#include "sql/table_group.h"
 
 namespace rookproxy {
 namespace {
--- a/src/frontend/mysql_frontend.cpp
+++ b/src/frontend/mysql_frontend.cpp
@@ -3,6 +3,11 @@
 #include <utility>
 
 #include "frontend/mysql_connection.h"
+#include "net/acceptor.h"
+#include "net/event_loop.h"
+#include "net/file_descriptor.h"
+#include "net/slot_map.h"
+#include "net/sockets.h"
 
 namespace rookproxy {
 namespace {
--- a/src/frontend/mysql_frontend.h
+++ b/src/frontend/mysql_frontend.h
@@ -6,10 +6,14 @@
 #include <memory>
 #include <string>
 
-#include "auth/certificate.h"
+#include "auth/certificate_authenticator.h"
 #include "config/config.h"
 #include "dispatcher/dispatcher.h"
 #include "frontend/connection_table.h"
+#include "net/acceptor.h"
+#include "net/event_loop.h"
+#include "net/file_descriptor.h"
+#include "net/slot_map.h"
 #include "net/stream.h"
 
 namespace rookproxy {
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -5,6 +5,9 @@
 #include <ostream>
 
 #include "net/clock.h"
+#include "net/file_descriptor.h"
+#include "net/socket_address.h"
+#include "net/sockets.h"
 
 namespace rookproxy {
 namespace {
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -10,6 +10,8 @@
 
 #include "base/time.h"
 #include "log/rfc5424.h"
+#include "net/file_descriptor.h"
+#include "net/socket_address.h"
 #include "net/sockets.h"
 
 namespace rookproxy {
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -10,9 +10,10 @@
 
 #include "app/app.h"
 #include "app/cluster_settings.h"
-#include "auth/settings.h"
-#include "net/file_watch.h"
-#include "net/signals.h"
+#include "auth/auth_settings.h"
+#include "net/event_loop.h"
+#include "net/file_watcher.h"
+#include "net/signal_watcher.h"
 #include "options/options.h"
 
 namespace rookproxy {
--- a/src/tls/server_channel.h
+++ b/src/tls/server_channel.h
@@ -7,7 +7,9 @@
 #include <string_view>
 
 #include "net/secure_channel.h"
-#include "policy/access.h"
+#include "policy/authorization.h"
+#include "policy/denial.h"
+#include "policy/identity.h"
 #include "tls/server_context.h"
 
 struct ssl_st;
--- a/src/tls/server_context.h
+++ b/src/tls/server_context.h
@@ -7,8 +7,10 @@
 #include <vector>
 
 #include "base/time.h"
-#include "policy/access.h"
-#include "policy/revocation.h"
+#include "policy/authorization.h"
+#include "policy/denial.h"
+#include "policy/identity.h"
+#include "policy/revocation_status.h"
 #include "tls/server_settings.h"
 
 struct ssl_ctx_st;
--- a/src/upstream/connection_pool.cpp
+++ b/src/upstream/connection_pool.cpp
@@ -6,6 +6,10 @@
 #include <string>
 #include <utility>
 
+#include "net/event_loop.h"
+#include "net/file_descriptor.h"
+#include "net/slot_map.h"
+#include "net/socket_address.h"
 #include "net/sockets.h"
 #include "upstream/connect_retry.h"
 
--- a/src/upstream/connection_pool.h
+++ b/src/upstream/connection_pool.h
@@ -15,6 +15,7 @@
 #include "log/log.h"
 #include "net/event_loop.h"
 #include "net/slot_map.h"
+#include "net/socket_address.h"
 #include "net/timer.h"
 #include "upstream/engine_connection.h"
 #include "upstream/pool_limits.h"
--- a/src/upstream/engine_connection.cpp
+++ b/src/upstream/engine_connection.cpp
@@ -3,6 +3,8 @@
 #include <algorithm>
 #include <utility>
 
+#include "net/file_descriptor.h"
+#include "net/slot_map.h"
 #include "upstream/connection_pool.h"
 
 namespace rookproxy {
--- a/src/upstream/engine_connection.h
+++ b/src/upstream/engine_connection.h
@@ -11,6 +11,7 @@
 #include "dispatcher/interfaces.h"
 #include "net/event_loop.h"
 #include "net/file_descriptor.h"
+#include "net/slot_map.h"
 #include "net/stream.h"
 #include "net/timer.h"
 #include "upstream/pool_limits.h"
--- a/src/upstream/mysql_connection.cpp
+++ b/src/upstream/mysql_connection.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 #include <utility>
 
+#include "net/slot_map.h"
 #include "upstream/mysql_error_class.h"
 #include "upstream/mysql_pool.h"
 
--- a/src/upstream/mysql_connection.h
+++ b/src/upstream/mysql_connection.h
@@ -8,6 +8,7 @@
 #include <string_view>
 
 #include "mysql/protocol.h"
+#include "net/slot_map.h"
 #include "upstream/engine_connection.h"
 #include "upstream/prepared_statements.h"
 #include "upstream/response_buffer.h"
--- a/src/upstream/mysql_pool.cpp
+++ b/src/upstream/mysql_pool.cpp
@@ -2,6 +2,8 @@
 
 #include <utility>
 
+#include "net/event_loop.h"
+#include "net/slot_map.h"
 #include "upstream/mysql_connection.h"
 
 namespace rookproxy {
--- a/src/upstream/mysql_pool.h
+++ b/src/upstream/mysql_pool.h
@@ -7,6 +7,8 @@
 #include <string>
 
 #include "mysql/protocol.h"
+#include "net/event_loop.h"
+#include "net/slot_map.h"
 #include "upstream/connection_pool.h"
 
 namespace rookproxy {
--- a/tests/agent/agent_test.cpp
+++ b/tests/agent/agent_test.cpp
@@ -12,6 +12,7 @@
 
 #include "config/agent_config.h"
 #include "fakes/standins.h"
+#include "net/sockets.h"
 
 using namespace rookproxy;
 using namespace std::chrono_literals;
--- a/tests/auth/mutation_test.cpp
+++ b/tests/auth/mutation_test.cpp
@@ -13,6 +13,7 @@
 #include "auth/base64url.h"
 #include "fakes/callers.h"
 #include "fakes/standins.h"
+#include "net/event_loop.h"
 #include "tls/server_context.h"
 
 namespace rookproxy::test {
--- a/tests/cluster/fault_injecting_network_test.cpp
+++ b/tests/cluster/fault_injecting_network_test.cpp
@@ -14,6 +14,8 @@
 #include "fakes/relay.h"
 #include "fakes/standins.h"
 #include "net/clock.h"
+#include "net/file_descriptor.h"
+#include "net/sockets.h"
 
 namespace rookproxy::cluster::transport {
 namespace {
--- a/tests/cluster/peer_network.h
+++ b/tests/cluster/peer_network.h
@@ -9,6 +9,7 @@
 
 #include "cluster/transport/peer_socket.h"
 #include "fakes/relay.h"
+#include "net/event_loop.h"
 
 namespace rookproxy::cluster::transport {
 
--- a/tests/cluster/peer_socket_test.cpp
+++ b/tests/cluster/peer_socket_test.cpp
@@ -15,6 +15,10 @@
 #include "cluster/event_loop_script.h"
 #include "cluster/peer_network.h"
 #include "net/clock.h"
+#include "net/event_loop.h"
+#include "net/file_descriptor.h"
+#include "net/socket_address.h"
+#include "net/sockets.h"
 
 namespace rookproxy::cluster::transport {
 namespace {
--- a/tests/config/config_test.cpp
+++ b/tests/config/config_test.cpp
@@ -8,6 +8,7 @@
 #include <string>
 
 #include "fakes/standins.h"
+#include "net/socket_address.h"
 
 using namespace rookproxy;
 using namespace std::chrono_literals;
--- a/tests/discovery/dns_discovery_client_test.cpp
+++ b/tests/discovery/dns_discovery_client_test.cpp
@@ -10,6 +10,11 @@
 
 #include "discovery/dns_discovery_client.h"
 #include "fakes/standins.h"
+#include "net/event_loop.h"
+#include "net/file_descriptor.h"
+#include "net/slot_map.h"
+#include "net/socket_address.h"
+#include "net/sockets.h"
 #include "support/descriptors.h"
 
 namespace rookproxy {
--- a/tests/dispatcher/dispatcher_test.cpp
+++ b/tests/dispatcher/dispatcher_test.cpp
@@ -9,6 +9,8 @@
 #include <thread>
 
 #include "config/config.h"
+#include "net/event_loop.h"
+#include "net/socket_address.h"
 #include "support/run_until.h"
 
 using namespace rookproxy;
--- a/tests/integration/connection_close_test.cpp
+++ b/tests/integration/connection_close_test.cpp
@@ -23,6 +23,10 @@
 #include "fakes/standins.h"
 #include "frontend/frames_frontend.h"
 #include "frontend/mysql_frontend.h"
+#include "net/event_loop.h"
+#include "net/file_descriptor.h"
+#include "net/socket_address.h"
+#include "net/sockets.h"
 #include "support/process.h"
 
 using namespace rookproxy;
--- a/tests/integration/descriptor_limit_test.cpp
+++ b/tests/integration/descriptor_limit_test.cpp
@@ -8,6 +8,8 @@
 
 #include "fakes/standins.h"
 #include "net/acceptor.h"
+#include "net/event_loop.h"
+#include "net/file_descriptor.h"
 #include "net/sockets.h"
 #include "net/stream.h"
 #include "policy/descriptor_budget.h"
--- a/tests/integration/dispatcher_fixture.h
+++ b/tests/integration/dispatcher_fixture.h
@@ -15,9 +15,12 @@
 #include "dispatcher/dispatcher.h"
 #include "dispatcher/routing_time.h"
 #include "fakes/standins.h"
+#include "net/event_loop.h"
+#include "net/file_descriptor.h"
+#include "net/socket_address.h"
 #include "net/sockets.h"
 #include "support/run_until.h"
-#include "upstream/lines.h"
+#include "upstream/line_protocol_connection.h"
 
 namespace rookproxy::test {
 
--- a/tests/integration/event_order_test.cpp
+++ b/tests/integration/event_order_test.cpp
@@ -8,6 +8,8 @@
 #include <thread>
 
 #include "integration/dispatcher_fixture.h"
+#include "net/file_descriptor.h"
+#include "net/sockets.h"
 
 using namespace rookproxy;
 using namespace std::chrono_literals;
--- a/tests/integration/graceful_shutdown_test.cpp
+++ b/tests/integration/graceful_shutdown_test.cpp
@@ -10,6 +10,8 @@
 #include "fakes/lines_engine.h"
 #include "frontend/frame_codec.h"
 #include "net/clock.h"
+#include "net/file_descriptor.h"
+#include "net/sockets.h"
 #include "policy/shutdown.h"
 #include "support/process.h"
 #include "support/scenario.h"
--- a/tests/log/log_test.cpp
+++ b/tests/log/log_test.cpp
@@ -9,6 +9,8 @@
 #include <string>
 
 #include "fakes/standins.h"
+#include "net/file_descriptor.h"
+#include "net/socket_address.h"
 #include "net/sockets.h"
 
 using namespace rookproxy;
--- a/tests/net/stream_test.cpp
+++ b/tests/net/stream_test.cpp
@@ -5,6 +5,8 @@
 #include <string>
 
 #include "fakes/standins.h"
+#include "net/event_loop.h"
+#include "net/file_descriptor.h"
 #include "net/sockets.h"
 
 using namespace rookproxy;
--- a/tests/support/descriptors.h
+++ b/tests/support/descriptors.h
@@ -6,6 +6,7 @@
 
 #include <vector>
 
+#include "net/file_descriptor.h"
 #include "net/sockets.h"
 
 namespace rookproxy::test {
--- a/tests/support/fault_injection.h
+++ b/tests/support/fault_injection.h
@@ -19,10 +19,14 @@
 #include <stdexcept>
 
 #include "dispatcher/dispatcher.h"
-#include "frontend/frames_frontend.h"
 #include "dispatcher/routing_time.h"
+#include "frontend/frames_frontend.h"
 #include "log/log.h"
 #include "net/clock.h"
+#include "net/event_loop.h"
+#include "net/file_descriptor.h"
+#include "net/socket_address.h"
+#include "net/sockets.h"
 #include "upstream/line_protocol_connection.h"
 
 namespace rookproxy::test {
--- a/tests/support/process.h
+++ b/tests/support/process.h
@@ -16,6 +16,7 @@
 #include <vector>
 
 #include "fakes/standins.h"
+#include "net/file_descriptor.h"
 #include "support/confine.h"
 
 namespace rookproxy::test {
