--- a/src/app/graceful_shutdown.cpp
+++ b/src/app/graceful_shutdown.cpp
@@ -24,7 +24,7 @@
   state.elapsed = loop_.now() - started_at_;
   state.was_ready = circumstances_.was_ready;
   state.listener_is_shared = circumstances_.listener_is_shared;
-  state.successor_ready = lease_ && lease_->another_is_ready();
+  state.successor_ready = lease_ != nullptr && lease_->another_is_ready();
   state.closing_clients = closing_clients_;
   state.is_receiving = !closing_clients_ && frontends_.is_active();
   state.input_drained = std::exchange(observes_iteration_, false) && loop_.is_idle();
--- a/src/app/process_lease.cpp
+++ b/src/app/process_lease.cpp
@@ -9,7 +9,7 @@
 constexpr int kSlots = 8;
 constexpr int kBytesPerSlot = 2;
 
-struct flock record_lock(short type, int slot, int byte) {
+struct flock record_lock(decltype(flock::l_type) type, int slot, int byte) {
   struct flock lock {};
   lock.l_type = type;
   lock.l_whence = SEEK_SET;
--- a/src/config/agent_config.cpp
+++ b/src/config/agent_config.cpp
@@ -16,7 +16,7 @@
 constexpr std::size_t kMaxAdminAddresses = 2;
 
 std::string read_instance_name(const ConfigReader& instance) {
-  const std::string name = instance.text("name");
+  std::string name = instance.text("name");
   const bool is_plain = std::all_of(name.begin(), name.end(), [](unsigned char character) {
     return std::isalnum(character) != 0 || character == '-' || character == '_' || character == '.';
   });
