--- a/tests/integration/connection_close_test.cpp
+++ b/tests/integration/connection_close_test.cpp
@@ -1,21 +1,12 @@
 // How connections of clients end: in an order that the test controls, on real sockets, with the loop in a
 // thread of its own and the client in the test's.
 #include <malloc.h>
-#include <netinet/tcp.h>
-#include <sys/eventfd.h>
 #include <sys/socket.h>
-#include <unistd.h>
 
-#include <atomic>
 #include <catch2/catch.hpp>
-#include <cerrno>
 #include <cstdio>
-#include <deque>
-#include <fstream>
 #include <functional>
-#include <future>
 #include <map>
-#include <mutex>
 #include <sstream>
 
 #include "config/config.h"
@@ -23,7 +14,9 @@
 #include "fakes/standins.h"
 #include "frontend/frames.h"
 #include "frontend/mysql.h"
+#include "support/event_loop_thread.h"
 #include "support/process.h"
+#include "support/read_to_end.h"
 
 using namespace rookproxy;
 using namespace rookproxy::test;
@@ -31,195 +24,14 @@
 
 namespace {
 
-// A loop in its own thread. It waits for nothing but what the test makes happen.
-class Host final : private EventHandler {
- public:
-  Host() : wake_(::eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
-    loop.watch(wake_.get(), *this);
-    loop.on_iteration_end([this] {
-      ++turns;
-      if (each_turn) each_turn();
-    });
-    thread_ = std::thread([this] { loop.run(); });
-  }
-  // Between two turns of the loop; returns once it is done.
-  template <class Task>
-  auto run(Task task) {
-    std::packaged_task<decltype(task())()> packaged(std::move(task));
-    auto result = packaged.get_future();
-    {
-      const std::lock_guard lock(mutex_);
-      tasks_.push_back([&packaged] { packaged(); });
-    }
-    const std::uint64_t one = 1;
-    REQUIRE(::write(wake_.get(), &one, sizeof one) == sizeof one);
-    return result.get();
-  }
-  ~Host() { finish(); }
-  // What is on the loop must not outlive it.
-  void finish(std::function<void()> last = {}) {
-    if (!thread_.joinable()) return;
-    run([&] {
-      if (last) last();
-      loop.stop();
-    });
-    thread_.join();
-  }
-  bool until(const std::function<bool()>& holds, std::chrono::milliseconds within = kWaitLimit) {
-    const auto end = std::chrono::steady_clock::now() + within;
-    while (std::chrono::steady_clock::now() < end) {
-      if (run(holds)) return true;
-      std::this_thread::sleep_for(1ms);
-    }
-    return false;
-  }
-
-  EventLoop loop;
-  std::function<void()> each_turn;
-  std::atomic<int> turns{0};
-
- private:
-  void on_ready(std::uint32_t) override {
-    std::uint64_t count = 0;
-    while (::read(wake_.get(), &count, sizeof count) > 0) {
-    }
-    for (;;) {
-      std::function<void()> task;
-      {
-        const std::lock_guard lock(mutex_);
-        if (tasks_.empty()) return;
-        task = std::move(tasks_.front());
-        tasks_.pop_front();
-      }
-      task();
-    }
-  }
-  FileDescriptor wake_;
-  std::mutex mutex_;
-  std::deque<std::function<void()>> tasks_;
-  std::thread thread_;
-};
-
-struct Heard final : StreamHandler {
-  std::string got;
-  std::vector<std::string> ends;
-  std::size_t on_bytes(std::string_view bytes) override {
-    got += bytes;
-    return bytes.size();
-  }
-  void on_closed(std::string_view why) override { ends.emplace_back(why); }
-};
-
-// All that comes up to the end, and how it ended: 0 in order, else the fault.
-struct Rest {
-  std::string bytes;
-  int fault = 0;
-};
-Rest read_to_end(const FileDescriptor& fd) {
-  Rest rest;
-  char bytes[64 * 1024];
-  while (wait_until_readable(fd, kWaitLimit)) {
-    const ssize_t got = ::recv(fd.get(), bytes, sizeof bytes, 0);
-    if (got == 0) return rest;
-    if (got < 0) {
-      rest.fault = errno;
-      return rest;
-    }
-    rest.bytes.append(bytes, static_cast<std::size_t>(got));
-  }
-  rest.fault = ETIMEDOUT;
-  return rest;
-}
-
-// One stream of ours and the peer at its other end.
-struct Pair {
-  Host host;
-  FileDescriptor listener = listen_on_free_port();
-  TestConnection peer = TestConnection::connect(local_port(listener));
-  Heard heard;
-  std::unique_ptr<Stream> stream;
-  Pair() {
-    REQUIRE(wait_until_readable(listener, kWaitLimit));
-    host.run([this] {
-      stream = std::make_unique<Stream>(host.loop, accept_connection(listener), heard, false, 1 << 20);
-    });
-  }
-  ~Pair() {
-    host.finish([this] { stream.reset(); });
-  }
-};
-
-}  // namespace
-
-TEST_CASE("stream: an end in order takes nothing with it, though bytes lie unread") {
-  // Guards against a close that resets the connection and takes with it what was just written.
-  Pair pair;
-  const std::string answer(16u << 20, 'a');  // more than kernels hold, so that some is queued
-  pair.host.run([&] { pair.stream->set_read_paused(true); });
-  pair.peer.send(std::string(100'000, 'q'));
-  pair.host.run([&] {
-    pair.stream->write(answer);
-    CHECK(pair.stream->queued_bytes() > 0);
-    pair.stream->close_gracefully(kWaitLimit);
-    pair.stream->write("too late");
-  });
-  pair.peer.send("behind the end");
-  const Rest rest = read_to_end(pair.peer.fd());
-  CHECK(rest.fault == 0);
-  CHECK((rest.bytes == answer));
-  CHECK(pair.host.run([&] { return pair.heard.ends.empty() && pair.stream->is_open(); }));
-  pair.peer.close();
-  CHECK(pair.host.until([&] { return !pair.heard.ends.empty(); }));
-  CHECK(pair.host.run([&] { return pair.heard.ends; }) == std::vector<std::string>{"closed by the peer"});
-  CHECK(pair.host.run([&] { return pair.heard.got; }) == "");
-}
-
-TEST_CASE("stream: an end in order still delivers to a peer that has ended its side") {
-  Pair pair;
-  const std::string answer(16u << 20, 'a');
-  pair.host.run([&] {
-    pair.stream->write(answer);
-    ::shutdown(pair.peer.fd().get(), SHUT_WR);
-    pair.stream->close_gracefully(kWaitLimit);
-  });
-  const Rest rest = read_to_end(pair.peer.fd());
-  CHECK(rest.fault == 0);
-  CHECK((rest.bytes == answer));
-  CHECK(pair.host.until([&] { return pair.heard.ends.size() == 1; }));
-}
-
-TEST_CASE("stream: an end in order is over at its bound, and the loop waits meanwhile") {
-  // Guards against a peer that never ends, and against a loop that turns with no wait: each shutdown() of a
-  // socket makes it ready once more.
-  for (const bool sends_on : {false, true}) {
-    Pair pair;
-    if (sends_on) pair.peer.send(std::string(1000, 'q'));
-    const auto begun = std::chrono::steady_clock::now();
-    const int turns = pair.host.turns;
-    std::promise<void> over;
-    pair.host.run([&] {
-      pair.stream->close_gracefully(200ms);
-      pair.host.loop.run_at(pair.host.loop.now() + 300ms, [&] { over.set_value(); });
-    });
-    over.get_future().get();
-    CHECK(std::chrono::steady_clock::now() - begun >= 200ms);
-    CHECK(pair.host.run([&] { return pair.heard.ends; }) ==
-          std::vector<std::string>{"the peer did not end in time"});
-    CHECK(pair.host.turns - turns < 50);
-    CHECK(read_to_end(pair.peer.fd()).fault == 0);
-  }
-}
-
-namespace {
-
 // A front with its core, and links that only write down what they are told.
-struct FrontBench final : EngineTransport {
-  explicit FrontBench(FramesFrontend::Limits limits = {})
+struct FrontendFixture final : EngineTransport {
+  explicit FrontendFixture(FramesFrontend::Limits limits = {})
       : log(text, LogLevel::kDebug, "h", "a"),
         core(host.loop, log, figures, read_config(read_json()).settings, {"z"}, {}) {
     host.run([&] {
       core.set_transport(*this);
-      host.each_turn = [this] { core.process_events(); };
+      host.on_iteration_end = [this] { core.process_events(); };
       core.update_endpoints(
           {{"a", {0x7f000001, 1}, rookproxy::routing::EngineState::kServing, "z", "m", 0, 1, std::nullopt}},
           false);
@@ -235,11 +47,11 @@
       mysql->set_accepting(true);
     });
   }
-  ~FrontBench() {
+  ~FrontendFixture() {
     host.finish([this] {
       frames.reset();
       mysql.reset();
-      host.each_turn = {};
+      host.on_iteration_end = {};
     });
   }
   static nlohmann::json read_json() {
@@ -291,7 +103,7 @@
   void send(const AttemptRequest& order) override { orders.push_back(order); }
   bool cancel_if_unsent(AttemptKey) override { return false; }  // whatever is sent here has begun
   bool cancel(AttemptKey key) override {
-    withdrawn.push_back(key);
+    cancelled.push_back(key);
     return true;
   }
   void set_priority(AttemptKey, int) override {}
@@ -300,7 +112,7 @@
   void stop_new_attempts(EngineId) override {}
 
   std::ostringstream text;
-  Host host;
+  EventLoopThread host;
   Logger log;
   Metrics figures;
   Dispatcher core;
@@ -308,7 +120,7 @@
   std::unique_ptr<MysqlFrontend> mysql;
   unsigned calls = 0;
   std::vector<AttemptRequest> orders;
-  std::vector<AttemptKey> withdrawn;
+  std::vector<AttemptKey> cancelled;
 };
 
 // What an ending in order leaves a client: whole answers by stream, and the end.
@@ -327,7 +139,7 @@
 }  // namespace
 
 TEST_CASE("frames: all connections end in order, each once what is open has its answer") {
-  FrontBench bench;
+  FrontendFixture bench;
   TestConnection busy = bench.client(), idle = bench.client(), silent = bench.client();
   busy.send(bench.request(1));
   REQUIRE(bench.sent(1));
@@ -339,16 +151,16 @@
   bench.host.run([&] { bench.frames->close_all_gracefully(kWaitLimit); });
   // Behind our end nothing is sent on, and it resets nothing.
   idle.send(bench.request(2));
-  const Rest rest = read_to_end(idle.fd());
-  CHECK(rest.fault == 0);
-  CHECK(codes_of(idle.buffer() + rest.bytes) == std::map<std::uint32_t, int>{{1, frames::kServed}});
-  CHECK(read_to_end(silent.fd()).fault == 0);
+  const ReadResult read = read_to_end(idle.fd());
+  CHECK(read.error == 0);
+  CHECK(codes_of(idle.buffer() + read.bytes) == std::map<std::uint32_t, int>{{1, frames::kServed}});
+  CHECK(read_to_end(silent.fd()).error == 0);
   // What comes while an answer is owed is refused, and the answer comes.
   busy.send(bench.request(2));
   REQUIRE(busy.wait_for_bytes(1));
   bench.serve(0, "late");
-  const Rest last = read_to_end(busy.fd());
-  CHECK(last.fault == 0);
+  const ReadResult last = read_to_end(busy.fd());
+  CHECK(last.error == 0);
   CHECK(codes_of(busy.buffer() + last.bytes) ==
         std::map<std::uint32_t, int>{{1, frames::kServed}, {2, frames::kRejected}});
   CHECK(bench.host.run([&] { return bench.frames->has_connections(); }));
@@ -359,7 +171,7 @@
 
 TEST_CASE("frames: a request that lies unread when all connections end is served") {
   // Guards against an end before the last look: its client wrote to a connection that was open.
-  FrontBench bench;
+  FrontendFixture bench;
   TestConnection client = bench.client();
   client.send(bench.request(1));
   REQUIRE(bench.sent(1));
@@ -371,41 +183,41 @@
   });
   REQUIRE(bench.sent(2));
   bench.serve(1, "two");
-  const Rest rest = read_to_end(client.fd());
-  CHECK(rest.fault == 0);
-  CHECK(codes_of(client.buffer() + rest.bytes) ==
+  const ReadResult read = read_to_end(client.fd());
+  CHECK(read.error == 0);
+  CHECK(codes_of(client.buffer() + read.bytes) ==
         std::map<std::uint32_t, int>{{1, frames::kServed}, {2, frames::kServed}});
 }
 
 TEST_CASE("frames: who never ends its side is closed at the bound") {
-  FrontBench bench;
+  FrontendFixture bench;
   TestConnection client = bench.client();
   client.send(bench.request(1));
   REQUIRE(bench.sent(1));
   bench.host.run([&] { bench.frames->close_all_gracefully(50ms); });
   bench.serve(0, "one");
   CHECK(bench.host.until([&] { return !bench.frames->has_connections(); }));
-  CHECK(read_to_end(client.fd()).fault == 0);
+  CHECK(read_to_end(client.fd()).error == 0);
 }
 
 TEST_CASE("mysql: all connections end in order, each once its command has its answer") {
-  FrontBench bench;
+  FrontendFixture bench;
   TestConnection busy = bench.mysql_client(), idle = bench.mysql_client(),
                  silent = TestConnection::connect(bench.mysql->port());
   REQUIRE(read_mysql_message(silent));
-  busy.send(FrontBench::query("SELECT 1"));
+  busy.send(FrontendFixture::query("SELECT 1"));
   REQUIRE(bench.sent(1));
   bench.host.run([&] { bench.mysql->close_all_gracefully(kWaitLimit); });
-  idle.send(FrontBench::query("SELECT 2"));
-  busy.send(FrontBench::query("SELECT 3"));
-  CHECK(read_to_end(idle.fd()).fault == 0);
-  CHECK(read_to_end(silent.fd()).fault == 0);
+  idle.send(FrontendFixture::query("SELECT 2"));
+  busy.send(FrontendFixture::query("SELECT 3"));
+  CHECK(read_to_end(idle.fd()).error == 0);
+  CHECK(read_to_end(silent.fd()).error == 0);
   std::uint8_t sequence = 1;
   const std::string answer = mysql::split_into_packets(mysql::ok_payload(0, 0, mysql::kAutocommit), sequence);
   bench.serve(0, answer);
-  const Rest rest = read_to_end(busy.fd());
-  CHECK(rest.fault == 0);
-  CHECK(rest.bytes == answer);
+  const ReadResult read = read_to_end(busy.fd());
+  CHECK(read.error == 0);
+  CHECK(read.bytes == answer);
   CHECK(bench.host.run([&] { return bench.mysql->has_connections(); }));
   idle.close(), silent.close(), busy.close();
   CHECK(bench.host.until([&] { return !bench.mysql->has_connections(); }));
@@ -415,17 +227,17 @@
 namespace {
 
 // The steps of a request's life at which its client may go, each brought about by the test.
-struct Going {
+struct Departure {
   const char* how;
-  std::function<void(FrontBench&, TestConnection&)> go;
+  std::function<void(FrontendFixture&, TestConnection&)> go;
 };
 // The ways to go while the front reads nothing: the end must be seen all the same, and at once.
-const std::vector<Going>& ways_to_go() {
-  static const std::vector<Going> ways{
-      {"ends its side", [](FrontBench&, TestConnection& peer) { ::shutdown(peer.fd().get(), SHUT_WR); }},
-      {"closes", [](FrontBench&, TestConnection& peer) { peer.close(); }},
+const std::vector<Departure>& departures() {
+  static const std::vector<Departure> ways{
+      {"ends its side", [](FrontendFixture&, TestConnection& peer) { ::shutdown(peer.fd().get(), SHUT_WR); }},
+      {"closes", [](FrontendFixture&, TestConnection& peer) { peer.close(); }},
       {"resets",
-       [](FrontBench&, TestConnection& peer) {
+       [](FrontendFixture&, TestConnection& peer) {
          const linger none{1, 0};
          ::setsockopt(peer.fd().get(), SOL_SOCKET, SO_LINGER, &none, sizeof none);
          peer.close();
@@ -438,11 +250,11 @@
 
 TEST_CASE("frames: a client that has gone is noticed while nothing is read from it") {
   // Guards against attempts for nobody: the end lay unseen while the client's answers were not taken.
-  for (const auto& [how, go] : ways_to_go()) {
+  for (const auto& [how, go] : departures()) {
     INFO(how);
     FramesFrontend::Limits limits;
     limits.max_unread_bytes_per_connection = 64 * 1024;
-    FrontBench bench(limits);
+    FrontendFixture bench(limits);
     TestConnection client = bench.client();
     // Answers until the kernel takes no more, so that reading is held; then one more is open.
     std::uint32_t stream = 0;
@@ -465,33 +277,33 @@
     go(bench, client);
     // Well before its deadline, which is 3 s off.
     CHECK(bench.host.until([&] { return bench.core.open_request_count() == 0; }, 1500ms));
-    CHECK(bench.host.run([&] { return bench.withdrawn.size(); }) == 1);
+    CHECK(bench.host.run([&] { return bench.cancelled.size(); }) == 1);
     CHECK(bench.host.run([&] { return bench.orders.size(); }) == stream - 1);
   }
 }
 
 TEST_CASE("mysql: a client that has gone is noticed while its command runs") {
-  for (const auto& [how, go] : ways_to_go()) {
+  for (const auto& [how, go] : departures()) {
     INFO(how);
-    FrontBench bench;
+    FrontendFixture bench;
     TestConnection client = bench.mysql_client();
-    client.send(FrontBench::query("SELECT 1"));
+    client.send(FrontendFixture::query("SELECT 1"));
     REQUIRE(bench.sent(1));
-    client.send(FrontBench::query("SELECT 2") + FrontBench::query(std::string(50'000, 'x')));
+    client.send(FrontendFixture::query("SELECT 2") + FrontendFixture::query(std::string(50'000, 'x')));
     go(bench, client);
     CHECK(bench.host.until([&] { return bench.core.open_request_count() == 0; }));
-    CHECK(bench.host.run([&] { return bench.withdrawn.size(); }) == 1);
+    CHECK(bench.host.run([&] { return bench.cancelled.size(); }) == 1);
     CHECK(bench.host.run([&] { return bench.orders.size(); }) == 1);
   }
 }
 
 TEST_CASE("fronts: what came in one piece with its client's end is not sent on") {
-  FrontBench bench;
+  FrontendFixture bench;
   TestConnection of_frames = bench.client(), of_mysql = bench.mysql_client();
   REQUIRE(bench.host.until([&] { return bench.frames->has_connections(); }));
   bench.host.run([&] {
     of_frames.send(bench.request(1) + bench.request(2));
-    of_mysql.send(FrontBench::query("SELECT 1"));
+    of_mysql.send(FrontendFixture::query("SELECT 1"));
     of_frames.close();
     of_mysql.close();
   });
@@ -503,22 +315,22 @@
 
 TEST_CASE("frames: an abandoned stream is called off on a broken connection, too") {
   // Guards against attempts for somebody who has gone, for as long as another stream keeps the connection.
-  FrontBench bench;
+  FrontendFixture bench;
   TestConnection client = bench.client();
   client.send(bench.request(1) + bench.request(2));
   REQUIRE(bench.sent(2));
   client.send(frames::encode_frame(77, 3, "") + frames::encode_frame(frames::kCancel, 2, ""));
   CHECK(bench.host.until([&] { return bench.core.open_request_count() == 1; }));
-  CHECK(bench.host.run([&] { return bench.withdrawn.size(); }) == 1);
-  CHECK(bench.host.run([&] { return bench.withdrawn.at(0) == bench.orders.at(1).key; }));
+  CHECK(bench.host.run([&] { return bench.cancelled.size(); }) == 1);
+  CHECK(bench.host.run([&] { return bench.cancelled.at(0) == bench.orders.at(1).key; }));
   client.send(frames::encode_frame(frames::kCancel, 1, ""));
-  const Rest rest = read_to_end(client.fd());
-  CHECK(rest.fault == 0);
-  CHECK(codes_of(rest.bytes) == std::map<std::uint32_t, int>{{0, frames::kFailed}});
+  const ReadResult read = read_to_end(client.fd());
+  CHECK(read.error == 0);
+  CHECK(codes_of(read.bytes) == std::map<std::uint32_t, int>{{0, frames::kFailed}});
 }
 
 TEST_CASE("frames: the end of a client is noticed where its frames can't be told apart") {
-  FrontBench bench;
+  FrontendFixture bench;
   TestConnection client = bench.client();
   client.send(bench.request(1));
   REQUIRE(bench.sent(1));
@@ -526,13 +338,13 @@
   REQUIRE(client.wait_for_bytes(1));
   client.close();
   CHECK(bench.host.until([&] { return bench.core.open_request_count() == 0; }));
-  CHECK(bench.host.run([&] { return bench.withdrawn.size(); }) == 1);
+  CHECK(bench.host.run([&] { return bench.cancelled.size(); }) == 1);
 }
 
 TEST_CASE("frames: an idle connection ends in order, and not over a request that lies unread") {
   FramesFrontend::Limits limits;
   limits.idle_timeout = 100ms;
-  FrontBench bench(limits);
+  FrontendFixture bench(limits);
   TestConnection client = bench.client();
   client.send(bench.request(1));
   REQUIRE(bench.sent(1));
@@ -545,9 +357,9 @@
   });
   REQUIRE(bench.sent(2));
   bench.serve(1, "two");
-  const Rest rest = read_to_end(client.fd());
-  CHECK(rest.fault == 0);
-  CHECK(codes_of(client.buffer() + rest.bytes) ==
+  const ReadResult read = read_to_end(client.fd());
+  CHECK(read.error == 0);
+  CHECK(codes_of(client.buffer() + read.bytes) ==
         std::map<std::uint32_t, int>{{1, frames::kServed}, {2, frames::kServed}});
   // Behind our end nothing is sent on, and nothing is reset.
   client.send(bench.request(3));
@@ -558,7 +370,7 @@
   // Guards against a reset over an answer just written, and against more connections than there may be.
   FramesFrontend::Limits limits;
   limits.max_connections = 8;
-  FrontBench bench(limits);
+  FrontendFixture bench(limits);
   std::vector<TestConnection> clients;
   for (int i = 0; i < 7; ++i) {
     clients.push_back(bench.client());
@@ -578,45 +390,32 @@
   for (TestConnection& one : late) one.send(bench.request(1));
   REQUIRE(bench.sent(10));
   REQUIRE(clients[0].read_more());
-  const Rest first = read_to_end(clients[1].fd());
-  CHECK(first.fault == 0);
+  const ReadResult first = read_to_end(clients[1].fd());
+  CHECK(first.error == 0);
   CHECK(codes_of(clients[1].buffer() + first.bytes) == std::map<std::uint32_t, int>{{1, frames::kServed}});
   bench.serve(8, "late"), bench.serve(9, "late");
   for (TestConnection& one : late) CHECK(one.wait_for_bytes(1));
 }
 
 TEST_CASE("mysql: an idle connection ends in order, and so does one that says goodbye") {
-  FrontBench bench;
+  FrontendFixture bench;
   TestConnection client = bench.mysql_client();
-  client.send(FrontBench::query("SELECT 1"));
+  client.send(FrontendFixture::query("SELECT 1"));
   REQUIRE(bench.sent(1));
   std::uint8_t sequence = 1;
   const std::string answer = mysql::split_into_packets(mysql::ok_payload(0, 0, mysql::kAutocommit), sequence);
   bench.serve(0, answer);
   sequence = 0;
   client.send(mysql::split_into_packets("\x01", sequence) + std::string(100'000, 'x'));
-  const Rest rest = read_to_end(client.fd());
-  CHECK(rest.fault == 0);
-  CHECK(rest.bytes == answer);
-}
-
-TEST_CASE("net: small writes leave at once on every TCP socket") {
-  const FileDescriptor listener = listen_on_free_port();
-  const FileDescriptor dialled = connect_tcp({0x7f000001, local_port(listener)});
-  REQUIRE(wait_until_readable(listener, kWaitLimit));
-  const FileDescriptor accepted = accept_connection(listener);
-  for (const FileDescriptor* fd : {&dialled, &accepted}) {
-    int on = 0;
-    socklen_t size = sizeof on;
-    REQUIRE(::getsockopt(fd->get(), IPPROTO_TCP, TCP_NODELAY, &on, &size) == 0);
-    CHECK(on == 1);
-  }
+  const ReadResult read = read_to_end(client.fd());
+  CHECK(read.error == 0);
+  CHECK(read.bytes == answer);
 }
 
 namespace {
 
 // Bytes that the program holds of its heap, in both kinds of blocks. A sanitizer's heap does not tell.
-std::size_t held_bytes() {
+std::size_t heap_bytes() {
 #ifdef __SANITIZE_ADDRESS__
   return 0;
 #endif
@@ -631,10 +430,10 @@
   // large frames that have begun there are most_unfinished bytes, in good connections and broken ones.
   FramesFrontend::Limits limits;
   limits.max_partial_frame_bytes = 1u << 20;
-  FrontBench bench(limits);
+  FrontendFixture bench(limits);
   std::vector<TestConnection> crowd;
   const std::string large = frames::encode_frame(frames::kRequest, 9, std::string(260'000, 'x'));
-  const std::size_t before = held_bytes();
+  const std::size_t before = heap_bytes();
   for (std::uint32_t i = 0; i < 30; ++i) {
     crowd.push_back(bench.client());
     crowd.back().send(bench.request(1) + frames::encode_frame(77, 3, ""));
@@ -643,19 +442,19 @@
   }
   // Others are served meanwhile. In each turn that this takes, 64 kB of each flood are read.
   TestConnection good = bench.client();
-  for (int turn = 0; turn < 10; ++turn) {
+  for (int round = 0; round < 10; ++round) {
     good.send(frames::encode_frame(frames::kReadinessQuery, 1, std::string(1, '\0')));
     REQUIRE(good.wait_for_bytes(1));
     good.buffer().clear();
   }
   CHECK(bench.host.run([&] { return bench.core.open_request_count(); }) == 30);
-  CHECK(held_bytes() - before < (4u << 20));  // 7.8 MB were sent
+  CHECK(heap_bytes() - before < (4u << 20));  // 7.8 MB were sent
   crowd.clear();
   CHECK(bench.host.until([&] { return bench.core.open_request_count() == 0; }));
 }
 
 TEST_CASE("mysql: large commands that have begun share a budget, and little comes before a log-in") {
-  FrontBench bench;
+  FrontendFixture bench;
   bench.host.run([&] { bench.mysql->set_resource_limits(100, 1u << 20, 1u << 20); });
   const auto begin = [](std::size_t length, std::uint8_t sequence) {
     std::string head;
@@ -675,12 +474,12 @@
   CHECK(bench.host.until([&] { return bench.mysql->is_receiving_large_command(); }));
   second.send(begin(900'000, 0));
   CHECK(error_of(second) == mysql::kOutOfResources);
-  third.send(FrontBench::query("SELECT 1"));  // small ones pass
+  third.send(FrontendFixture::query("SELECT 1"));  // small ones pass
   REQUIRE(bench.sent(1));
   first.close();
   CHECK(bench.host.until([&] { return !bench.mysql->is_receiving_large_command(); }));
   third.close();
   TestConnection fourth = bench.mysql_client();
-  fourth.send(FrontBench::query("SELECT '" + std::string(900'000, 'x') + "'"));
+  fourth.send(FrontendFixture::query("SELECT '" + std::string(900'000, 'x') + "'"));
   CHECK(bench.sent(2));
 }
--- a/tests/integration/descriptor_limit_test.cpp
+++ b/tests/integration/descriptor_limit_test.cpp
@@ -1,23 +1,13 @@
 // Descriptors run out: who has some kept for them, who is told, and what serves on.
-#include "support/descriptors.h"
-
-#include <sys/socket.h>
-
 #include <catch2/catch.hpp>
-#include <optional>
+#include <string>
 
-#include "fakes/standins.h"
-#include "net/acceptor.h"
-#include "net/sockets.h"
-#include "net/stream.h"
 #include "policy/descriptor_budget.h"
 #include "support/scenario.h"
 
 namespace rookproxy {
 namespace {
 
-using namespace std::chrono_literals;
-
 TEST_CASE("descriptors: all shares together stay within the limit, and clients have their third") {
   for (std::size_t limit = 32; limit <= 4096; ++limit) {
     const auto shares = policy::descriptor_budget(limit);
@@ -62,57 +52,5 @@
   }
 }
 
-struct Comers {
-  std::vector<FileDescriptor> fds;
-  void come(std::uint16_t port, std::size_t count) {
-    for (std::size_t i = 0; i < count; ++i) fds.push_back(connect_tcp({0x7f000001, port}));
-  }
-  std::size_t told() const {
-    std::size_t ended = 0;
-    char byte = 0;
-    for (const FileDescriptor& fd : fds) ended += ::recv(fd.get(), &byte, 1, MSG_DONTWAIT) == 0 ? 1 : 0;
-    return ended;
-  }
-};
-
-TEST_CASE("descriptors: an acceptor without any tells who comes, also after its reserve was taken") {
-  EventLoop loop;
-  std::vector<FileDescriptor> taken;
-  Acceptor acceptor(loop, test::listen_on_free_port(),
-                    [&](FileDescriptor fd) { taken.push_back(std::move(fd)); });
-  Comers first, comers;
-  std::size_t turns = 0, turns_without = 0;
-  bool late = false, lost = false;
-  std::optional<test::DescriptorExhaustion> all_taken;
-  std::optional<test::DescriptorLimit> none;  // not even in place of the reserve, which is lost so
-  first.come(acceptor.port(), 1);
-  loop.on_iteration_end([&] {
-    ++turns;
-    if (!all_taken && taken.size() == 1) {
-      comers.come(acceptor.port(), 100);
-      all_taken.emplace();
-      none.emplace(3);
-      turns = 0;
-      loop.run_at(loop.now() + 200ms, [&] {
-        lost = comers.told() == 0 && taken.size() == 1;
-        turns_without = turns;
-        none.reset();
-      });
-    }
-    if (lost && comers.told() == 100) loop.stop();
-  });
-  loop.run_at(loop.now() + test::kWaitLimit, [&] {
-    late = true;
-    loop.stop();
-  });
-  loop.run();
-  none.reset();
-  all_taken.reset();  // a check that fails, and a sanitizer's own, need descriptors
-  CHECK(lost);
-  CHECK(turns_without < 20);  // it looks again now and then, and does not spin
-  CHECK_FALSE(late);
-  CHECK(taken.size() == 1);
-}
-
 }  // namespace
 }  // namespace rookproxy
--- /dev/null
+++ b/tests/net/acceptor_test.cpp
@@ -0,0 +1,77 @@
+// An acceptor in a process that has no descriptor left.
+#include "net/acceptor.h"
+
+#include <sys/socket.h>
+
+#include <catch2/catch.hpp>
+#include <chrono>
+#include <optional>
+#include <vector>
+
+#include "fakes/standins.h"
+#include "net/sockets.h"
+#include "support/descriptors.h"
+
+namespace rookproxy {
+namespace {
+
+using namespace std::chrono_literals;
+
+// Connections that are opened at once.
+struct Clients {
+  std::vector<FileDescriptor> fds;
+  void connect(std::uint16_t port, std::size_t count) {
+    for (std::size_t i = 0; i < count; ++i) fds.push_back(connect_tcp({0x7f000001, port}));
+  }
+  std::size_t closed_by_peer() const {
+    std::size_t ended = 0;
+    char byte = 0;
+    for (const FileDescriptor& fd : fds) ended += ::recv(fd.get(), &byte, 1, MSG_DONTWAIT) == 0 ? 1 : 0;
+    return ended;
+  }
+};
+
+TEST_CASE("descriptors: an acceptor without any closes new connections, also after its reserve was taken") {
+  EventLoop loop;
+  std::vector<FileDescriptor> accepted;
+  Acceptor acceptor(loop, test::listen_on_free_port(),
+                    [&](FileDescriptor fd) { accepted.push_back(std::move(fd)); });
+  Clients first;
+  Clients burst;
+  std::size_t iterations = 0;
+  std::size_t iterations_without_descriptors = 0;
+  bool late = false;
+  bool reserve_lost = false;
+  std::optional<test::DescriptorExhaustion> exhaustion;
+  std::optional<test::DescriptorLimit> limit;  // the reserve, once closed, can not be opened again
+  first.connect(acceptor.port(), 1);
+  loop.on_iteration_end([&] {
+    ++iterations;
+    if (!exhaustion && accepted.size() == 1) {
+      burst.connect(acceptor.port(), 100);
+      exhaustion.emplace();
+      limit.emplace(3);
+      iterations = 0;
+      loop.run_at(loop.now() + 200ms, [&] {
+        reserve_lost = burst.closed_by_peer() == 0 && accepted.size() == 1;
+        iterations_without_descriptors = iterations;
+        limit.reset();
+      });
+    }
+    if (reserve_lost && burst.closed_by_peer() == 100) loop.stop();
+  });
+  loop.run_at(loop.now() + test::kWaitLimit, [&] {
+    late = true;
+    loop.stop();
+  });
+  loop.run();
+  limit.reset();
+  exhaustion.reset();  // a check that fails, and a sanitizer's own, need descriptors
+  CHECK(reserve_lost);
+  CHECK(iterations_without_descriptors < 20);  // it looks again now and then, and does not spin
+  CHECK_FALSE(late);
+  CHECK(accepted.size() == 1);
+}
+
+}  // namespace
+}  // namespace rookproxy
