--- a/src/upstream/mysql_connection.cpp
+++ b/src/upstream/mysql_connection.cpp
@@ -9,7 +9,7 @@
 namespace rookproxy {
 namespace {
 
-constexpr std::size_t kFirstPayloadKept = 1024;
+constexpr std::size_t kMaxFirstPayloadSize = 1024;
 constexpr std::size_t kNonceSize = 20;
 // The first byte of packets, while a client logs in and in responses.
 constexpr char kOkPacket = '\x00';
@@ -231,7 +231,7 @@
 
 void MysqlConnection::handle_response_packet(std::string_view packet) {
   const std::string_view payload = packet.substr(mysql::kHeaderSize);
-  if (first_payload_.empty()) first_payload_ = payload.substr(0, kFirstPayloadKept);
+  if (first_payload_.empty()) first_payload_ = payload.substr(0, kMaxFirstPayloadSize);
   response_.append(packet);
   const MysqlResultLimits& result_limits = mysql_pool_.result_limits();
   if (response_.size() > result_limits.max_result_bytes ||
