--- a/src/discovery/dns_discovery_client.h
+++ b/src/discovery/dns_discovery_client.h
@@ -47,6 +47,7 @@
   void change_server(const SocketAddress& server, std::string service, Duration poll_interval);
 
  private:
+  /// One UDP socket that queries are sent from.
   struct Socket final : EventHandler {
     explicit Socket(DnsDiscoveryClient& owner) : client(owner) {}
     void on_ready(std::uint32_t) override { client.read_responses(*this); }
@@ -56,6 +57,7 @@
     SlotKey key = 0;
     bool used = false;  // a query was sent from it
   };
+  /// A query whose response may still arrive.
   struct PendingQuery {
     std::uint16_t id = 0;
     Time sent_at;
--- a/src/frontend/byte_reservation.h
+++ b/src/frontend/byte_reservation.h
@@ -23,7 +23,7 @@
     return true;
   }
   void release() { used_ -= std::exchange(bytes_, 0); }
-  [[nodiscard]] bool is_held() const { return bytes_ > 0; }
+  [[nodiscard]] bool is_active() const { return bytes_ > 0; }
 
  private:
   std::size_t& used_;
--- a/src/frontend/frames_connection.cpp
+++ b/src/frontend/frames_connection.cpp
@@ -74,7 +74,7 @@
 // long.
 std::size_t FramesFrontend::Connection::handle_partial_frame(std::string_view bytes) {
   frame_started();
-  if (bytes.size() < frames::kHeaderSize || reserved_bytes_.is_held()) return 0;
+  if (bytes.size() < frames::kHeaderSize || reserved_bytes_.is_active()) return 0;
   const frames::FrameHeader header = frames::parse_frame_header(bytes);
   if (header.frame_size <= kLargeFrameThreshold) return 0;
   if (reserved_bytes_.try_reserve(header.frame_size, frontend_.limits_.max_partial_frame_bytes)) return 0;
--- a/src/frontend/frames_connection.h
+++ b/src/frontend/frames_connection.h
@@ -23,6 +23,7 @@
  public:
   /// Which connection is evicted first: the least in this order, the longest silent one of each class.
   enum class EvictionClass { kNoRequestYet, kStalledFrame, kIdle, kReceiving };
+  /// The place of a connection in the order of eviction.
   struct EvictionOrder {
     EvictionClass eviction_class = EvictionClass::kIdle;
     Time last_bytes_at;
--- a/src/frontend/frames_frontend.h
+++ b/src/frontend/frames_frontend.h
@@ -71,7 +71,7 @@
 
  private:
   class Connection;
-  // A request that has no response yet, by the ticket that the dispatcher knows it by.
+  /// A request that has no response yet, by the ticket that the dispatcher knows it by.
   struct PendingRequest {
     SlotKey connection = 0;
     std::uint32_t stream_id = 0;
--- a/src/frontend/mysql_connection.cpp
+++ b/src/frontend/mysql_connection.cpp
@@ -85,7 +85,7 @@
 // A large command may be buffered only while the budget for such commands lasts. False: the client has been
 // told.
 bool MysqlFrontend::Connection::reserve_command_bytes(std::string_view bytes) {
-  if (bytes.size() < mysql::kHeaderSize || reserved_bytes_.is_held()) return true;
+  if (bytes.size() < mysql::kHeaderSize || reserved_bytes_.is_active()) return true;
   const std::size_t length = PayloadReader(bytes.substr(0, kPacketLengthSize)).integer(kPacketLengthSize);
   if (length <= kLargeCommandThreshold) return true;
   if (reserved_bytes_.try_reserve(length, frontend_.max_partial_command_bytes_)) return true;
--- a/src/frontend/mysql_connection.h
+++ b/src/frontend/mysql_connection.h
@@ -59,6 +59,7 @@
   static constexpr Duration kLoginTimeout = std::chrono::seconds(10);
   static constexpr std::size_t kStatementIdSize = 4;  // bytes
 
+  /// What the session waits for, or that it ends.
   enum class State { kLogin, kAuthResponse, kCheckingToken, kReady, kBusy, kClosing };
 
   // Reading and writing.
--- a/src/frontend/mysql_connection_login.cpp
+++ b/src/frontend/mysql_connection_login.cpp
@@ -80,7 +80,7 @@
 
 // A token is never requested where others could read it.
 bool MysqlFrontend::Connection::expects_token() const {
-  return frontend_.authenticator_ && frontend_.authenticator_->accepts_tokens() && is_secret() &&
+  return frontend_.authenticator_ != nullptr && frontend_.authenticator_->accepts_tokens() && is_secret() &&
          !has_password();
 }
 
--- a/tests/frontend/parsers_test.cpp
+++ b/tests/frontend/parsers_test.cpp
@@ -1,7 +1,6 @@
-// The parsers: whole, cut, split at every byte, hostile.
+// The parsers of engine and MySQL protocols and of SQL: complete, cut, split at every byte and damaged input.
 #include <catch2/catch.hpp>
 
-#include "frontend/frame_codec.h"
 #include "mysql/protocol.h"
 #include "sql/lexer.h"
 #include "sql/session.h"
@@ -10,62 +9,6 @@
 
 using namespace rookproxy;
 
-namespace {
-
-std::string fields_of(std::initializer_list<std::pair<std::string, std::string>> fields) {
-  std::string out(1, static_cast<char>(fields.size()));
-  for (const auto& [name, value] : fields) {
-    out += static_cast<char>(name.size()) + name + '\0';
-    out += static_cast<char>(value.size()) + value;
-  }
-  return out;
-}
-
-}  // namespace
-
-TEST_CASE("frames: a frame is taken only when it is whole") {
-  const std::string one = frames::encode_frame(frames::kRequest, 0x01020304, "payload");
-  frames::Frame frame;
-  std::size_t used = 0;
-  for (std::size_t cut = 0; cut < one.size(); ++cut) {
-    CHECK(frames::parse_frame(one.substr(0, cut), frame, used) == frames::ParseStatus::kIncomplete);
-  }
-  const std::string two = one + "next";
-  REQUIRE(frames::parse_frame(two, frame, used) == frames::ParseStatus::kComplete);
-  CHECK(used == one.size());
-  CHECK(frame.stream_id == 0x01020304);
-  CHECK(frame.payload == "payload");
-}
-
-TEST_CASE("frames: lengths out of bounds") {
-  frames::Frame frame;
-  std::size_t used = 0;
-  const auto parse = [&](std::string_view bytes) { return frames::parse_frame(bytes, frame, used); };
-  using namespace std::string_view_literals;
-  CHECK(parse("\0\0\0\4\2\0\0\0\1"sv) == frames::ParseStatus::kMalformed);
-  CHECK(parse("\xff\xff\xff\xff\2\0\0\0\1"sv) == frames::ParseStatus::kMalformed);
-  CHECK(parse("\0\4\0\0\2\0\0\0\1"sv) == frames::ParseStatus::kIncomplete);  // 262,144: the most there may be
-  CHECK(parse("\0\4\0\1\2\0\0\0\1"sv) == frames::ParseStatus::kOversized);
-}
-
-TEST_CASE("frames: fields that overrun, come twice or are cut are refused") {
-  const std::string good = fields_of({{"op", "lookup"}, {"ttl", "1500"}});
-  for (std::size_t cut = 0; cut <= good.size(); ++cut) {
-    frames::Fields fields;
-    std::string_view payload = std::string_view(good).substr(0, cut);
-    CHECK(frames::parse_fields(payload, fields) == (cut == good.size()));
-  }
-  frames::Fields fields;
-  std::string twice = fields_of({{"op", "a"}, {"op", "b"}});
-  std::string_view payload = twice;
-  CHECK_FALSE(frames::parse_fields(payload, fields));
-  test::parse_damaged(good + "body", [](const std::string& bytes) {
-    frames::Fields some;
-    std::string_view view = bytes;
-    frames::parse_fields(view, some);
-  });
-}
-
 TEST_CASE("lines: answers, split at every byte") {
   const std::string one = "9b1f03aa5c7e2d41 data parts=2,use=queue:3;x0:0.5 6\r\na\tb\r\nc\r\n";
   LineResponse answer;
