--- a/bench/access_load.cpp
+++ b/bench/access_load.cpp
@@ -17,8 +17,6 @@
 #include "fakes/lines_engine.h"
 #include "fakes/standins.h"
 #include "frontend/frame_codec.h"
-#include "net/file_descriptor.h"
-#include "net/sockets.h"
 
 namespace {
 
--- a/bench/access_micro.cpp
+++ b/bench/access_micro.cpp
@@ -15,7 +15,6 @@
 #include "auth/authenticator.h"
 #include "fakes/callers.h"
 #include "fakes/standins.h"
-#include "net/event_loop.h"
 #include "sql/statement_analysis.h"
 
 namespace {
--- a/src/ctl/exit_code.h
+++ b/src/ctl/exit_code.h
@@ -3,6 +3,7 @@
 
 namespace rookproxy::ctl {
 
+// How a command ended.
 enum class ExitCode {
   kDone = 0,
   kRefused = 1,
--- a/src/frontend/frame_request.cpp
+++ b/src/frontend/frame_request.cpp
@@ -8,7 +8,7 @@
 
 #include "base/numbers.h"
 #include "dispatcher/routing_time.h"
-#include "sql/lexer.h"
+#include "sql/table_group.h"
 
 namespace rookproxy {
 namespace {
--- a/src/frontend/mysql_connection_commands.cpp
+++ b/src/frontend/mysql_connection_commands.cpp
@@ -2,9 +2,9 @@
 #include <utility>
 
 #include "frontend/mysql_connection.h"
-#include "sql/lexer.h"
 #include "sql/session_statement.h"
 #include "sql/statement_analysis.h"
+#include "sql/statement_class.h"
 #include "sql/table_group.h"
 
 namespace rookproxy {
--- a/src/mysql/response.h
+++ b/src/mysql/response.h
@@ -26,6 +26,7 @@
 // Follows one response, packet by packet, to its end.
 class ResponseTracker {
  public:
+  // What the response is to: a statement, or its preparation.
   enum class Kind { kPlain, kPrepare };
   explicit ResponseTracker(Kind kind = Kind::kPlain) : kind_(kind) {}
 
@@ -37,6 +38,7 @@
   [[nodiscard]] bool has_started() const { return state_ != State::kFirst || is_complete_; }
 
  private:
+  // Which packet comes next.
   enum class State { kFirst, kColumns, kColumnsEnd, kRows, kPrepareParams, kPrepareParamsEnd };
 
   bool on_first_packet(std::string_view payload);
