--- a/tests/integration/connection_close_test.cpp
+++ b/tests/integration/connection_close_test.cpp
@@ -18,8 +18,6 @@
 #include "net/file_descriptor.h"
 #include "net/socket_address.h"
 #include "net/sockets.h"
-#include "frontend/frames.h"
-#include "frontend/mysql.h"
 #include "support/event_loop_thread.h"
 #include "support/process.h"
 #include "support/read_to_end.h"
