--- a/bench/access_load.cpp
+++ b/bench/access_load.cpp
@@ -13,9 +13,9 @@
 #include <iostream>
 #include <thread>
 
-#include "fakes/callers.h"
-#include "fakes/lines_engine.h"
-#include "fakes/standins.h"
+#include "fakes/auto_reply_line_engine.h"
+#include "fakes/credential_fixture.h"
+
 #include "frontend/frames.h"
 
 namespace {
--- a/bench/access_micro.cpp
+++ b/bench/access_micro.cpp
@@ -7,8 +7,7 @@
 #include <ostream>
 
 #include "auth/gatekeeper.h"
-#include "fakes/callers.h"
-#include "fakes/standins.h"
+#include "fakes/credential_fixture.h"
 
 namespace {
 
--- a/src/demo/main.cpp
+++ b/src/demo/main.cpp
@@ -10,7 +10,10 @@
 #include <iostream>
 #include <stdexcept>
 
-#include "fakes/standins.h"
+#include "fakes/fake_mysql_engine.h"
+#include "fakes/sockets.h"
+#include "fakes/temporary_directory.h"
+#include "fakes/test_connection.h"
 #include "mysql/protocol.h"
 
 namespace {
@@ -20,7 +23,7 @@
 using test::TestConnection;
 using namespace std::chrono_literals;
 
-// The stand-ins take this account (src/standins).
+// The fakes take this account (src/fakes).
 constexpr const char* kDemoConfigTemplate = R"(name = "demo"
 seed = "1"
 link = "mysql"
--- /dev/null
+++ b/src/fakes/proxied_connection.h
@@ -0,0 +1,93 @@
+/// A TCP connection that passes through a fault-injecting network.
+#pragma once
+
+#include <array>
+#include <cstdint>
+#include <deque>
+#include <memory>
+#include <optional>
+#include <string>
+
+#include "fakes/fd_callback.h"
+#include "fakes/link_direction.h"
+#include "net/fd.h"
+#include "net/loop.h"
+
+namespace rookproxy::test {
+
+/// What a connection needs to know of its network.
+class LinkRules {
+ public:
+  /// The rule in force from one node to the other.
+  [[nodiscard]] virtual const LinkRule& rule_for(NodeId from, NodeId to) const = 0;
+  virtual LinkDirection& direction(NodeId from, NodeId to) = 0;
+  /// The connection of this id has closed; it is destroyed later, as it may be in the middle of a call.
+  virtual void on_connection_closed(std::uint64_t id) = 0;
+
+ protected:
+  ~LinkRules() = default;
+};
+
+/// Copies bytes both ways between a client's connection and one of its own to the target, with the delays of
+/// the rules. It connects to the target once no partition lies in between. For the loop's thread.
+class ProxiedConnection {
+ public:
+  /// The two ends of the connection.
+  struct Route {
+    NodeId client;
+    NodeId target;
+    SocketAddress target_address;
+  };
+
+  ProxiedConnection(EventLoop& loop, LinkRules& rules, std::uint64_t id, const Route& route,
+                    FileDescriptor client_fd);
+  ~ProxiedConnection();
+  ProxiedConnection(const ProxiedConnection&) = delete;
+  ProxiedConnection& operator=(const ProxiedConnection&) = delete;
+
+  [[nodiscard]] const Route& route() const { return route_; }
+
+  /// Forwards what may pass now; to be called after a change of rules, too.
+  void forward_bytes();
+
+  /// Closes both sides by a reset.
+  void reset() { close(true); }
+
+ private:
+  struct Segment {
+    Time due_at;
+    std::string bytes;  // empty: the end of the stream
+  };
+
+  // One end's socket, and what was received from it and waits to be sent to the other end.
+  struct Side {
+    NodeId node = 0;
+    FileDescriptor fd;
+    std::unique_ptr<FdCallback> callback;
+    std::deque<Segment> queue;
+    std::size_t queued_bytes = 0;
+    std::size_t bytes_sent_of_first_segment = 0;
+    bool is_read_closed = false;    // its end of stream was received
+    bool is_write_closed = false;   // and was passed on to the other end
+    std::optional<TimerId> resume;  // when the first segment is due
+  };
+
+  void attach(Side& side, FileDescriptor fd);
+  [[nodiscard]] bool connect_target();
+  void forward_bytes_from(Side& source, Side& sink);
+  void read_available(Side& source, const Side& sink);
+  void send_due_segments(Side& source, Side& sink);
+  [[nodiscard]] bool send_first_segment(Side& source, Side& sink);
+  void resume_at(Side& source, Time due_at);
+  void close(bool by_reset);
+
+  EventLoop& loop_;
+  LinkRules& rules_;
+  std::uint64_t id_;
+  Route route_;
+  Side client_;
+  Side target_;
+  bool is_closed_ = false;
+};
+
+}  // namespace rookproxy::test
--- a/tests/agent/agent_test.cpp
+++ b/tests/agent/agent_test.cpp
@@ -11,7 +11,9 @@
 #include <sstream>
 
 #include "config/agent_config.h"
-#include "fakes/standins.h"
+#include "fakes/sockets.h"
+#include "fakes/temporary_directory.h"
+#include "fakes/test_connection.h"
 
 using namespace rookproxy;
 using namespace std::chrono_literals;
--- a/tests/auth/mutation_test.cpp
+++ b/tests/auth/mutation_test.cpp
@@ -11,8 +11,8 @@
 
 #include "auth/base64url.h"
 #include "auth/gatekeeper.h"
-#include "fakes/callers.h"
-#include "fakes/standins.h"
+#include "fakes/credential_fixture.h"
+#include "fakes/temporary_directory.h"
 #include "tls/context.h"
 
 namespace rookproxy::test {
@@ -278,8 +278,8 @@
   Random random(seed() + 2);
   const Folder folder;
   CredentialFixture callers(folder.path);
-  callers.issue_certificate("officer", "URI:urn:test:officer", -10, 3600, false, true);
-  const json section = callers.tls_section(true, "off", "required", true);
+  callers.issue_certificate({.name = "officer", .alternative_name = "URI:urn:test:officer"});
+  const json section = callers.tls_section({.client_certificates = "required", .has_revocation_list = true});
   tls::ServerSettings settings;
   settings.certificate = section["certificate"];
   settings.key = section["key"];
@@ -315,7 +315,7 @@
   Random random(seed() + 3);
   const Folder folder;
   CredentialFixture callers(folder.path);
-  const json section = callers.tls_section(true, "off", "required", true);
+  const json section = callers.tls_section({.client_certificates = "required", .has_revocation_list = true});
   tls::ServerSettings settings;
   settings.certificate = section["certificate"];
   settings.key = section["key"];
--- a/tests/cluster/transport_test.cpp
+++ b/tests/cluster/transport_test.cpp
@@ -10,8 +10,10 @@
 #include <set>
 
 #include "cluster/transport/socket.h"
-#include "fakes/relay.h"
-#include "fakes/standins.h"
+#include "fakes/fault_injecting_network_thread.h"
+#include "fakes/sockets.h"
+#include "fakes/temporary_directory.h"
+#include "fakes/test_connection.h"
 #include "net/clock.h"
 
 using namespace rookproxy;
@@ -574,17 +576,16 @@
   std::vector<std::vector<Envelope>> heard;
   Net(std::uint64_t seed, std::size_t members, bool with_all = false) : relay(loop, seed), heard(members) {
     TransportSettings settings{{0x7f000001, 0}, {}, 0, {}, {kKey}, 1 << 20};
-    for (FaultInjectingNetwork::Node i = 0; i < members; ++i)
-      settings.members.push_back(relay.proxy_address_of(i));
+    for (test::NodeId i = 0; i < members; ++i) settings.members.push_back(relay.proxy_address_of(i));
     if (with_all) settings.broadcast_address = relay.broadcast_address();
-    for (FaultInjectingNetwork::Node i = 0; i < members; ++i) {
+    for (test::NodeId i = 0; i < members; ++i) {
       settings.self = static_cast<MemberId>(i);
       sockets.push_back(std::make_unique<PeerSocket>(
           loop, settings, 1 + i, [this, i](const Envelope& e) { heard[i].push_back(e); }));
       relay.set_real_address(i, sockets[i]->local());
     }
   }
-  bool settled(FaultInjectingNetwork::Node from, FaultInjectingNetwork::Node to, std::uint64_t came) {
+  bool settled(test::NodeId from, test::NodeId to, std::uint64_t came) {
     const auto& c = relay.statistics(from, to);
     return c.datagrams_received == came &&
            c.datagrams_forwarded + c.datagrams_dropped == c.datagrams_received + c.datagrams_duplicated &&
@@ -674,8 +675,7 @@
   const auto door = relay.run_on_thread([&](FaultInjectingNetwork& r) {
     return r.open_tcp_proxy(0, 1, {0x7f000001, local_port(listener)});
   });
-  const auto rule = [&](FaultInjectingNetwork::Node from, FaultInjectingNetwork::Node to,
-                        const LinkRule& now) {
+  const auto rule = [&](test::NodeId from, test::NodeId to, const LinkRule& now) {
     relay.run_on_thread([&](FaultInjectingNetwork& r) { r.set_rule(from, to, now); });
   };
   test::TestConnection client(connect_tcp(door));
--- a/tests/discovery/discovery_test.cpp
+++ b/tests/discovery/discovery_test.cpp
@@ -9,7 +9,8 @@
 #include <sstream>
 
 #include "discovery/directory.h"
-#include "fakes/standins.h"
+#include "fakes/dns_response.h"
+#include "fakes/sockets.h"
 #include "support/descriptors.h"
 
 namespace rookproxy {
--- a/tests/dispatcher/components_test.cpp
+++ b/tests/dispatcher/components_test.cpp
@@ -12,7 +12,9 @@
 #include "config/config.h"
 #include "dispatcher/dispatcher.h"
 #include "dispatcher/rules.h"
-#include "fakes/standins.h"
+#include "fakes/sockets.h"
+#include "fakes/temporary_directory.h"
+#include "fakes/test_connection.h"
 #include "log/log.h"
 #include "net/stream.h"
 
--- a/tests/frontend/parsers_test.cpp
+++ b/tests/frontend/parsers_test.cpp
@@ -3,7 +3,7 @@
 #include <random>
 
 #include "discovery/dns.h"
-#include "fakes/standins.h"
+#include "fakes/dns_response.h"
 #include "frontend/frames.h"
 #include "mysql/protocol.h"
 #include "sql/lexer.h"
--- a/tests/integration/auth_test.cpp
+++ b/tests/integration/auth_test.cpp
@@ -3,7 +3,7 @@
 
 #include "auth/base64url.h"
 #include "auth/gatekeeper.h"
-#include "fakes/callers.h"
+#include "fakes/credential_fixture.h"
 #include "support/scenario.h"
 
 using rookproxy::test::run_scenario;
--- a/tests/integration/cluster_processes_test.cpp
+++ b/tests/integration/cluster_processes_test.cpp
@@ -7,7 +7,8 @@
 #include <memory>
 #include <optional>
 
-#include "fakes/relay.h"
+#include "fakes/fault_injecting_network_thread.h"
+#include "fakes/temporary_directory.h"
 #include "support/process.h"
 
 using namespace rookproxy;
@@ -73,9 +74,7 @@
   void net(Act act) {
     relay_.run_on_thread([&](FaultInjectingNetwork& relay) { act(relay); });
   }
-  static FaultInjectingNetwork::Node node(std::size_t i) {
-    return static_cast<FaultInjectingNetwork::Node>(i);
-  }
+  static NodeId node(std::size_t i) { return static_cast<NodeId>(i); }
   // Nothing passes between this member and the others, as far as the ways go.
   void cut(std::size_t member, bool out, bool in, bool is_cut = true) {
     net([&](FaultInjectingNetwork& relay) {
--- a/tests/integration/connection_close_test.cpp
+++ b/tests/integration/connection_close_test.cpp
@@ -20,7 +20,8 @@
 
 #include "config/config.h"
 #include "dispatcher/dispatcher.h"
-#include "fakes/standins.h"
+#include "fakes/sockets.h"
+#include "fakes/test_connection.h"
 #include "frontend/frames.h"
 #include "frontend/mysql.h"
 #include "support/process.h"
--- a/tests/integration/descriptor_limit_test.cpp
+++ b/tests/integration/descriptor_limit_test.cpp
@@ -6,7 +6,7 @@
 #include <catch2/catch.hpp>
 #include <optional>
 
-#include "fakes/standins.h"
+#include "fakes/sockets.h"
 #include "net/stream.h"
 #include "policy/descriptor_budget.h"
 #include "support/scenario.h"
--- a/tests/integration/event_order_test.cpp
+++ b/tests/integration/event_order_test.cpp
@@ -9,7 +9,8 @@
 
 #include "config/config.h"
 #include "dispatcher/dispatcher.h"
-#include "fakes/standins.h"
+#include "fakes/sockets.h"
+#include "fakes/test_connection.h"
 #include "upstream/lines.h"
 
 using namespace rookproxy;
--- a/tests/integration/graceful_shutdown_test.cpp
+++ b/tests/integration/graceful_shutdown_test.cpp
@@ -7,7 +7,10 @@
 #include <filesystem>
 #include <map>
 
-#include "fakes/lines_engine.h"
+#include "fakes/auto_reply_line_engine.h"
+#include "fakes/dns_response.h"
+#include "fakes/fake_discovery_server.h"
+#include "fakes/temporary_directory.h"
 #include "frontend/frames.h"
 #include "net/clock.h"
 #include "policy/shutdown.h"
--- a/tests/integration/slow_start_processes_test.cpp
+++ b/tests/integration/slow_start_processes_test.cpp
@@ -4,7 +4,8 @@
 #include <cmath>
 #include <filesystem>
 
-#include "fakes/lines_engine.h"
+#include "fakes/auto_reply_line_engine.h"
+#include "fakes/temporary_directory.h"
 #include "frontend/frames.h"
 #include "support/process.h"
 
--- a/tests/support/process.h
+++ b/tests/support/process.h
@@ -15,7 +15,8 @@
 #include <thread>
 #include <vector>
 
-#include "fakes/standins.h"
+#include "fakes/sockets.h"
+#include "fakes/test_connection.h"
 #include "support/confine.h"
 
 namespace rookproxy::test {
--- a/tests/support/scenario.cpp
+++ b/tests/support/scenario.cpp
@@ -16,9 +16,13 @@
 #include <sstream>
 #include <stdexcept>
 
-#include "fakes/callers.h"
-#include "fakes/lines_engine.h"
-#include "fakes/standins.h"
+#include "fakes/auto_reply_line_engine.h"
+#include "fakes/credential_fixture.h"
+#include "fakes/fake_discovery_server.h"
+#include "fakes/fake_mysql_engine.h"
+#include "fakes/sockets.h"
+#include "fakes/temporary_directory.h"
+#include "fakes/test_connection.h"
 #include "frontend/frames.h"
 #include "support/confine.h"
 #include "support/descriptors.h"
@@ -209,15 +213,16 @@
     if (verb == "tls") {
       const std::string fronts = next_word(), clients = next_word();
       const bool mysql = fronts != "frames";
-      config_["tls"] = credentials_->tls_section(fronts != "mysql", mysql ? "required" : "off",
-                                                 clients.empty() ? "none" : clients, next_word() == "crl");
+      config_["tls"] = credentials_->tls_section({fronts != "mysql", mysql ? "required" : "off",
+                                                  clients.empty() ? "none" : clients, next_word() == "crl"});
       return;
     }
     if (verb == "certificate") return make_certificate();
     if (verb == "crl") {
       const int to = std::stoi(next_word());
       const std::string from = next_word();
-      return credentials_->publish_crl(from.empty() ? -1 : std::stoi(from), to);
+      return credentials_->publish_revocation_list(
+          {std::chrono::seconds(from.empty() ? -1 : std::stoi(from)), std::chrono::seconds(to)});
     }
     if (verb == "lines-engines") return create_auto_reply_engines();
     if (verb == "rotate") return rotate_under_load();
@@ -231,7 +236,7 @@
       const std::string kind = next_word(), what = next_word();
       if (kind != "certificate") return credentials_->revoke_token(kind, what);
       credentials_->revoke_certificate(what);
-      return credentials_->publish_crl(-1, 3600);
+      return credentials_->publish_revocation_list();
     }
     if (verb == "signal") {
       std::string name = next_word();
@@ -493,9 +498,13 @@
   void make_certificate() {
     const std::string name = next_word(), alternative = next_word(), from = next_word(), to = next_word();
     const std::string more = remaining_text();
-    credentials_->issue_certificate(name, alternative == "-" ? "" : alternative,
-                                    from.empty() ? -10 : std::stoi(from), to.empty() ? 3600 : std::stoi(to),
-                                    more.find("stranger") != more.npos, more.find("server") == more.npos);
+    credentials_->issue_certificate({name,
+                                     alternative == "-" ? "" : alternative,
+                                     {std::chrono::seconds(from.empty() ? -10 : std::stoi(from)),
+                                      std::chrono::seconds(to.empty() ? 3600 : std::stoi(to))},
+                                     more.find("stranger") != more.npos,
+                                     more.find("server") == more.npos ? CertificateRequest::Usage::kClient
+                                                                      : CertificateRequest::Usage::kServer});
   }
 
   // A client library's script, told where to connect and with which token.
