--- a/tests/discovery/discovery_test.cpp
+++ b/tests/discovery/discovery_test.cpp
@@ -11,7 +11,7 @@
 #include "discovery/directory.h"
 #include "fakes/dns_response.h"
 #include "fakes/sockets.h"
-#include "support/descriptors.h"
+#include "support/descriptor_limit.h"
 
 namespace rookproxy {
 namespace {
--- a/tests/integration/cluster_processes_test.cpp
+++ b/tests/integration/cluster_processes_test.cpp
@@ -1,5 +1,8 @@
 // Dispatchers of one fleet as real processes, with a bad network between them.
+#include <signal.h>
 #include <sys/stat.h>
+#include <fstream>
+#include <thread>
 
 #include <catch2/catch.hpp>
 #include <cstdio>
@@ -8,8 +11,12 @@
 #include <optional>
 
 #include "fakes/fault_injecting_network_thread.h"
+#include "fakes/sockets.h"
 #include "fakes/temporary_directory.h"
-#include "support/process.h"
+#include "fakes/test_connection.h"
+#include "support/dispatcher_config.h"
+#include "support/dispatcher_process.h"
+#include "support/require.h"
 
 using namespace rookproxy;
 using namespace rookproxy::test;
@@ -95,8 +102,9 @@
   }
   void start(std::size_t i, DispatcherProcess& process) {
     const std::string& folder = members_[i].folder;
-    process.start(folder, folder + "/log" + std::to_string(++members_[i].starts), {}, false,
-                  folder + "/fleet.toml");
+    process.start({.directory = folder,
+                   .log_path = folder + "/log" + std::to_string(++members_[i].starts),
+                   .operator_file = folder + "/fleet.toml"});
     process.wait_for_log("ready to serve");
   }
   void start(std::size_t i) { start(i, process(i) = DispatcherProcess()); }
--- a/tests/integration/connection_close_test.cpp
+++ b/tests/integration/connection_close_test.cpp
@@ -1,10 +1,13 @@
 // How connections of clients end: in an order that the test controls, on real sockets, with the loop in a
 // thread of its own and the client in the test's.
+#include <fcntl.h>
 #include <malloc.h>
 #include <netinet/tcp.h>
+#include <signal.h>
 #include <sys/eventfd.h>
 #include <sys/socket.h>
 #include <unistd.h>
+#include <thread>
 
 #include <atomic>
 #include <catch2/catch.hpp>
@@ -24,7 +27,9 @@
 #include "fakes/test_connection.h"
 #include "frontend/frames.h"
 #include "frontend/mysql.h"
-#include "support/process.h"
+#include "support/dispatcher_config.h"
+#include "support/dispatcher_process.h"
+#include "support/require.h"
 
 using namespace rookproxy;
 using namespace rookproxy::test;
--- a/tests/integration/descriptor_limit_test.cpp
+++ b/tests/integration/descriptor_limit_test.cpp
@@ -1,5 +1,5 @@
 // Descriptors run out: who has some kept for them, who is told, and what serves on.
-#include "support/descriptors.h"
+#include "support/descriptor_limit.h"
 
 #include <sys/socket.h>
 
--- a/tests/integration/graceful_shutdown_test.cpp
+++ b/tests/integration/graceful_shutdown_test.cpp
@@ -1,6 +1,8 @@
 // How the program ends: the decision by a table, then the real program, with signals at every moment.
+#include <fcntl.h>
 #include <signal.h>
 #include <sys/stat.h>
+#include <fstream>
 
 #include <algorithm>
 #include <catch2/catch.hpp>
@@ -10,11 +12,16 @@
 #include "fakes/auto_reply_line_engine.h"
 #include "fakes/dns_response.h"
 #include "fakes/fake_discovery_server.h"
+#include "fakes/sockets.h"
 #include "fakes/temporary_directory.h"
+#include "fakes/test_connection.h"
 #include "frontend/frames.h"
 #include "net/clock.h"
 #include "policy/shutdown.h"
-#include "support/process.h"
+#include "support/dispatcher_config.h"
+#include "support/dispatcher_process.h"
+#include "support/request_frame.h"
+#include "support/require.h"
 #include "support/scenario.h"
 
 using namespace rookproxy;
@@ -133,7 +140,7 @@
   void start(const std::vector<FileDescriptor>& passed = {}) {
     std::filesystem::remove(config_path_);
     require(::mkfifo(config_path_.c_str(), 0600) == 0, "no pipe");
-    process_.start(directory_, directory_ + "/held.log", passed);
+    process_.start({directory_, directory_ + "/held.log"}, passed);
     // Comes back once the dispatcher has opened it to read: it is past its first lines, and waits.
     pipe_ = FileDescriptor(::open(config_path_.c_str(), O_WRONLY | O_CLOEXEC));
     require(static_cast<bool>(pipe_), "the pipe was not opened");
@@ -165,16 +172,6 @@
   return config;
 }
 
-nlohmann::json make_endpoint_batch(std::uint16_t port) {
-  nlohmann::json member{{"id", "e"},       {"host_port", "127.0.0.1:" + std::to_string(port)},
-                        {"locality", "z"}, {"flavor", "m"},
-                        {"phase", "up"},   {"size", 1},
-                        {"up_since_ms", 0}};
-  return nlohmann::json::array(
-      {{{"offset", 1},
-        {"topology", {{"revision", 1}, {"complete", true}, {"members", {std::move(member)}}}}}});
-}
-
 std::string call_id(std::size_t number) {
   const std::string digits = std::to_string(number);
   return std::string(16 - digits.size(), '0') + digits;
@@ -183,12 +180,7 @@
 // A request on stream 1, and on stream 2 the question whether the dispatcher is ready.
 std::string make_request_and_readiness_frames(std::size_t number) {
   const frames::Fields fields{{"op", "lookup"}, {"ttl", "9000"}, {"call", call_id(number)}};
-  std::string payload(1, static_cast<char>(fields.size()));
-  for (const auto& [key, value] : fields) {
-    payload +=
-        static_cast<char>(key.size()) + key + std::string(1, '\0') + static_cast<char>(value.size()) + value;
-  }
-  return frames::encode_frame(frames::kRequest, 1, payload + "SELECT 1") +
+  return encode_request_frame(1, fields, "SELECT 1") +
          frames::encode_frame(frames::kReadinessQuery, 2, std::string(1, '\0'));
 }
 
@@ -242,7 +234,7 @@
   FileDescriptor directory = bind_udp({0x7f000001, 0});
   nlohmann::json config = default_dispatcher_config();
   config["nameserver"] = "127.0.0.1:" + std::to_string(local_port(directory));
-  config["known"]["batch"] = make_endpoint_batch(engine.port());
+  config["known"]["batch"] = make_known_batch({{"e", engine.port()}});
   BlockedStart held;
   held.start();
   held.release(config);
@@ -287,7 +279,7 @@
   config["listen"] = "127.0.0.1:" + std::to_string(local_port(passed[0]));
   std::ofstream(folder + "/config.json") << config.dump();
   DispatcherProcess former;
-  former.start(folder, folder + "/former.log", passed);
+  former.start({folder, folder + "/former.log"}, passed);
   former.wait_for_log("ready to serve");
   BlockedStart successor(folder);
   successor.start(passed);
@@ -454,7 +446,7 @@
       nlohmann::json config = default_dispatcher_config();
       config["listen"] = "127.0.0.1:" + std::to_string(local_port(passed[0]));
       config["nameserver"] = "127.0.0.1:" + std::to_string(row.up ? directory.port() : silent_port);
-      if (!row.up) config["known"]["batch"] = make_endpoint_batch(engine.port());
+      if (!row.up) config["known"]["batch"] = make_known_batch({{"e", engine.port()}});
       one.start(passed);
       doors.push_back(std::move(passed[0]));
       one.release(config);
--- a/tests/integration/platform_test.cpp
+++ b/tests/integration/platform_test.cpp
@@ -14,8 +14,8 @@
 #include <string>
 #include <thread>
 
-#include "support/confine.h"
 #include "support/scenario.h"
+#include "support/system_call_filter.h"
 
 namespace rookproxy::test {
 namespace {
--- a/tests/integration/slow_start_processes_test.cpp
+++ b/tests/integration/slow_start_processes_test.cpp
@@ -1,13 +1,20 @@
 // Cold engines under the sum of what a fleet of real processes sends.
+#include <signal.h>
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <cmath>
 #include <filesystem>
+#include <fstream>
+#include <thread>
 
 #include "fakes/auto_reply_line_engine.h"
+#include "fakes/sockets.h"
 #include "fakes/temporary_directory.h"
+#include "fakes/test_connection.h"
 #include "frontend/frames.h"
-#include "support/process.h"
+#include "support/dispatcher_config.h"
+#include "support/dispatcher_process.h"
+#include "support/require.h"
 
 using namespace rookproxy;
 using namespace rookproxy::test;
@@ -77,7 +84,7 @@
       config_["settings"]["ordinal"] = i;
       std::ofstream(folder + "/config.json") << config_.dump();
       processes_.emplace_back();
-      processes_.back().start(folder, folder + "/log" + std::to_string(starts_));
+      processes_.back().start({folder, folder + "/log" + std::to_string(starts_)});
     }
     for (const DispatcherProcess& one : processes_) {
       one.wait_for_log("ready to serve");
--- a/tests/support/scenario.h
+++ b/tests/support/scenario.h
@@ -2,11 +2,11 @@
 // The scenario language: one step a line, against real processes on loopback. '#' starts a comment.
 //
 //   engines A B ...                 engines that the scenario plays, speaking lines
-//   mysql-engines A B ...           engines that speak MySQL by themselves (MysqlStandIn)
-//   lines-engines A B ...           engines that speak lines and answer at once by themselves (LinesEngine)
+//   mysql-engines A B ...           engines that speak MySQL by themselves (FakeMysqlEngine)
+//   lines-engines A B ...           engines that speak lines and answer at once by themselves (AutoReplyLineEngine)
 //   rotate under load from N        the keys old and new change places while N connections ask; nobody valid is refused
 //   set /a/b VALUE                  a key of the configuration (JSON pointer and value), before start or configure
-//   confine                         before start: under what the platform refuses (confine.h)
+//   confine                         before start: under what the platform refuses (system_call_filter.h)
 //   start                           the dispatcher; waits until it serves
 //   configure [TEXT]                writes the configuration anew, as it stands or as that text
 //   signal TERM|INT|HUP|KILL|STOP|CONT   to the dispatcher
@@ -49,7 +49,7 @@
 //   call TEXT                       one line to the operators' address; its answer is kept
 //   expect answer TEXT              that answer, in part
 //   expect figure NAME=VALUE        waits until METRICS shows svc.NAME=VALUE
-//   access                          callers are identified from the start on (Callers::section)
+//   access                          callers are identified from the start on (CredentialFixture::access_section)
 //   key K ES256|RS256|EdDSA | publish K[:NBF:EXP] ...     makes a key; the set of those keys is in place
 //   token T K ROLE [JSON]           a token signed with K; the claims changed by that merge patch ("exp":"+3": in 3 s)
 //   revoke jti|sub NAME | spoil TEXT                      TEXT in place of the set of keys
@@ -73,7 +73,7 @@
 
 namespace rookproxy::test {
 
-// Plays it; throws std::runtime_error with the line at fault and the dispatcher's log.
+/// Plays a scenario against real processes; throws std::runtime_error with the line at fault and the logs.
 void run_scenario(const std::string& scenario);
 
 }  // namespace rookproxy::test
--- /dev/null
+++ b/tests/support/scripted_line_engine.h
@@ -0,0 +1,65 @@
+/// An engine that a scenario plays by hand, in the line protocol.
+#pragma once
+
+#include <chrono>
+#include <cstdint>
+#include <optional>
+#include <string>
+#include <vector>
+
+#include "fakes/sockets.h"
+#include "fakes/test_connection.h"
+#include "net/fd.h"
+
+namespace rookproxy::test {
+
+/// Reads commands from all its connections and answers the last one as it is told. For one thread.
+class ScriptedLineEngine {
+ public:
+  [[nodiscard]] std::uint16_t port() const { return port_; }
+
+  /// How many requests were read.
+  [[nodiscard]] int request_count() const { return request_count_; }
+
+  /// Waits for a command on any connection: its line, followed by a request's body on a line of its own.
+  std::optional<std::string> next_command(std::chrono::milliseconds within);
+
+  /// Reads commands until none has come for so long.
+  void discard_commands(std::chrono::milliseconds quiet_time);
+
+  /// An answer to the last request that was read.
+  [[nodiscard]] std::string format_response(const std::string& kind, const std::string& fields,
+                                            const std::string& body) const;
+
+  /// Sends on the connection of the last command.
+  void send(const std::string& bytes);
+  void send_first_half(const std::string& bytes);
+  void send_second_half();
+
+  /// True if there are no connections yet, or the one of the last command is still open.
+  [[nodiscard]] bool is_last_connection_open() const;
+  [[nodiscard]] bool wait_for_end_of_last_connection();
+
+  /// Lets no connection in any more: the kernel drops attempts to connect, as for a machine that is cut off.
+  void fill_accept_queue();
+  void drain_accept_queue();
+
+  /// Refuses connections from now on; its port stays taken.
+  void close_listener();
+  void close_connections() { connections_.clear(); }
+
+ private:
+  std::optional<std::string> take_command(std::size_t index);
+
+  FileDescriptor listener_ = listen_on_free_port();
+  std::uint16_t port_ = local_port(listener_);
+  std::vector<TestConnection> connections_;
+  std::size_t last_connection_ = 0;
+  std::string last_request_id_;
+  int request_count_ = 0;
+  std::string unsent_half_;
+  std::vector<FileDescriptor> queue_fillers_;
+  FileDescriptor port_holder_;
+};
+
+}  // namespace rookproxy::test
