--- a/src/demo/main.cpp
+++ b/src/demo/main.cpp
@@ -1,5 +1,5 @@
-// rookproxy-demo: a dispatcher on an embedded default. Two stand-in engines, the real rookproxy before them,
-// one statement through its MySQL front; then it serves on.
+/// rookproxy-demo: starts rookproxy with an embedded configuration and two fake engines behind it, runs one
+/// statement through its MySQL frontend, and then serves on.
 #include <signal.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -23,7 +23,12 @@
 using test::TestConnection;
 using namespace std::chrono_literals;
 
-// The fakes take this account (src/fakes).
+constexpr std::size_t kPacketHeaderSize = 4;  // of the MySQL protocol
+constexpr auto kGreetingWait = 200ms;
+constexpr auto kConnectInterval = 100ms;
+constexpr int kMaxConnectAttempts = 50;
+
+// The account of mysql_engines is the one that the fake engines accept (src/fakes).
 constexpr const char* kDemoConfigTemplate = R"(name = "demo"
 seed = "1"
 link = "mysql"
@@ -148,6 +153,48 @@
   if (child_pid > 0) ::kill(static_cast<pid_t>(child_pid), SIGTERM);
 }
 
+std::string make_config(std::uint16_t frontend_port, std::uint16_t first_engine_port,
+                        std::uint16_t second_engine_port) {
+  std::string config = kDemoConfigTemplate;
+  config = replace_port_placeholder(config, "%FRONT%", frontend_port);
+  config = replace_port_placeholder(config, "%ONE%", first_engine_port);
+  return replace_port_placeholder(config, "%TWO%", second_engine_port);
+}
+
+// Connects until the dispatcher greets; a connection that is refused ends at once.
+TestConnection connect_when_ready(ChildProcess& dispatcher, std::uint16_t port) {
+  TestConnection connection = TestConnection::connect(port);
+  for (int attempts = 0; !connection.wait_for_bytes(kPacketHeaderSize, kGreetingWait); ++attempts) {
+    if (attempts == kMaxConnectAttempts || !dispatcher.is_running()) {
+      throw std::runtime_error("the dispatcher does not come up");
+    }
+    std::this_thread::sleep_for(kConnectInterval);
+    connection = TestConnection::connect(port);
+  }
+  return connection;
+}
+
+// Runs the statement through a dispatcher of its own; unless `once`, serves on until a signal ends it.
+void run_demo(const std::string& statement, bool once) {
+  const test::TemporaryDirectory directory;
+  FakeMysqlEngine first_engine;
+  FakeMysqlEngine second_engine;
+  const std::uint16_t frontend_port = free_port();
+  const std::string config_path = directory.file("demo.toml");
+  std::ofstream(config_path) << make_config(frontend_port, first_engine.port(), second_engine.port());
+  const auto program = std::filesystem::read_symlink("/proc/self/exe").parent_path() / "rookproxy";
+  ChildProcess dispatcher(program.string(), config_path);
+  child_pid = dispatcher.pid();
+  ::signal(SIGINT, forward_termination_signal);
+  ::signal(SIGTERM, forward_termination_signal);
+  TestConnection connection = connect_when_ready(dispatcher, frontend_port);
+  std::cout << statement << "\n" << run_query(connection, statement) << std::flush;
+  if (once) return;
+  std::cout << "serving on 127.0.0.1:" << frontend_port << ", user demo, password demo; Ctrl-C ends it"
+            << std::endl;
+  dispatcher.wait();
+}
+
 }  // namespace
 
 int main(int argc, char** argv) {
@@ -157,39 +204,11 @@
   app.add_flag("--once", once, "ends after the answer, and does not serve on");
   app.add_option("--query", statement, "what it asks; the stand-ins answer N rows to rows_N");
   CLI11_PARSE(app, argc, argv);
-  const std::string folder = test::make_temporary_directory();
   try {
-    if (folder.empty()) throw std::runtime_error("no folder for its file");
-    FakeMysqlEngine one, two;
-    const std::uint16_t front = free_port();
-    const std::string file = folder + "/demo.toml";
-    std::ofstream(file) << replace_port_placeholder(
-        replace_port_placeholder(replace_port_placeholder(kDemoConfigTemplate, "%FRONT%", front), "%ONE%",
-                                 one.port()),
-        "%TWO%", two.port());
-    const auto program = std::filesystem::read_symlink("/proc/self/exe").parent_path() / "rookproxy";
-    ChildProcess dispatcher(program.string(), file);
-    child_pid = dispatcher.pid();
-    ::signal(SIGINT, forward_termination_signal);
-    ::signal(SIGTERM, forward_termination_signal);
-    TestConnection peer = TestConnection::connect(front);
-    for (int tries = 0; !peer.wait_for_bytes(4, 200ms); ++tries) {  // a refused connection ends at once
-      if (tries == 50 || !dispatcher.is_running())
-        throw std::runtime_error("the dispatcher does not come up");
-      std::this_thread::sleep_for(100ms);
-      peer = TestConnection::connect(front);
-    }
-    std::cout << statement << "\n" << run_query(peer, statement) << std::flush;
-    if (!once) {
-      std::cout << "serving on 127.0.0.1:" << front << ", user demo, password demo; Ctrl-C ends it"
-                << std::endl;
-      dispatcher.wait();
-    }
-  } catch (const std::exception& fault) {
-    std::cerr << "rookproxy-demo: " << fault.what() << "\n";
-    std::filesystem::remove_all(folder);
+    run_demo(statement, once);
+  } catch (const std::exception& error) {
+    std::cerr << "rookproxy-demo: " << error.what() << "\n";
     return 1;
   }
-  std::filesystem::remove_all(folder);
   return 0;
 }
--- a/src/fakes/auto_reply_line_engine.cpp
+++ b/src/fakes/auto_reply_line_engine.cpp
@@ -66,18 +66,18 @@
   void on_closed(std::string_view) override {
     auto closed = server_.connections_.take(key_);
     if (!closed) return;
-    server_.loop_.defer([kept = std::make_shared<std::unique_ptr<Connection>>(std::move(*closed))] {});
+    server_.loop_.defer([connection = std::make_shared<std::unique_ptr<Connection>>(std::move(*closed))] {});
   }
 
  private:
-  // `rest` is what follows the command's line; returns how many bytes line and body took, 0 if the body has
-  // not come yet.
-  std::size_t handle_request(std::string_view line, std::string_view rest) {
+  // `after_line` is what follows the command's line; returns how many bytes line and body took, 0 if the body
+  // has not come yet.
+  std::size_t handle_request(std::string_view line, std::string_view after_line) {
     const std::size_t body_size = std::stoul(std::string(line.substr(line.rfind(' ') + 1)));
-    if (rest.size() < body_size + kLineEnd.size()) return 0;
+    if (after_line.size() < body_size + kLineEnd.size()) return 0;
     const std::string_view fields = line.substr(kRequestCommand.size());
     const std::string_view id = fields.substr(0, fields.find(' '));
-    server_.engine_.on_statement(rest.substr(0, body_size));
+    server_.engine_.on_statement(after_line.substr(0, body_size));
     stream_.write(std::string(id) + " data parts=1 6\r\na\tb\tc\n\r\n");
     return line.size() + kLineEnd.size() + body_size + kLineEnd.size();
   }
