--- a/tests/support/fault_injection.h
+++ b/tests/support/fault_injection.h
@@ -20,9 +20,12 @@
 
 #include "dispatcher/dispatcher.h"
 #include "dispatcher/module_time.h"
+#include "fakes/sockets.h"
 #include "frontend/frames.h"
 #include "log/log.h"
-#include "net/clock.h"
+#include "support/manual_clock.h"
+#include "support/request_frame.h"
+#include "support/scripted_engine.h"
 #include "upstream/lines.h"
 
 namespace rookproxy::test {
@@ -32,23 +35,14 @@
 constexpr Duration kAttemptAfterDisconnectLimit =
     100ms;  // an attempt that begins later, after its client went, is a break
 
-// The one clock of all worlds.
-struct ManualClock {
-  Time now = monotonic_now();
-  ManualClock() { manual_clock = &now; }
-  ~ManualClock() { manual_clock = nullptr; }
-};
-
-enum class CloseKind { kGraceful, kReset, kUnresponsive, kHalfClose, kCancelRequest };
-inline const char* close_kind_name(CloseKind end) {
-  static const char* const names[] = {"close", "reset", "silence", "half-close", "type 8"};
-  return names[static_cast<int>(end)];
-}
-
+/// How the dispatcher of a test cluster is set up.
 struct ClusterOptions {
-  bool may_cancel = true, second_copies = false;
+  bool may_cancel = true;
+  bool second_copies = false;
   std::uint32_t max_attempts = 3;
-  Duration idempotency_window = 100ms, drain_grace_period = 1s, dial_timeout = 250ms;
+  Duration idempotency_window = 100ms;
+  Duration drain_grace_period = 1s;
+  Duration dial_timeout = 250ms;
   std::size_t streams_per_connection = 6;  // attempts on a connection before another is dialled
   bool small_buffers = false;  // small buffers, and reading stops with the first answer that is not taken
 };
@@ -82,89 +76,31 @@
   return settings;
 }
 
-// One attempt as its engine saw it.
-struct ObservedAttempt {
-  std::string id;
-  std::size_t engine = 0, connection = 0;
-  Time started_at;                        // its first byte
-  bool fully_received = false;            // all of it has come
-  std::optional<Time> proven_not_run_at;  // a whole answer went out that proves that it never ran
-  bool is_in_flight = true;               // neither answered in whole, nor stopped, nor its connection ended
-  std::set<std::size_t> fetched_parts;
-};
-
-class TestCluster;
-
-class ScriptedEngine {
- public:
-  struct Connection {
-    FileDescriptor fd;
-    std::string receive_buffer;
-    std::optional<Time> command_started_at;  // the first byte of the command that is not yet whole
-    std::size_t attempt = SIZE_MAX;          // its attempt
-    bool ended = false;
-  };
-  std::size_t index = 0;
-  FileDescriptor listener = listen_tcp({0x7f000001, 0});
-  std::uint16_t port = local_port(listener);
-  std::deque<Connection> connections;
-  bool accept_queue_full = false, is_reading = true;
-
-  bool process_input(TestCluster& world);
-  void write(std::size_t link, std::string_view bytes) {
-    Connection& to = connections[link];
-    if (to.fd && ::send(to.fd.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL) < 0) to.ended = true;
-  }
-  void close_connection(std::size_t link, CloseKind how) {
-    Connection& one = connections[link];
-    if (how == CloseKind::kUnresponsive || !one.fd) return;
-    if (how == CloseKind::kReset) set_reset_on_close(one.fd);
-    one.fd.reset();
-    one.ended = true;
-  }
-  static void set_reset_on_close(const FileDescriptor& fd) {
-    const linger at_once{1, 0};
-    ::setsockopt(fd.get(), SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
-  }
-  // Its queue takes no connection any more: the kernel drops what comes, as a machine that is cut off does.
-  void fill_accept_queue() {
-    accept_queue_full = true;
-    ::listen(listener.get(), 0);
-    for (int i = 0; i < 4; ++i) queue_fillers_.push_back(connect_tcp({0x7f000001, port}));
-  }
-  void resume() {
-    is_reading = true;
-    if (!std::exchange(accept_queue_full, false)) return;
-    queue_fillers_.clear();
-    while (accept_connection(listener)) {
-    }
-    ::listen(listener.get(), 64);
-  }
-
- private:
-  std::vector<FileDescriptor> queue_fillers_;
-};
-
+/// One request and what its client received for it.
 struct Request {
-  std::string call_id, class_name;
+  std::string call_id;
+  std::string class_name;
   std::size_t client = 0;
   std::uint32_t stream = 0;
   Duration time_to_live{};
-  std::optional<Time> sent_at, client_disconnected_at;
+  std::optional<Time> sent_at;
+  std::optional<Time> client_disconnected_at;
   bool may_lie_unread = false;  // its attempt may lie unread at an engine: when it began there can't be seen
   std::vector<std::pair<int, std::string>> responses;  // code and body
 };
 
+/// A client of the frame protocol.
 struct TestClient {
   FileDescriptor fd;
   std::string in;
   bool saw_end = false;  // it saw the end
-  bool is_reading = true, disconnected = false;
+  bool is_reading = true;
+  bool disconnected = false;
   std::uint32_t next_stream = 1;
 };
 
-// A dispatcher with a front and links, four engines and any clients, all in this thread.
-class TestCluster {
+/// A dispatcher with its frontend and connections, four engines and any clients, all in this thread.
+class TestCluster final : private AttemptObserver {
  public:
   explicit TestCluster(ManualClock& clock, const ClusterOptions& setup = {})
       : clock_(clock),
@@ -225,19 +161,12 @@
     const Request& r = requests[request];
     const frames::Fields fields{
         {"op", r.class_name}, {"ttl", std::to_string(r.time_to_live / 1ms)}, {"call", r.call_id}};
-    std::string payload(1, static_cast<char>(fields.size()));
-    for (const auto& [key, value] : fields) {
-      payload += static_cast<char>(key.size()) + key;
-      payload += '\0';
-      payload += static_cast<char>(value.size()) + value;
-    }
-    return frames::encode_frame(frames::kRequest, r.stream, payload + statement);
+    return encode_request_frame(r.stream, fields, statement);
   }
   std::size_t create_request(std::size_t client, const std::string& cls, Duration ttl = 1000ms) {
     static std::uint64_t calls = 0;
-    char call[17];
-    std::snprintf(call, sizeof call, "%016llx", static_cast<unsigned long long>(++calls));
-    requests.push_back({call, cls, client, clients[client].next_stream++, ttl, {}, {}, false, {}});
+    requests.push_back(
+        {format_call_id(++calls), cls, client, clients[client].next_stream++, ttl, {}, {}, false, {}});
     return requests.size() - 1;
   }
   void send_bytes(std::size_t client, std::string_view bytes) {
@@ -265,7 +194,7 @@
     if (how == CloseKind::kHalfClose) {
       ::shutdown(one.fd.get(), SHUT_WR);
     } else {
-      if (how == CloseKind::kReset) ScriptedEngine::set_reset_on_close(one.fd);
+      if (how == CloseKind::kReset) set_reset_on_close(one.fd);
       one.fd.reset();
     }
   }
@@ -329,22 +258,34 @@
                        body + "\r\n");
   }
 
-  // Lets everything come to its end, some of it first in ways that make the dispatcher try again; then looks
-  // at what was seen. Returns what is wrong, one word each.
+  // Lets everything come to its end, some of it first in ways that make the dispatcher try again, and checks
+  // the invariants; then that the dispatcher serves on and closes all it holds. Adds what is wrong.
   void finish(std::multiset<std::string>& wrong) {
+    complete_requests();
+    check_invariants(wrong);
+    std::multiset<std::string> later;
+    repeat_all_calls(later);
+    for (const std::string& violation : later) wrong.insert("afterwards: " + violation);
+    close_everything();
+    check_nothing_left_open(wrong);
+  }
+
+  void complete_requests() {
     advance_time(150ms);
     for (ScriptedEngine& engine : engines) engine.resume();
     on_request = [this](std::size_t attempt) { serve(attempt); };
     for (std::size_t i = 0; i < observed_attempts.size(); ++i) {
-      if (observed_attempts[i].is_in_flight && observed_attempts[i].fully_received &&
-          engines[observed_attempts[i].engine].connections[observed_attempts[i].connection].fd)
-        reject(i);
+      const ObservedAttempt& attempt = observed_attempts[i];
+      if (!attempt.is_in_flight || !attempt.fully_received) continue;
+      if (engines[attempt.engine].connections[attempt.connection].fd) reject(i);
     }
     advance_time(3s);
     for (TestClient& client : clients) client.is_reading = true;
     settle();
-    check_invariants(wrong);
-    // It serves on: the same calls may be asked again, and whoever asks is served.
+  }
+
+  // The same calls may be sent again, and every client is served.
+  void repeat_all_calls(std::multiset<std::string>& wrong) {
     std::vector<std::string> calls;
     for (const Request& request : requests) calls.push_back(request.call_id);
     requests.clear();
@@ -352,42 +293,45 @@
     drain_started_at_.clear();
     states_.fill(routing::EngineState::kServing);
     publish_endpoints();
-    const std::size_t fresh = connect();
+    const std::size_t client = connect();
     for (const std::string& call : calls) {
-      const std::size_t again = create_request(fresh, "safe", 3000ms);
-      requests[again].call_id = call;
-      requests[again].sent_at = clock_.now;
-      send_bytes(fresh, frame(again));
+      const std::size_t request = create_request(client, "safe", 3000ms);
+      requests[request].call_id = call;
+      requests[request].sent_at = clock_.now;
+      send_bytes(client, frame(request));
     }
     advance_time(3200ms);
-    std::multiset<std::string> later;
-    check_invariants(later);
+    check_invariants(wrong);
     for (const Request& request : requests) {
-      if (request.responses.size() == 1 && request.responses[0].first != frames::kServed)
-        later.insert("not served");
+      if (request.responses.size() == 1 && request.responses[0].first != frames::kServed) {
+        wrong.insert("not served");
+      }
     }
-    for (const std::string& one : later) wrong.insert("afterwards: " + one);
-    // Resets leave no port behind in TIME-WAIT, of which there are few; at one point in 32 what rests is left
-    // to its idle times.
+  }
+
+  // Resets leave no port behind in TIME-WAIT, of which there are few; at one point in 32 the connections are
+  // left to their idle timeouts instead.
+  void close_everything() {
     static int points_checked = 0;
-    if (++points_checked % 32 == 0) {
-      advance_time(90s);
-    } else {
-      for (std::size_t i = 0; i < clients.size(); ++i) {
-        if (clients[i].fd) disconnect_client(i, CloseKind::kReset);
-      }
-      for (ScriptedEngine& engine : engines) {
-        for (std::size_t i = 0; i < engine.connections.size(); ++i)
-          engine.close_connection(i, CloseKind::kReset);
+    if (++points_checked % 32 == 0) return advance_time(90s);
+    for (std::size_t i = 0; i < clients.size(); ++i) {
+      if (clients[i].fd) disconnect_client(i, CloseKind::kReset);
+    }
+    for (ScriptedEngine& engine : engines) {
+      for (std::size_t i = 0; i < engine.connections.size(); ++i) {
+        engine.close_connection(i, CloseKind::kReset);
       }
-      settle();
     }
+    settle();
+  }
+
+  void check_nothing_left_open(std::multiset<std::string>& wrong) {
     if (core.open_request_count() != 0) wrong.insert("a request stays open");
     if (!front_.is_flushed()) wrong.insert("an answer stays queued");
     if (pool.attempts_in_flight() != 0) wrong.insert("an attempt stays carried");
     for (const ScriptedEngine& engine : engines) {
-      for (const auto& link : engine.connections) {
-        if (link.fd && !link.ended) wrong.insert("a connection to an engine stays open");
+      for (const auto& connection : engine.connections) {
+        if (connection.fd && !connection.ended) wrong.insert("a connection to an engine stays open");
       }
     }
     for (const TestClient& client : clients) {
@@ -396,53 +340,74 @@
   }
 
   void check_invariants(std::multiset<std::string>& wrong) const {
-    for (const Request& r : requests) {
-      if (r.sent_at && !r.client_disconnected_at && r.responses.empty()) wrong.insert("no answer");
-      if (r.responses.size() > 1) wrong.insert("a second answer");
-      if (!r.sent_at && !r.responses.empty()) wrong.insert("an answer to half a request");
-      std::vector<const ObservedAttempt*> tries;
-      for (const ObservedAttempt& one : observed_attempts) {
-        if (one.id == r.call_id) tries.push_back(&one);
+    for (const Request& request : requests) {
+      std::vector<const ObservedAttempt*> attempts_of_request;
+      for (const ObservedAttempt& attempt : observed_attempts) {
+        if (attempt.id == request.call_id) attempts_of_request.push_back(&attempt);
       }
-      if (tries.size() > setup_.max_attempts) wrong.insert("too many attempts");
-      const bool unsafe = r.class_name == "unsafe";
-      for (std::size_t i = 0; i < tries.size(); ++i) {
-        const ObservedAttempt& one = *tries[i];
-        if (!r.sent_at) wrong.insert("an attempt of half a request");
-        if (r.client_disconnected_at &&
-            one.started_at > *r.client_disconnected_at + kAttemptAfterDisconnectLimit)
-          wrong.insert("an attempt after its client went");
-        if (r.sent_at && one.started_at > *r.sent_at + r.time_to_live)
-          wrong.insert("an attempt after the deadline");
-        if (const auto told = drain_started_at_.find(one.engine);
-            !r.may_lie_unread && told != drain_started_at_.end() &&
-            one.started_at > told->second + setup_.drain_grace_period) {
-          wrong.insert("an attempt after the drain's grace");
-        }
-        for (std::size_t k = 0; k < i; ++k) {
-          const ObservedAttempt& earlier = *tries[k];
-          if (earlier.proven_not_run_at && *earlier.proven_not_run_at <= one.started_at)
-            continue;  // proven never to have run
-          if (unsafe) wrong.insert("unsafe, and an earlier attempt may have run");
-          if (unsafe || r.class_name == "safe") continue;
-          if (one.started_at > earlier.started_at + setup_.idempotency_window)
-            wrong.insert("keyed, and its window is over");
-          if ((r.class_name == "zone" && zone(one.engine) != zone(earlier.engine)) ||
-              (r.class_name == "cell" && cell(one.engine) != cell(earlier.engine))) {
-            wrong.insert("keyed, and outside its group");
-          }
+      check_response_count(request, wrong);
+      if (attempts_of_request.size() > setup_.max_attempts) wrong.insert("too many attempts");
+      for (std::size_t i = 0; i < attempts_of_request.size(); ++i) {
+        check_attempt(request, *attempts_of_request[i], wrong);
+        for (std::size_t earlier = 0; earlier < i; ++earlier) {
+          check_repeated_attempt(request, *attempts_of_request[earlier], *attempts_of_request[i], wrong);
         }
       }
-      for (const auto& [code, body] : r.responses) {
-        if (code == frames::kServed &&
-            (!produced_bodies.contains(r.call_id) || !produced_bodies.at(r.call_id).contains(body)))
-          wrong.insert("served what no engine made");
-        const bool ran = std::any_of(tries.begin(), tries.end(),
-                                     [](const ObservedAttempt* one) { return !one->proven_not_run_at; });
-        if (code == frames::kRejected && unsafe && ran) wrong.insert("refused, and it may have run");
+      check_responses(request, attempts_of_request, wrong);
+    }
+    for (const std::string& violation : protocol_violations) wrong.insert(violation);
+  }
+
+  static void check_response_count(const Request& request, std::multiset<std::string>& wrong) {
+    const bool is_owed = request.sent_at && !request.client_disconnected_at;
+    if (is_owed && request.responses.empty()) wrong.insert("no answer");
+    if (request.responses.size() > 1) wrong.insert("a second answer");
+    if (!request.sent_at && !request.responses.empty()) wrong.insert("an answer to half a request");
+  }
+
+  void check_attempt(const Request& request, const ObservedAttempt& attempt,
+                     std::multiset<std::string>& wrong) const {
+    const auto& disconnected_at = request.client_disconnected_at;
+    if (!request.sent_at) wrong.insert("an attempt of half a request");
+    if (disconnected_at && attempt.started_at > *disconnected_at + kAttemptAfterDisconnectLimit) {
+      wrong.insert("an attempt after its client went");
+    }
+    if (request.sent_at && attempt.started_at > *request.sent_at + request.time_to_live) {
+      wrong.insert("an attempt after the deadline");
+    }
+    const auto drain = drain_started_at_.find(attempt.engine);
+    if (request.may_lie_unread || drain == drain_started_at_.end()) return;
+    if (attempt.started_at > drain->second + setup_.drain_grace_period) {
+      wrong.insert("an attempt after the drain's grace");
+    }
+  }
+
+  void check_repeated_attempt(const Request& request, const ObservedAttempt& earlier,
+                              const ObservedAttempt& later, std::multiset<std::string>& wrong) const {
+    if (earlier.proven_not_run_at && *earlier.proven_not_run_at <= later.started_at) return;
+    if (request.class_name == "unsafe") wrong.insert("unsafe, and an earlier attempt may have run");
+    if (request.class_name == "unsafe" || request.class_name == "safe") return;
+    if (later.started_at > earlier.started_at + setup_.idempotency_window) {
+      wrong.insert("keyed, and its window is over");
+    }
+    const bool leaves_zone = request.class_name == "zone" && zone(later.engine) != zone(earlier.engine);
+    const bool leaves_cell = request.class_name == "cell" && cell(later.engine) != cell(earlier.engine);
+    if (leaves_zone || leaves_cell) wrong.insert("keyed, and outside its group");
+  }
+
+  void check_responses(const Request& request, const std::vector<const ObservedAttempt*>& attempts_of_request,
+                       std::multiset<std::string>& wrong) const {
+    const bool may_have_run =
+        std::any_of(attempts_of_request.begin(), attempts_of_request.end(),
+                    [](const ObservedAttempt* attempt) { return !attempt->proven_not_run_at; });
+    const auto produced = produced_bodies.find(request.call_id);
+    for (const auto& [code, body] : request.responses) {
+      const bool is_produced = produced != produced_bodies.end() && produced->second.contains(body);
+      if (code == frames::kServed && !is_produced) wrong.insert("served what no engine made");
+      if (code == frames::kRejected && request.class_name == "unsafe" && may_have_run) {
+        wrong.insert("refused, and it may have run");
       }
     }
-    for (const std::string& one : protocol_violations) wrong.insert(one);
   }
 
   EventLoop loop;
@@ -457,9 +422,11 @@
   std::string body_padding;                        // in the bodies of honest answers
   std::multiset<std::string> protocol_violations;  // what should never come
   std::string log() const { return text_.str(); }
-  Time now() const { return clock_.now; }
+  [[nodiscard]] Time now() const override { return clock_.now; }
 
  private:
+  std::deque<ObservedAttempt>& attempts() override { return observed_attempts; }
+  void on_full_request(std::size_t attempt) override { on_request(attempt); }
   static FileDescriptor listener(const ClusterOptions& setup) {
     FileDescriptor fd = listen_tcp({0x7f000001, 0});
     const int small = 4096;
@@ -527,68 +494,7 @@
   FramesFrontend front_;
 };
 
-inline bool ScriptedEngine::process_input(TestCluster& world) {
-  bool moved = false;
-  while (!accept_queue_full) {
-    FileDescriptor fd = accept_connection(listener);
-    if (!fd) break;
-    connections.push_back({std::move(fd), "", {}, SIZE_MAX, false});
-    moved = true;
-  }
-  for (std::size_t at = 0; at < connections.size(); ++at) {
-    Connection& link = connections[at];
-    if (!link.fd || link.ended || !is_reading) continue;
-    char chunk[16 * 1024];
-    const ssize_t got = ::recv(link.fd.get(), chunk, sizeof chunk, MSG_DONTWAIT);
-    if (got < 0 && (errno == EAGAIN || errno == EINTR)) continue;
-    moved = true;
-    if (got <= 0) {
-      link.ended = true;
-      for (ObservedAttempt& one : world.observed_attempts) {
-        if (one.engine == index && one.connection == at) one.is_in_flight = false;
-      }
-      continue;
-    }
-    link.receive_buffer.append(chunk, static_cast<std::size_t>(got));
-    while (!link.receive_buffer.empty()) {
-      if (!link.command_started_at) link.command_started_at = world.now();
-      const auto line_end = link.receive_buffer.find("\r\n");
-      std::istringstream words(link.receive_buffer.substr(0, line_end));
-      std::string verb, id, last, word;
-      words >> verb >> id;
-      while (words >> word) last = word;
-      // A request counts from its first byte, once that says what it is and whose.
-      if (verb == "REQ" && id.size() == 16 && link.attempt == SIZE_MAX) {
-        link.attempt = world.observed_attempts.size();
-        world.observed_attempts.push_back({id, index, at, *link.command_started_at, false, {}, true, {}});
-      }
-      if (line_end == std::string::npos) break;
-      std::size_t used = line_end + 2;
-      if (verb == "REQ") {
-        const std::size_t body = std::stoul(last);
-        if (link.receive_buffer.size() < used + body + 2) break;
-        used += body + 2;
-      }
-      link.receive_buffer.erase(0, used);
-      link.command_started_at.reset();
-      const std::size_t mine = std::exchange(link.attempt, SIZE_MAX);
-      if (verb == "REQ") {
-        world.observed_attempts[mine].fully_received = true;
-        world.on_request(mine);
-        continue;
-      }
-      if (verb == "STAT" || verb == "HELO") write(at, id + " well - 0\r\n\r\n");
-      for (ObservedAttempt& one : world.observed_attempts) {
-        if (one.id != id || one.engine != index || one.connection != at) continue;
-        if (verb == "STOP" || verb == "END") one.is_in_flight = false;
-        if (verb == "FETCH") one.fetched_parts.insert(std::stoul(last));
-      }
-    }
-  }
-  return moved;
-}
-
-// What was wrong at which points: one line for each kind, with the first points and how many there are.
+/// What was wrong at which points: one line for each kind, with the first points and how many there are.
 class InvariantReport {
  public:
   int points = 0;
@@ -617,6 +523,7 @@
   std::map<std::string, std::vector<std::string>> points_by_violation_;
 };
 
+/// The name of a point at which a fault was injected: its parts with a space after each.
 struct PointName {
   std::ostringstream text;
   template <class... Parts>
