--- a/bench/access_load.cpp
+++ b/bench/access_load.cpp
@@ -13,11 +13,14 @@
 #include <iostream>
 #include <thread>
 
-#include "fakes/callers.h"
-#include "fakes/lines_engine.h"
-#include "fakes/standins.h"
+#include "fakes/auto_reply_line_engine.h"
+#include "fakes/credential_fixture.h"
+#include "fakes/sockets.h"
+#include "fakes/temporary_directory.h"
 #include "frontend/frame_codec.h"
 
+#include "frontend/frames.h"
+
 namespace {
 
 using namespace rookproxy;
--- a/bench/access_micro.cpp
+++ b/bench/access_micro.cpp
@@ -13,8 +13,9 @@
 #include <vector>
 
 #include "auth/authenticator.h"
-#include "fakes/callers.h"
-#include "fakes/standins.h"
+#include "auth/gatekeeper.h"
+#include "fakes/credential_fixture.h"
+#include "fakes/temporary_directory.h"
 #include "sql/statement_analysis.h"
 
 namespace {
--- a/tests/agent/agent_test.cpp
+++ b/tests/agent/agent_test.cpp
@@ -11,7 +11,10 @@
 #include <sstream>
 
 #include "config/agent_config.h"
-#include "fakes/standins.h"
+
+#include "fakes/sockets.h"
+#include "fakes/temporary_directory.h"
+#include "fakes/test_connection.h"
 #include "net/sockets.h"
 
 using namespace rookproxy;
--- a/tests/cluster/event_loop_script.h
+++ b/tests/cluster/event_loop_script.h
@@ -5,7 +5,7 @@
 #include <functional>
 #include <vector>
 
-#include "fakes/standins.h"
+#include "fakes/sockets.h"
 #include "net/event_loop.h"
 
 namespace rookproxy::test {
--- a/tests/cluster/fault_injecting_network_test.cpp
+++ b/tests/cluster/fault_injecting_network_test.cpp
@@ -11,8 +11,9 @@
 
 #include "cluster/event_loop_script.h"
 #include "cluster/peer_network.h"
-#include "fakes/relay.h"
-#include "fakes/standins.h"
+#include "fakes/fault_injecting_network_thread.h"
+#include "fakes/sockets.h"
+#include "fakes/test_connection.h"
 #include "net/clock.h"
 #include "net/file_descriptor.h"
 #include "net/sockets.h"
--- a/tests/cluster/message_authenticator_test.cpp
+++ b/tests/cluster/message_authenticator_test.cpp
@@ -10,7 +10,7 @@
 #include <variant>
 
 #include "cluster/transport/codec.h"
-#include "fakes/standins.h"
+#include "fakes/temporary_directory.h"
 
 namespace rookproxy::cluster::transport {
 namespace {
--- a/tests/cluster/peer_network.h
+++ b/tests/cluster/peer_network.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "cluster/transport/peer_socket.h"
-#include "fakes/relay.h"
+#include "fakes/fault_injecting_network_thread.h"
 #include "net/event_loop.h"
 
 namespace rookproxy::cluster::transport {
--- a/tests/config/config_test.cpp
+++ b/tests/config/config_test.cpp
@@ -7,7 +7,7 @@
 #include <nlohmann/json.hpp>
 #include <string>
 
-#include "fakes/standins.h"
+#include "fakes/temporary_directory.h"
 #include "net/socket_address.h"
 
 using namespace rookproxy;
--- a/tests/discovery/dns_discovery_client_test.cpp
+++ b/tests/discovery/dns_discovery_client_test.cpp
@@ -9,13 +9,14 @@
 #include <sstream>
 
 #include "discovery/dns_discovery_client.h"
-#include "fakes/standins.h"
+#include "fakes/dns_response.h"
+#include "fakes/sockets.h"
 #include "net/event_loop.h"
 #include "net/file_descriptor.h"
 #include "net/slot_map.h"
 #include "net/socket_address.h"
 #include "net/sockets.h"
-#include "support/descriptors.h"
+#include "support/descriptor_limit.h"
 
 namespace rookproxy {
 namespace {
--- a/tests/discovery/dns_test.cpp
+++ b/tests/discovery/dns_test.cpp
@@ -4,7 +4,7 @@
 #include <string_view>
 
 #include "discovery/dns.h"
-#include "fakes/standins.h"
+#include "fakes/dns_response.h"
 #include "support/damaged_input.h"
 
 namespace rookproxy {
--- a/tests/frontend/parsers_test.cpp
+++ b/tests/frontend/parsers_test.cpp
@@ -1,6 +1,9 @@
 // The parsers of engine and MySQL protocols and of SQL: complete, cut, split at every byte and damaged input.
 #include <catch2/catch.hpp>
 
+#include "discovery/dns.h"
+#include "fakes/dns_response.h"
+#include "frontend/frames.h"
 #include "mysql/protocol.h"
 #include "sql/lexer.h"
 #include "sql/session_statement.h"
--- a/tests/integration/cluster_processes_test.cpp
+++ b/tests/integration/cluster_processes_test.cpp
@@ -1,5 +1,8 @@
 // Dispatchers of one cluster as real processes, with a fault-injecting network between them.
+#include <signal.h>
 #include <sys/stat.h>
+#include <fstream>
+#include <thread>
 
 #include <catch2/catch.hpp>
 #include <cstdio>
@@ -7,8 +10,13 @@
 #include <memory>
 #include <optional>
 
-#include "fakes/relay.h"
-#include "support/process.h"
+#include "fakes/fault_injecting_network_thread.h"
+#include "fakes/sockets.h"
+#include "fakes/temporary_directory.h"
+#include "fakes/test_connection.h"
+#include "support/dispatcher_config.h"
+#include "support/dispatcher_process.h"
+#include "support/require.h"
 
 using namespace rookproxy;
 using namespace rookproxy::test;
@@ -73,9 +81,7 @@
   void net(Act act) {
     relay_.run_on_thread([&](FaultInjectingNetwork& relay) { act(relay); });
   }
-  static FaultInjectingNetwork::Node node(std::size_t i) {
-    return static_cast<FaultInjectingNetwork::Node>(i);
-  }
+  static NodeId node(std::size_t i) { return static_cast<NodeId>(i); }
   // Nothing passes between this member and the others, as far as the ways go.
   void cut(std::size_t member, bool out, bool in, bool is_cut = true) {
     net([&](FaultInjectingNetwork& relay) {
@@ -96,8 +102,9 @@
   }
   void start(std::size_t i, DispatcherProcess& process) {
     const std::string& folder = members_[i].folder;
-    process.start(folder, folder + "/log" + std::to_string(++members_[i].starts), {}, false,
-                  folder + "/fleet.toml");
+    process.start({.directory = folder,
+                   .log_path = folder + "/log" + std::to_string(++members_[i].starts),
+                   .operator_file = folder + "/fleet.toml"});
     process.wait_for_log("ready to serve");
   }
   void start(std::size_t i) { start(i, process(i) = DispatcherProcess()); }
--- a/tests/integration/connection_close_test.cpp
+++ b/tests/integration/connection_close_test.cpp
@@ -1,7 +1,13 @@
 // How connections of clients end: in an order that the test controls, on real sockets, with the loop in a
 // thread of its own and the client in the test's.
+#include <fcntl.h>
 #include <malloc.h>
+#include <netinet/tcp.h>
+#include <signal.h>
+#include <sys/eventfd.h>
 #include <sys/socket.h>
+#include <unistd.h>
+#include <thread>
 
 #include <catch2/catch.hpp>
 #include <cstdio>
@@ -11,16 +17,22 @@
 
 #include "config/config.h"
 #include "dispatcher/dispatcher.h"
-#include "fakes/standins.h"
+
+#include "fakes/sockets.h"
+#include "fakes/test_connection.h"
+#include "frontend/frames.h"
 #include "frontend/frames_frontend.h"
+#include "frontend/mysql.h"
 #include "frontend/mysql_frontend.h"
 #include "net/event_loop.h"
 #include "net/file_descriptor.h"
 #include "net/socket_address.h"
 #include "net/sockets.h"
+#include "support/dispatcher_config.h"
+#include "support/dispatcher_process.h"
 #include "support/event_loop_thread.h"
-#include "support/process.h"
 #include "support/read_to_end.h"
+#include "support/require.h"
 
 using namespace rookproxy;
 using namespace rookproxy::test;
--- a/tests/integration/deployments_test.cpp
+++ b/tests/integration/deployments_test.cpp
@@ -12,7 +12,11 @@
 #include "config/config.h"
 #include "dispatcher/dispatcher.h"
 #include "dispatcher/stricter_settings.h"
-#include "fakes/standins.h"
+
+#include "dispatcher/rules.h"
+#include "fakes/sockets.h"
+#include "fakes/temporary_directory.h"
+#include "fakes/test_connection.h"
 #include "net/event_loop.h"
 #include "net/file_descriptor.h"
 #include "net/socket_address.h"
--- a/tests/integration/descriptor_limit_test.cpp
+++ b/tests/integration/descriptor_limit_test.cpp
@@ -1,7 +1,12 @@
 // Descriptors run out: who has some kept for them, who is told, and what serves on.
+#include "support/descriptor_limit.h"
+
+#include <sys/socket.h>
 #include <catch2/catch.hpp>
 #include <string>
 
+#include "fakes/sockets.h"
+#include "net/stream.h"
 #include "policy/descriptor_budget.h"
 #include "support/scenario.h"
 
--- a/tests/integration/dispatcher_fixture.h
+++ b/tests/integration/dispatcher_fixture.h
@@ -14,7 +14,8 @@
 
 #include "dispatcher/dispatcher.h"
 #include "dispatcher/routing_time.h"
-#include "fakes/standins.h"
+#include "fakes/sockets.h"
+#include "fakes/test_connection.h"
 #include "net/event_loop.h"
 #include "net/file_descriptor.h"
 #include "net/socket_address.h"
--- a/tests/integration/slow_start_processes_test.cpp
+++ b/tests/integration/slow_start_processes_test.cpp
@@ -1,12 +1,21 @@
 // An engine in slow start under the sum of what a cluster of real processes sends.
+#include <signal.h>
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <cmath>
 #include <filesystem>
+#include <fstream>
+#include <thread>
 
-#include "fakes/lines_engine.h"
+#include "fakes/auto_reply_line_engine.h"
+#include "fakes/sockets.h"
+#include "fakes/temporary_directory.h"
+#include "fakes/test_connection.h"
 #include "frontend/frame_codec.h"
-#include "support/process.h"
+#include "frontend/frames.h"
+#include "support/dispatcher_config.h"
+#include "support/dispatcher_process.h"
+#include "support/require.h"
 
 using namespace rookproxy;
 using namespace rookproxy::test;
@@ -86,7 +95,7 @@
       config_["settings"]["ordinal"] = i;
       std::ofstream(folder + "/config.json") << config_.dump();
       processes_.emplace_back();
-      processes_.back().start(folder, folder + "/log" + std::to_string(starts_));
+      processes_.back().start({folder, folder + "/log" + std::to_string(starts_)});
     }
     for (const DispatcherProcess& process : processes_) {
       process.wait_for_log("ready to serve");
--- a/tests/log/log_test.cpp
+++ b/tests/log/log_test.cpp
@@ -8,7 +8,7 @@
 #include <sstream>
 #include <string>
 
-#include "fakes/standins.h"
+#include "fakes/sockets.h"
 #include "net/file_descriptor.h"
 #include "net/socket_address.h"
 #include "net/sockets.h"
--- a/tests/net/acceptor_test.cpp
+++ b/tests/net/acceptor_test.cpp
@@ -8,9 +8,9 @@
 #include <optional>
 #include <vector>
 
-#include "fakes/standins.h"
+#include "fakes/sockets.h"
 #include "net/sockets.h"
-#include "support/descriptors.h"
+#include "support/descriptor_limit.h"
 
 namespace rookproxy {
 namespace {
--- a/tests/net/sockets_test.cpp
+++ b/tests/net/sockets_test.cpp
@@ -4,7 +4,7 @@
 
 #include <catch2/catch.hpp>
 
-#include "fakes/standins.h"
+#include "fakes/sockets.h"
 #include "net/sockets.h"
 
 using namespace rookproxy;
--- a/tests/net/stream_close_test.cpp
+++ b/tests/net/stream_close_test.cpp
@@ -9,7 +9,8 @@
 #include <string_view>
 #include <vector>
 
-#include "fakes/standins.h"
+#include "fakes/sockets.h"
+#include "fakes/test_connection.h"
 #include "net/sockets.h"
 #include "net/stream.h"
 #include "support/event_loop_thread.h"
--- a/tests/net/stream_test.cpp
+++ b/tests/net/stream_test.cpp
@@ -4,7 +4,8 @@
 #include <catch2/catch.hpp>
 #include <string>
 
-#include "fakes/standins.h"
+#include "fakes/sockets.h"
+#include "fakes/test_connection.h"
 #include "net/event_loop.h"
 #include "net/file_descriptor.h"
 #include "net/sockets.h"
--- a/tests/support/event_loop_thread.h
+++ b/tests/support/event_loop_thread.h
@@ -14,7 +14,7 @@
 #include <thread>
 #include <utility>
 
-#include "fakes/standins.h"
+#include "fakes/sockets.h"
 #include "net/event_loop.h"
 #include "net/file_descriptor.h"
 
--- a/tests/support/read_to_end.h
+++ b/tests/support/read_to_end.h
@@ -6,7 +6,7 @@
 #include <cerrno>
 #include <string>
 
-#include "fakes/standins.h"
+#include "fakes/sockets.h"
 #include "net/file_descriptor.h"
 
 namespace rookproxy::test {
--- a/tests/support/run_until.h
+++ b/tests/support/run_until.h
@@ -3,7 +3,7 @@
 
 #include <functional>
 
-#include "fakes/standins.h"
+#include "fakes/sockets.h"
 #include "net/event_loop.h"
 
 namespace rookproxy::test {
