--- a/bench/access_load.cpp
+++ b/bench/access_load.cpp
@@ -19,7 +19,9 @@
 #include "fakes/temporary_directory.h"
 #include "frontend/frame_codec.h"
 
-#include "frontend/frames.h"
+#include "frontend/frames_frontend.h"
+#include "net/file_descriptor.h"
+#include "net/sockets.h"
 
 namespace {
 
--- a/bench/access_micro.cpp
+++ b/bench/access_micro.cpp
@@ -13,9 +13,9 @@
 #include <vector>
 
 #include "auth/authenticator.h"
-#include "auth/gatekeeper.h"
 #include "fakes/credential_fixture.h"
 #include "fakes/temporary_directory.h"
+#include "net/event_loop.h"
 #include "sql/statement_analysis.h"
 
 namespace {
--- a/src/app/app.cpp
+++ b/src/app/app.cpp
@@ -99,9 +99,10 @@
     return std::make_unique<LineProtocolPool>(loop_, log_, dispatcher_, metrics_, limits);
   }
   const MysqlEnginesConfig& account = config.mysql_engines;
-  return std::make_unique<MysqlPool>(loop_, log_, dispatcher_, metrics_, limits,
-                                     MysqlAccount{account.user, account.password, account.schema},
-                                     kMaxMysqlResultBytes, max_buffered_bytes(config.memory_mb));
+  return std::make_unique<MysqlPool>(
+      loop_, log_, dispatcher_, metrics_, limits,
+      MysqlAccount{account.user, account.password, account.schema},
+      MysqlResultLimits{kMaxMysqlResultBytes, max_buffered_bytes(config.memory_mb)});
 }
 
 void App::open_process_lease() {
--- a/src/fakes/auto_reply_line_engine.cpp
+++ b/src/fakes/auto_reply_line_engine.cpp
@@ -3,7 +3,10 @@
 #include <memory>
 
 #include "fakes/sockets.h"
-#include "net/slots.h"
+#include "net/acceptor.h"
+#include "net/event_loop.h"
+#include "net/file_descriptor.h"
+#include "net/slot_map.h"
 #include "net/stream.h"
 
 namespace rookproxy::test {
--- a/src/fakes/certificate_authority.cpp
+++ b/src/fakes/certificate_authority.cpp
@@ -6,7 +6,7 @@
 
 #include <stdexcept>
 
-#include "auth/sign.h"
+#include "auth/signing_key.h"
 
 namespace rookproxy::test {
 namespace {
--- a/src/fakes/certificate_authority.h
+++ b/src/fakes/certificate_authority.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "auth/keys.h"
+#include "auth/key_set.h"
 
 struct x509_st;
 
--- a/src/fakes/credential_fixture.h
+++ b/src/fakes/credential_fixture.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "auth/sign.h"
+#include "auth/signing_key.h"
 #include "fakes/certificate_authority.h"
 
 namespace rookproxy::test {
--- a/src/fakes/fake_discovery_server.h
+++ b/src/fakes/fake_discovery_server.h
@@ -8,7 +8,9 @@
 #include <vector>
 
 #include "discovery/dns.h"
-#include "net/fd.h"
+#include "net/file_descriptor.h"
+#include "net/socket_address.h"
+#include "net/sockets.h"
 
 namespace rookproxy::test {
 
--- a/src/fakes/fake_mysql_engine.cpp
+++ b/src/fakes/fake_mysql_engine.cpp
@@ -5,6 +5,8 @@
 
 #include "fakes/fake_mysql_session.h"
 #include "fakes/sockets.h"
+#include "net/file_descriptor.h"
+#include "net/sockets.h"
 
 namespace rookproxy::test {
 namespace {
--- a/src/fakes/fake_mysql_engine.h
+++ b/src/fakes/fake_mysql_engine.h
@@ -7,7 +7,9 @@
 #include <vector>
 
 #include "fakes/fake_mysql_engine_state.h"
-#include "net/fd.h"
+#include "net/file_descriptor.h"
+#include "net/socket_address.h"
+#include "net/sockets.h"
 
 namespace rookproxy::test {
 
--- a/src/fakes/fake_mysql_session.cpp
+++ b/src/fakes/fake_mysql_session.cpp
@@ -6,6 +6,7 @@
 #include <thread>
 
 #include "fakes/sockets.h"
+#include "net/file_descriptor.h"
 
 namespace rookproxy::test {
 namespace {
--- a/src/fakes/fake_mysql_session.h
+++ b/src/fakes/fake_mysql_session.h
@@ -11,7 +11,9 @@
 #include "fakes/statement_behavior.h"
 #include "fakes/test_connection.h"
 #include "mysql/protocol.h"
-#include "net/fd.h"
+#include "net/file_descriptor.h"
+#include "net/socket_address.h"
+#include "net/sockets.h"
 
 namespace rookproxy::test {
 
--- a/src/fakes/fault_injecting_network.h
+++ b/src/fakes/fault_injecting_network.h
@@ -13,8 +13,10 @@
 
 #include "fakes/link_rule.h"
 #include "fakes/proxied_connection.h"
-#include "net/fd.h"
-#include "net/loop.h"
+#include "net/event_loop.h"
+#include "net/file_descriptor.h"
+#include "net/socket_address.h"
+#include "net/sockets.h"
 
 namespace rookproxy::test {
 
--- a/src/fakes/fault_injecting_network_thread.cpp
+++ b/src/fakes/fault_injecting_network_thread.cpp
@@ -6,6 +6,7 @@
 #include <system_error>
 
 #include "fakes/fd_callback.h"
+#include "net/event_loop.h"
 
 namespace rookproxy::test {
 
--- a/src/fakes/fault_injecting_network_thread.h
+++ b/src/fakes/fault_injecting_network_thread.h
@@ -10,7 +10,10 @@
 #include <vector>
 
 #include "fakes/fault_injecting_network.h"
-#include "net/fd.h"
+#include "net/event_loop.h"
+#include "net/file_descriptor.h"
+#include "net/socket_address.h"
+#include "net/sockets.h"
 
 namespace rookproxy::test {
 
--- a/src/fakes/fd_callback.h
+++ b/src/fakes/fd_callback.h
@@ -4,7 +4,8 @@
 #include <functional>
 #include <utility>
 
-#include "net/loop.h"
+#include "net/event_loop.h"
+#include "net/slot_map.h"
 
 namespace rookproxy::test {
 
--- a/src/fakes/proxied_connection.cpp
+++ b/src/fakes/proxied_connection.cpp
@@ -6,6 +6,9 @@
 #include <cerrno>
 
 #include "fakes/sockets.h"
+#include "net/event_loop.h"
+#include "net/file_descriptor.h"
+#include "net/sockets.h"
 
 namespace rookproxy::test {
 namespace {
--- a/src/fakes/proxied_connection.h
+++ b/src/fakes/proxied_connection.h
@@ -10,8 +10,10 @@
 
 #include "fakes/fd_callback.h"
 #include "fakes/link_direction.h"
-#include "net/fd.h"
-#include "net/loop.h"
+#include "net/event_loop.h"
+#include "net/file_descriptor.h"
+#include "net/socket_address.h"
+#include "net/sockets.h"
 
 namespace rookproxy::test {
 
--- a/src/fakes/sockets.cpp
+++ b/src/fakes/sockets.cpp
@@ -1,4 +1,6 @@
 #include "fakes/sockets.h"
+#include "net/file_descriptor.h"
+#include "net/sockets.h"
 
 #include <poll.h>
 #include <sys/socket.h>
--- a/src/fakes/sockets.h
+++ b/src/fakes/sockets.h
@@ -4,7 +4,9 @@
 #include <chrono>
 #include <cstdint>
 
-#include "net/fd.h"
+#include "net/file_descriptor.h"
+#include "net/socket_address.h"
+#include "net/sockets.h"
 
 namespace rookproxy::test {
 
--- a/src/fakes/test_connection.cpp
+++ b/src/fakes/test_connection.cpp
@@ -1,4 +1,6 @@
 #include "fakes/test_connection.h"
+#include "net/file_descriptor.h"
+#include "net/sockets.h"
 
 #include <poll.h>
 #include <sys/socket.h>
--- a/src/fakes/test_connection.h
+++ b/src/fakes/test_connection.h
@@ -11,7 +11,9 @@
 #include "fakes/sockets.h"
 #include "fakes/tls_client_session.h"
 #include "mysql/protocol.h"
-#include "net/fd.h"
+#include "net/file_descriptor.h"
+#include "net/socket_address.h"
+#include "net/sockets.h"
 
 namespace rookproxy::test {
 
--- a/tests/auth/mutation_test.cpp
+++ b/tests/auth/mutation_test.cpp
@@ -13,11 +13,9 @@
 #include "auth/base64url.h"
 #include "fakes/credential_fixture.h"
 
-#include "auth/gatekeeper.h"
 #include "fakes/credential_fixture.h"
 #include "fakes/temporary_directory.h"
 #include "net/event_loop.h"
-#include "tls/context.h"
 #include "tls/server_context.h"
 
 namespace rookproxy::test {
--- a/tests/cluster/fault_injecting_network_test.cpp
+++ b/tests/cluster/fault_injecting_network_test.cpp
@@ -91,8 +91,7 @@
   const auto proxy_address = network.run_on_thread([&](test::FaultInjectingNetwork& net) {
     return net.open_tcp_proxy(0, 1, {0x7f000001, local_port(listener)});
   });
-  const auto set_rule = [&](test::FaultInjectingNetwork::Node from, test::FaultInjectingNetwork::Node to,
-                            const test::LinkRule& now) {
+  const auto set_rule = [&](test::NodeId from, test::NodeId to, const test::LinkRule& now) {
     network.run_on_thread([&](test::FaultInjectingNetwork& net) { net.set_rule(from, to, now); });
   };
   test::TestConnection client(connect_tcp(proxy_address));
--- a/tests/cluster/peer_network.h
+++ b/tests/cluster/peer_network.h
@@ -15,7 +15,7 @@
 
 // Each member sends to the network's addresses, which forward to the others.
 struct PeerNetwork {
-  using Node = test::FaultInjectingNetwork::Node;
+  using Node = test::NodeId;
 
   PeerNetwork(std::uint64_t seed, std::size_t member_count, bool has_broadcast_address = false)
       : network(loop, seed), received(member_count) {
--- a/tests/frontend/parsers_test.cpp
+++ b/tests/frontend/parsers_test.cpp
@@ -3,7 +3,7 @@
 
 #include "discovery/dns.h"
 #include "fakes/dns_response.h"
-#include "frontend/frames.h"
+#include "frontend/frames_frontend.h"
 #include "mysql/protocol.h"
 #include "sql/lexer.h"
 #include "sql/session_statement.h"
@@ -66,8 +66,10 @@
     } catch (const mysql::MalformedPacketError&) {
     }
   };
-  test::parse_damaged(hello, [&](const std::string& bad) { survive([&] { (void)mysql::parse_greeting(bad); }); });
-  test::parse_damaged(bytes, [&](const std::string& bad) { survive([&] { (void)mysql::parse_login(bad); }); });
+  test::parse_damaged(hello,
+                      [&](const std::string& bad) { survive([&] { (void)mysql::parse_greeting(bad); }); });
+  test::parse_damaged(bytes,
+                      [&](const std::string& bad) { survive([&] { (void)mysql::parse_login(bad); }); });
 }
 
 TEST_CASE("mysql: proofs are those of the public specification") {
--- a/tests/integration/auth_test.cpp
+++ b/tests/integration/auth_test.cpp
@@ -3,7 +3,6 @@
 
 #include "auth/authenticator.h"
 #include "auth/base64url.h"
-#include "auth/gatekeeper.h"
 #include "fakes/credential_fixture.h"
 #include "support/scenario.h"
 
--- a/tests/integration/connection_close_test.cpp
+++ b/tests/integration/connection_close_test.cpp
@@ -20,9 +20,7 @@
 
 #include "fakes/sockets.h"
 #include "fakes/test_connection.h"
-#include "frontend/frames.h"
 #include "frontend/frames_frontend.h"
-#include "frontend/mysql.h"
 #include "frontend/mysql_frontend.h"
 #include "net/event_loop.h"
 #include "net/file_descriptor.h"
--- a/tests/integration/deployments_test.cpp
+++ b/tests/integration/deployments_test.cpp
@@ -13,7 +13,7 @@
 #include "dispatcher/dispatcher.h"
 #include "dispatcher/stricter_settings.h"
 
-#include "dispatcher/rules.h"
+#include "dispatcher/stricter_settings.h"
 #include "fakes/sockets.h"
 #include "fakes/temporary_directory.h"
 #include "fakes/test_connection.h"
--- a/tests/integration/event_order_test.cpp
+++ b/tests/integration/event_order_test.cpp
@@ -7,14 +7,14 @@
 #include <string>
 #include <thread>
 
-#include "integration/dispatcher_fixture.h"
-#include "net/file_descriptor.h"
-#include "net/sockets.h"
 #include "config/config.h"
 #include "dispatcher/dispatcher.h"
 #include "fakes/sockets.h"
 #include "fakes/test_connection.h"
-#include "upstream/lines.h"
+#include "integration/dispatcher_fixture.h"
+#include "net/file_descriptor.h"
+#include "net/sockets.h"
+#include "upstream/line_protocol_connection.h"
 
 using namespace rookproxy;
 using namespace std::chrono_literals;
--- a/tests/integration/graceful_shutdown_test.cpp
+++ b/tests/integration/graceful_shutdown_test.cpp
@@ -16,7 +16,7 @@
 #include "fakes/temporary_directory.h"
 #include "fakes/test_connection.h"
 #include "frontend/frame_codec.h"
-#include "frontend/frames.h"
+#include "frontend/frames_frontend.h"
 #include "net/clock.h"
 #include "net/file_descriptor.h"
 #include "net/sockets.h"
--- a/tests/integration/slow_start_processes_test.cpp
+++ b/tests/integration/slow_start_processes_test.cpp
@@ -12,7 +12,7 @@
 #include "fakes/temporary_directory.h"
 #include "fakes/test_connection.h"
 #include "frontend/frame_codec.h"
-#include "frontend/frames.h"
+#include "frontend/frames_frontend.h"
 #include "support/dispatcher_config.h"
 #include "support/dispatcher_process.h"
 #include "support/require.h"
--- a/tests/net/acceptor_test.cpp
+++ b/tests/net/acceptor_test.cpp
@@ -9,6 +9,8 @@
 #include <vector>
 
 #include "fakes/sockets.h"
+#include "net/event_loop.h"
+#include "net/file_descriptor.h"
 #include "net/sockets.h"
 #include "support/descriptor_limit.h"
 
--- a/tests/net/sockets_test.cpp
+++ b/tests/net/sockets_test.cpp
@@ -5,6 +5,7 @@
 #include <catch2/catch.hpp>
 
 #include "fakes/sockets.h"
+#include "net/file_descriptor.h"
 #include "net/sockets.h"
 
 using namespace rookproxy;
--- a/tests/net/stream_close_test.cpp
+++ b/tests/net/stream_close_test.cpp
@@ -11,6 +11,7 @@
 
 #include "fakes/sockets.h"
 #include "fakes/test_connection.h"
+#include "net/file_descriptor.h"
 #include "net/sockets.h"
 #include "net/stream.h"
 #include "support/event_loop_thread.h"
--- a/tests/support/descriptor_limit.h
+++ b/tests/support/descriptor_limit.h
@@ -7,7 +7,9 @@
 #include <utility>
 #include <vector>
 
-#include "net/fd.h"
+#include "net/file_descriptor.h"
+#include "net/socket_address.h"
+#include "net/sockets.h"
 
 namespace rookproxy::test {
 
--- a/tests/support/dispatcher_process.cpp
+++ b/tests/support/dispatcher_process.cpp
@@ -15,6 +15,7 @@
 
 #include "fakes/sockets.h"
 #include "fakes/test_connection.h"
+#include "net/file_descriptor.h"
 #include "support/require.h"
 #include "support/system_call_filter.h"
 
--- a/tests/support/fault_injection.h
+++ b/tests/support/fault_injection.h
@@ -20,6 +20,7 @@
 
 #include "dispatcher/dispatcher.h"
 #include "dispatcher/routing_time.h"
+#include "fakes/sockets.h"
 #include "frontend/frames_frontend.h"
 #include "log/log.h"
 #include "net/clock.h"
@@ -27,14 +28,10 @@
 #include "net/file_descriptor.h"
 #include "net/socket_address.h"
 #include "net/sockets.h"
-#include "upstream/line_protocol_connection.h"
-#include "dispatcher/module_time.h"
-#include "fakes/sockets.h"
-#include "frontend/frames.h"
 #include "support/manual_clock.h"
 #include "support/request_frame.h"
 #include "support/scripted_engine.h"
-#include "upstream/lines.h"
+#include "upstream/line_protocol_connection.h"
 
 namespace rookproxy::test {
 
--- a/tests/support/frames_client.h
+++ b/tests/support/frames_client.h
@@ -7,7 +7,7 @@
 #include <string>
 
 #include "fakes/test_connection.h"
-#include "frontend/frames.h"
+#include "frontend/frames_frontend.h"
 
 namespace rookproxy::test {
 
--- a/tests/support/request_frame.h
+++ b/tests/support/request_frame.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <string_view>
 
-#include "frontend/frames.h"
+#include "frontend/frames_frontend.h"
 
 namespace rookproxy::test {
 
--- a/tests/support/scenario_engine_steps.cpp
+++ b/tests/support/scenario_engine_steps.cpp
@@ -1,5 +1,7 @@
 #include <chrono>
 
+#include "net/file_descriptor.h"
+#include "net/sockets.h"
 #include "support/require.h"
 #include "support/scenario_steps.h"
 
--- a/tests/support/scenario_process_steps.cpp
+++ b/tests/support/scenario_process_steps.cpp
@@ -5,6 +5,7 @@
 #include <optional>
 #include <thread>
 
+#include "net/sockets.h"
 #include "support/descriptor_limit.h"
 #include "support/require.h"
 #include "support/scenario_steps.h"
--- a/tests/support/scripted_engine.cpp
+++ b/tests/support/scripted_engine.cpp
@@ -8,6 +8,8 @@
 #include <utility>
 
 #include "fakes/sockets.h"
+#include "net/file_descriptor.h"
+#include "net/sockets.h"
 
 namespace rookproxy::test {
 namespace {
--- a/tests/support/scripted_engine.h
+++ b/tests/support/scripted_engine.h
@@ -11,7 +11,9 @@
 #include <vector>
 
 #include "base/time.h"
-#include "net/fd.h"
+#include "net/file_descriptor.h"
+#include "net/socket_address.h"
+#include "net/sockets.h"
 
 namespace rookproxy::test {
 
--- a/tests/support/scripted_line_engine.cpp
+++ b/tests/support/scripted_line_engine.cpp
@@ -4,6 +4,9 @@
 
 #include <utility>
 
+#include "net/file_descriptor.h"
+#include "net/socket_address.h"
+#include "net/sockets.h"
 #include "support/require.h"
 
 namespace rookproxy::test {
--- a/tests/support/scripted_line_engine.h
+++ b/tests/support/scripted_line_engine.h
@@ -9,7 +9,9 @@
 
 #include "fakes/sockets.h"
 #include "fakes/test_connection.h"
-#include "net/fd.h"
+#include "net/file_descriptor.h"
+#include "net/socket_address.h"
+#include "net/sockets.h"
 
 namespace rookproxy::test {
 
