--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -60,6 +60,12 @@
   return 1 - kWithheldShare / (1 + std::exp2(steepness * above_mean));
 }
 
+bool Admission::key_allows(const Request& request) const {
+  if (!keys_.is_ordered(request)) return true;
+  if (!keys_.is_first(request)) return false;
+  return !request.attempts.empty() || !keys_.in_cooldown(request);
+}
+
 bool Admission::may_start(Engine& engine, const Request& request) const {
   const int level = priority(request);
   const int threads = state_.settings_of(request).threads;
@@ -68,7 +74,7 @@
   const bool is_warm = !slow_start_.warming_up(engine);
   if (is_warm && !limit_.aggregate_has_capacity(level, limit_share(request), threads)) return false;
   return retries_.attempt_allowed(request, request.attempts_in_flight) &&
-         retries_.engine_allowed(engine, request) && keys_.may_start(request) &&
+         retries_.engine_allowed(engine, request) && key_allows(request) &&
          slow_start_.allows(engine, request);
 }
 
--- a/src/routing/admission.h
+++ b/src/routing/admission.h
@@ -40,6 +40,9 @@
   [[nodiscard]] Time latest_start(const Request& request) const;
 
  private:
+  // Whether the request's key lets it start: the first of its key, once the key's cooldown is over. A retry
+  // of the first does not wait for the cooldown that its own attempt began.
+  [[nodiscard]] bool key_allows(const Request& request) const;
   // The weight that a response still has per unit of work: work past its objective takes no room from work
   // that can meet it, whatever made it late. Could harm where late responses are wanted after all: their late
   // weight says how much.
--- a/src/routing/ordered_keys.cpp
+++ b/src/routing/ordered_keys.cpp
@@ -12,13 +12,16 @@
   if (is_ordered(request)) keys_[request.key].waiting.push_back(&request);
 }
 
-bool OrderedKeys::may_start(const Request& request) const {
-  if (!is_ordered(request)) return true;
+bool OrderedKeys::is_first(const Request& request) const {
   const auto found = keys_.find(request.key);
   if (found == keys_.end()) return false;
-  const Key& key = found->second;
-  if (key.waiting.empty() || key.waiting.front() != &request) return false;
-  return !request.attempts.empty() || state_.now >= key.cooldown_until;
+  const auto& waiting = found->second.waiting;
+  return !waiting.empty() && waiting.front() == &request;
+}
+
+bool OrderedKeys::in_cooldown(const Request& request) const {
+  const auto found = keys_.find(request.key);
+  return found != keys_.end() && state_.now < found->second.cooldown_until;
 }
 
 void OrderedKeys::start_cooldown(const Request& request) {
--- a/src/routing/ordered_keys.h
+++ b/src/routing/ordered_keys.h
@@ -18,8 +18,12 @@
   explicit OrderedKeys(const RoutingState& state) : state_(state) {}
 
   void enter(Request& request);
-  // Whether the request is the first of its key and may start.
-  [[nodiscard]] bool may_start(const Request& request) const;
+  // Whether the request has a key, and a class whose requests run one at a time for each key.
+  [[nodiscard]] bool is_ordered(const Request& request) const;
+  // Whether an ordered request is the first of those that entered with its key.
+  [[nodiscard]] bool is_first(const Request& request) const;
+  // Whether the key of an ordered request rests after an attempt that may still run.
+  [[nodiscard]] bool in_cooldown(const Request& request) const;
   // An attempt ended that may still run: the key's next request waits for the settings' cooldown.
   void start_cooldown(const Request& request);
   // Removes a request that is completed and has no attempt in flight.
@@ -33,7 +37,6 @@
     std::deque<Request*> waiting;
     Time cooldown_until = 0;
   };
-  [[nodiscard]] bool is_ordered(const Request& request) const;
 
   const RoutingState& state_;
   std::map<std::uint64_t, Key> keys_;
--- a/tests/routing/records_test.cpp
+++ b/tests/routing/records_test.cpp
@@ -192,38 +192,44 @@
   }
   RoutingState state;
   OrderedKeys keys{state};
+
+  // What admission makes of the record.
+  [[nodiscard]] bool may_start(const Request& request) const {
+    if (!keys.is_ordered(request)) return true;
+    return keys.is_first(request) && (!request.attempts.empty() || !keys.in_cooldown(request));
+  }
   Request first;
   Request second;
 };
 
 TEST_F(OrderedKeysTest, OneRequestOfAKeyAtATime) {
-  EXPECT_TRUE(keys.may_start(first));
-  EXPECT_FALSE(keys.may_start(second));
+  EXPECT_TRUE(may_start(first));
+  EXPECT_FALSE(may_start(second));
   keys.leave_if_done(first);
-  EXPECT_FALSE(keys.may_start(second)) << "the first is not completed";
+  EXPECT_FALSE(may_start(second)) << "the first is not completed";
   first.completed = true;
   first.attempts_in_flight = 1;
   keys.leave_if_done(first);
-  EXPECT_FALSE(keys.may_start(second)) << "it may still run";
+  EXPECT_FALSE(may_start(second)) << "it may still run";
   first.attempts_in_flight = 0;
   keys.leave_if_done(first);
-  EXPECT_TRUE(keys.may_start(second));
+  EXPECT_TRUE(may_start(second));
 }
 
 TEST_F(OrderedKeysTest, AKeyRestsDuringItsCooldown) {
   first.completed = true;
   keys.start_cooldown(first);
   keys.leave_if_done(first);
-  EXPECT_FALSE(keys.may_start(second));
+  EXPECT_FALSE(may_start(second));
   state.now = 50;
-  EXPECT_TRUE(keys.may_start(second));
+  EXPECT_TRUE(may_start(second));
 }
 
 TEST_F(OrderedKeysTest, WithoutKeyOrOrderAllMayStart) {
   Request free;
-  EXPECT_TRUE(keys.may_start(free));
+  EXPECT_TRUE(may_start(free));
   state.settings.classes[0].ordered = false;
-  EXPECT_TRUE(keys.may_start(second));
+  EXPECT_TRUE(may_start(second));
 }
 
 TEST(RetryBudgetCounter, AllowsAShareOfRecentRequests) {
