--- a/src/upstream/prepared_statements.cpp
+++ b/src/upstream/engine_statement_cache.cpp
@@ -1,11 +1,11 @@
-#include "upstream/prepared_statements.h"
+#include "upstream/engine_statement_cache.h"
 
 #include <algorithm>
 #include <iterator>
 
 namespace rookproxy {
 
-std::optional<std::uint32_t> PreparedStatements::use(const std::string& text) {
+std::optional<std::uint32_t> EngineStatementCache::use(const std::string& text) {
   const auto found = std::find_if(statements_.begin(), statements_.end(),
                                   [&](const Statement& statement) { return statement.text == text; });
   if (found == statements_.end()) return std::nullopt;
@@ -13,15 +13,15 @@
   return found->id;
 }
 
-void PreparedStatements::add(const std::string& text, std::uint32_t id) {
+void EngineStatementCache::add(const std::string& text, std::uint32_t id) {
   statements_.push_front({text, id});
 }
 
-void PreparedStatements::remove(const std::string& text) {
+void EngineStatementCache::remove(const std::string& text) {
   statements_.remove_if([&](const Statement& statement) { return statement.text == text; });
 }
 
-std::vector<std::uint32_t> PreparedStatements::evict(const std::string& text) {
+std::vector<std::uint32_t> EngineStatementCache::evict(const std::string& text) {
   std::vector<std::uint32_t> ids;
   for (auto statement = statements_.begin(); statement != statements_.end();) {
     const bool is_oldest = std::next(statement) == statements_.end();
--- a/src/upstream/prepared_statements.h
+++ b/src/upstream/engine_statement_cache.h
@@ -12,7 +12,7 @@
 
 // Maps the texts of prepared statements to the ids that the engine gave them, the most recently used first.
 // It sends nothing: who removes a statement has to close it at the engine.
-class PreparedStatements {
+class EngineStatementCache {
  public:
   // The id of that statement, which becomes the most recently used one; empty if it is not prepared.
   [[nodiscard]] std::optional<std::uint32_t> use(const std::string& text);
--- a/src/upstream/mysql_connection.h
+++ b/src/upstream/mysql_connection.h
@@ -10,7 +10,7 @@
 #include "mysql/protocol.h"
 #include "net/slot_map.h"
 #include "upstream/engine_connection.h"
-#include "upstream/prepared_statements.h"
+#include "upstream/engine_statement_cache.h"
 #include "upstream/response_buffer.h"
 
 namespace rookproxy {
@@ -78,7 +78,7 @@
   // The command that makes the attempt run.
   std::optional<Stream::WriteId> execute_write_;
   bool ping_pending_ = false;
-  PreparedStatements prepared_statements_;
+  EngineStatementCache prepared_statements_;
   mysql::ResponseTracker tracker_;
   ResponseBuffer response_;
   std::string first_payload_;  // of the response, cut off
--- a/tests/upstream/mysql_units_test.cpp
+++ b/tests/upstream/mysql_units_test.cpp
@@ -4,14 +4,14 @@
 #include <vector>
 
 #include "mysql/protocol.h"
+#include "upstream/engine_statement_cache.h"
 #include "upstream/mysql_error_class.h"
-#include "upstream/prepared_statements.h"
 #include "upstream/response_buffer.h"
 
 using namespace rookproxy;
 
 TEST_CASE("prepared statements: the least recently used one is closed first") {
-  PreparedStatements statements;
+  EngineStatementCache statements;
   CHECK_FALSE(statements.use("0"));
   for (std::uint32_t id = 0; id <= 64; ++id) statements.add(std::to_string(id), id);
   CHECK(statements.use("0") == 0u);
