--- a/src/app/app.cpp
+++ b/src/app/app.cpp
@@ -10,6 +10,7 @@
 #include "app/limits.h"
 #include "app/listeners.h"
 #include "app/reload.h"
+#include "log/error_log.h"
 #include "net/event_loop.h"
 #include "upstream/line_protocol_connection.h"
 #include "upstream/mysql_pool.h"
@@ -181,7 +182,7 @@
     ++metrics_.config_reloads;
   } catch (const std::exception& error) {
     ++metrics_.config_reload_errors;
-    log_.write(LogLevel::kError, "access", std::string("the former keys stay: ") + error.what(), {});
+    log_error(log_, "access", "the former keys stay: ", error);
   }
 }
 
@@ -214,7 +215,7 @@
     ++metrics_.config_reloads;
   } catch (const std::exception& error) {
     ++metrics_.config_reload_errors;
-    log_.write(LogLevel::kError, "config", std::string("the former settings stay: ") + error.what(), {});
+    log_error(log_, "config", "the former settings stay: ", error);
   }
 }
 
--- a/src/auth/auth_settings.cpp
+++ b/src/auth/auth_settings.cpp
@@ -13,7 +13,8 @@
 
 constexpr std::size_t kMaxFileBytes = 4U << 20U;
 
-struct UnreadableFileError : KeyError {
+class UnreadableFileError : public KeyError {
+ public:
   UnreadableFileError() : KeyError("can't be read") {}
 };
 
--- a/src/auth/public_key.h
+++ b/src/auth/public_key.h
@@ -15,8 +15,9 @@
 
 // A key, a key set or one of the operator's files on callers can't be used. The message names the member at
 // fault.
-struct KeyError : SettingsError {
-  using SettingsError::SettingsError;
+class KeyError : public CredentialsError {
+ public:
+  using CredentialsError::CredentialsError;
 };
 
 // Frees a key of libcrypto.
--- a/src/cluster/transport/message_authenticator.h
+++ b/src/cluster/transport/message_authenticator.h
@@ -14,8 +14,9 @@
 namespace rookproxy::cluster::transport {
 
 // A key that can't be used.
-struct KeyError : SettingsError {
-  using SettingsError::SettingsError;
+class KeyError : public CredentialsError {
+ public:
+  using CredentialsError::CredentialsError;
 };
 
 // Limits of a key's length.
--- a/src/config/config_error.h
+++ b/src/config/config_error.h
@@ -9,7 +9,8 @@
 
 // What is wrong with one key of a configuration, or with a file of it. The message begins with the key's
 // path.
-struct ConfigError : SettingsError {
+class ConfigError : public SettingsError {
+ public:
   ConfigError(const std::string& key, const std::string& problem) : SettingsError(key + ": " + problem) {}
 };
 
--- a/src/ctl/command.h
+++ b/src/ctl/command.h
@@ -6,15 +6,17 @@
 #include <iostream>
 #include <memory>
 #include <optional>
-#include <stdexcept>
+#include <string>
 
+#include "base/errors.h"
 #include "ctl/exit_code.h"
 
 namespace rookproxy::ctl {
 
 // A command can't be carried out. The message says what is wrong with which file or option.
-struct CommandError : std::runtime_error {
-  using std::runtime_error::runtime_error;
+class CommandError : public Error {
+ public:
+  explicit CommandError(const std::string& message) : Error(ErrorCode::kInvalidCommand, message) {}
 };
 
 // A callback for CLI11 that runs a command and puts its exit code into `code`. An exception is printed and
--- a/src/mysql/packet.h
+++ b/src/mysql/packet.h
@@ -3,19 +3,21 @@
 
 #include <cstddef>
 #include <cstdint>
-#include <stdexcept>
 #include <string>
 #include <string_view>
 #include <utility>
 
+#include "base/errors.h"
+
 namespace rookproxy::mysql {
 
 constexpr std::size_t kHeaderSize = 4;
 constexpr std::size_t kMaxPayloadSize = 0xffffff;  // of one packet; larger payloads take several
 
 // Bytes from the peer are not a valid packet or value.
-struct MalformedPacketError : std::runtime_error {
-  using std::runtime_error::runtime_error;
+class MalformedPacketError : public MalformedInputError {
+ public:
+  using MalformedInputError::MalformedInputError;
 };
 
 // Reads values from the front of a payload. Each function throws MalformedPacketError if the payload ends too
--- a/src/options/options.h
+++ b/src/options/options.h
@@ -7,6 +7,7 @@
 #include <string>
 
 #include "config/config.h"
+#include "log/error_log.h"
 
 namespace rookproxy {
 
@@ -52,10 +53,10 @@
   try {
     return body(options, log);
   } catch (const SettingsError& error) {
-    log.write(LogLevel::kError, "config", error.what(), {});
+    log_error(log, "config", "", error);
     return kExitUsage;
   } catch (const std::exception& error) {
-    log.write(LogLevel::kError, "crash", error.what(), {});
+    log_error(log, "crash", "", error);
     return kExitFailure;
   }
 }
--- a/src/settings/text_values.h
+++ b/src/settings/text_values.h
@@ -6,20 +6,20 @@
 #include <charconv>
 #include <cstddef>
 #include <cstdint>
-#include <stdexcept>
 #include <string>
 #include <string_view>
 #include <system_error>
 #include <vector>
 
+#include "base/errors.h"
 #include "rookproxy/routing/router.h"
 
 namespace rookproxy::settings {
 
 // Text that does not have the form its protocol asks for. The message names the value at fault and quotes it.
-class FormatError : public std::runtime_error {
+class FormatError : public MalformedInputError {
  public:
-  using std::runtime_error::runtime_error;
+  using MalformedInputError::MalformedInputError;
 };
 
 // Throws FormatError with `problem` and the first part of `text`.
--- a/src/sql/token_cursor.h
+++ b/src/sql/token_cursor.h
@@ -2,18 +2,21 @@
 #pragma once
 
 #include <cstddef>
-#include <stdexcept>
+#include <string>
 #include <string_view>
 #include <utility>
 #include <vector>
 
+#include "base/errors.h"
 #include "sql/lexer.h"
 
 namespace rookproxy::sql {
 
 // Thrown by parsers where a statement is not in the known part of the grammar; the message says what was met.
-struct UnresolvedStatementError : std::runtime_error {
-  using std::runtime_error::runtime_error;
+class UnresolvedStatementError : public Error {
+ public:
+  explicit UnresolvedStatementError(const std::string& message)
+      : Error(ErrorCode::kUnresolvedStatement, message) {}
 };
 
 // The tokens of one statement and a position among them. Keywords are given in upper case.
--- a/src/tls/server_settings.h
+++ b/src/tls/server_settings.h
@@ -10,8 +10,9 @@
 namespace rookproxy::tls {
 
 // What is wrong with one of the files, with its key and path.
-struct TlsError : SettingsError {
-  using SettingsError::SettingsError;
+class TlsError : public CredentialsError {
+ public:
+  using CredentialsError::CredentialsError;
 };
 
 // Whether clients are asked for certificates.
