--- a/src/cluster/consensus.cpp
+++ b/src/cluster/consensus.cpp
@@ -264,6 +264,7 @@
 
 void Consensus::handle(MemberId from, const RecoveryQuery& message, const ConsensusContext& context) {
   if (message.number != 0) lease_.record_query(from, message.number, context.now);
+  if (!acceptor_.has_recovered()) recovery_.on_peer_query(from, context);
   if (message.epoch < plan_.epoch) context.outbox.send(from, Chosen{plan_});
   context.outbox.send(
       from, RecoveryReply{message.number, plan_.epoch, is_voting(), acceptor_.highest_voted_epoch()});
--- a/src/cluster/vote_recovery.cpp
+++ b/src/cluster/vote_recovery.cpp
@@ -25,10 +25,31 @@
     voting_repliers_.set(from);
     highest_reported_epoch_ = std::max(highest_reported_epoch_, reply.highest_voted_epoch);
   } else if (reply.epoch == known_epoch && from < current_non_voting_.size()) {
+    // The first reply of a process: only a second one makes it count.
+    if (!has_reply_of(from, context.sender_incarnation)) restart_backoff(context);
     current_non_voting_[from] = {true, context.sender_incarnation};
   }
 }
 
+bool VoteRecovery::has_reply_of(MemberId member, Incarnation incarnation) const {
+  if (voting_repliers_[member]) return true;
+  const auto is_in = [&](const std::vector<NonVotingReply>& replies) {
+    if (member >= replies.size()) return false;
+    return replies[member].is_received && replies[member].incarnation == incarnation;
+  };
+  return is_in(current_non_voting_) || is_in(previous_non_voting_);
+}
+
+void VoteRecovery::on_peer_query(MemberId from, const ConsensusContext& context) {
+  if (!has_reply_of(from, context.sender_incarnation)) restart_backoff(context);
+}
+
+void VoteRecovery::restart_backoff(const ConsensusContext& context) {
+  backoff_.reset();
+  const Duration pause = context.random.jittered(context.settings.recovery_query_interval);
+  next_query_at_ = std::min(next_query_at_, context.now + pause);
+}
+
 void VoteRecovery::detect_quorum_loss(const ConsensusContext& context) {
   const ConsensusSettings& settings = context.settings;
   if (quorum_lost_at_ || previous_non_voting_.empty()) return;
--- a/src/cluster/vote_recovery.h
+++ b/src/cluster/vote_recovery.h
@@ -30,6 +30,11 @@
   // A reply to the pending query.
   void record_reply(MemberId from, const RecoveryReply& reply, std::uint32_t known_epoch,
                     const ConsensusContext& context);
+  // A query of another member. If no reply of that process is known, it has just started or come into reach:
+  // queries start again at the shortest interval, so that both members see each other not voting before
+  // either of them votes. A member that queried at the longest interval could miss that for good: its peer
+  // may be the only one that it can reach.
+  void on_peer_query(MemberId from, const ConsensusContext& context);
   // Checks after a query or a reply whether so many members do not vote that the others are no majority, and
   // whether that was so at one moment for certain.
   void detect_quorum_loss(const ConsensusContext& context);
@@ -58,6 +63,9 @@
     Incarnation incarnation = 0;  // of the sender
   };
 
+  [[nodiscard]] bool has_reply_of(MemberId member, Incarnation incarnation) const;
+  // The next query is due after the shortest interval at the latest.
+  void restart_backoff(const ConsensusContext& context);
   void forget_quorum_loss();
 
   std::optional<Query> query_;
