--- a/src/sql/ambiguity.cpp
+++ b/src/sql/ambiguity.cpp
@@ -21,7 +21,7 @@
   }
 
  private:
-  char peek(std::size_t offset, char fallback) const {
+  [[nodiscard]] char peek(std::size_t offset, char fallback) const {
     return position_ + offset < statement_.size() ? statement_[position_ + offset] : fallback;
   }
 
--- a/src/sql/lexer.h
+++ b/src/sql/lexer.h
@@ -20,6 +20,8 @@
 // The statement's tokens. Comments are left out, except for the bodies of "/*!" comments, which MySQL runs.
 // An unclosed string runs to the end of the statement.
 [[nodiscard]] std::vector<Token> tokenize(std::string_view statement);
+// Removes the semicolons at the end of a statement's tokens.
+void remove_final_semicolons(std::vector<Token>& tokens);
 
 // Whether the token is that keyword, given in upper case; the comparison ignores the case of ASCII letters.
 [[nodiscard]] bool is_word(const Token& token, std::string_view upper_case);
--- a/src/sql/token_cursor.cpp
+++ b/src/sql/token_cursor.cpp
@@ -5,12 +5,19 @@
 namespace rookproxy::sql {
 namespace {
 
-constexpr std::size_t kMaxQuotedSize = 40;
+constexpr std::size_t kMaxQuotedSize = 40;  // of a statement's text, in a message
 
 }  // namespace
 
+std::string quote_for_message(std::string_view text) {
+  std::string quoted = "'";
+  quoted += text.substr(0, kMaxQuotedSize);
+  quoted += '\'';
+  return quoted;
+}
+
 TokenCursor::TokenCursor(std::vector<Token> tokens) : tokens_(std::move(tokens)) {
-  while (!tokens_.empty() && is_mark(tokens_.back(), ';')) tokens_.pop_back();
+  remove_final_semicolons(tokens_);
 }
 
 const Token& TokenCursor::peek(std::size_t ahead) const {
@@ -46,7 +53,7 @@
   if (at_end()) throw UnresolvedStatementError("it ends too soon");
   const Token& token = peek();
   if (token.kind == Token::Kind::kString) throw UnresolvedStatementError("a string out of place");
-  throw UnresolvedStatementError("unexpected '" + token.text.substr(0, kMaxQuotedSize) + "'");
+  throw UnresolvedStatementError("unexpected " + quote_for_message(token.text));
 }
 
 }  // namespace rookproxy::sql
