--- a/src/sql/lexer.h
+++ b/src/sql/lexer.h
@@ -1,6 +1,7 @@
 // Splits a SQL statement into tokens, as far as the dispatcher has to understand it.
 #pragma once
 
+#include <algorithm>
 #include <string>
 #include <string_view>
 #include <vector>
@@ -33,10 +34,8 @@
 // Whether the token is one of the keywords, given in upper case.
 template <class Words>
 [[nodiscard]] bool is_any_word(const Token& token, const Words& upper_case_words) {
-  for (const std::string_view word : upper_case_words) {
-    if (is_word(token, word)) return true;
-  }
-  return false;
+  return std::ranges::any_of(upper_case_words,
+                             [&token](std::string_view word) { return is_word(token, word); });
 }
 
 }  // namespace rookproxy::sql
--- a/src/tls/server_settings.h
+++ b/src/tls/server_settings.h
@@ -18,7 +18,7 @@
 // Whether clients are asked for certificates.
 enum class ClientCertificates { kNone, kOptional, kRequired };
 
-// Paths of PEM files, and how certificates are judged.
+// Paths of PEM files, and how certificates are verified.
 struct ServerSettings {
   std::string certificate;  // the chain, the server's own certificate first
   std::string key;          // its private key
--- a/tests/net/stream_close_test.cpp
+++ b/tests/net/stream_close_test.cpp
@@ -23,24 +23,20 @@
 
 namespace {
 
-// Keeps what it is told.
+// Records what the stream reports.
 struct RecordingHandler final : StreamHandler {
-  std::string received;
-  std::vector<std::string> end_reasons;
   std::size_t on_bytes(std::string_view bytes) override {
     received += bytes;
     return bytes.size();
   }
   void on_closed(std::string_view reason) override { end_reasons.emplace_back(reason); }
+
+  std::string received;
+  std::vector<std::string> end_reasons;
 };
 
 // One stream and the peer at its other end.
 struct StreamPair {
-  EventLoopThread host;
-  FileDescriptor listener = listen_on_free_port();
-  TestConnection peer = TestConnection::connect(local_port(listener));
-  RecordingHandler handler;
-  std::unique_ptr<Stream> stream;
   StreamPair() {
     REQUIRE(wait_until_readable(listener, kWaitLimit));
     host.run([this] {
@@ -50,6 +46,21 @@
   ~StreamPair() {
     host.finish([this] { stream.reset(); });
   }
+
+  // Of the stream's end, as the handler was told; none while it is open.
+  std::vector<std::string> end_reasons() {
+    return host.run([this] { return handler.end_reasons; });
+  }
+  // Whether the handler is told of the stream's end within the tests' limit.
+  bool wait_for_end() {
+    return host.until([this] { return !handler.end_reasons.empty(); });
+  }
+
+  EventLoopThread host;
+  FileDescriptor listener = listen_on_free_port();
+  TestConnection peer = TestConnection::connect(local_port(listener));
+  RecordingHandler handler;
+  std::unique_ptr<Stream> stream;
 };
 
 }  // namespace
@@ -57,7 +68,7 @@
 TEST_CASE("stream: a graceful close loses nothing that was written, though input is unread") {
   // Guards against a close that resets the connection, which may discard what was just written.
   StreamPair pair;
-  const std::string response(16u << 20, 'a');  // more than kernels hold, so that some is queued
+  const std::string response(16U << 20U, 'a');  // more than kernels hold, so that some is queued
   pair.host.run([&] { pair.stream->set_read_paused(true); });
   pair.peer.send(std::string(100'000, 'q'));
   pair.host.run([&] {
@@ -70,17 +81,17 @@
   const ReadResult read = read_to_end(pair.peer.fd());
   CHECK(read.error == 0);
   CHECK((read.bytes == response));
-  CHECK(pair.host.run([&] { return pair.handler.end_reasons.empty() && pair.stream->is_open(); }));
+  CHECK(pair.end_reasons().empty());
+  CHECK(pair.host.run([&] { return pair.stream->is_open(); }));
   pair.peer.close();
-  CHECK(pair.host.until([&] { return !pair.handler.end_reasons.empty(); }));
-  CHECK(pair.host.run([&] { return pair.handler.end_reasons; }) ==
-        std::vector<std::string>{"closed by the peer"});
+  CHECK(pair.wait_for_end());
+  CHECK(pair.end_reasons() == std::vector<std::string>{"closed by the peer"});
   CHECK(pair.host.run([&] { return pair.handler.received; }) == "");
 }
 
 TEST_CASE("stream: a graceful close still delivers to a peer that has ended its side") {
   StreamPair pair;
-  const std::string response(16u << 20, 'a');
+  const std::string response(16U << 20U, 'a');
   pair.host.run([&] {
     pair.stream->write(response);
     ::shutdown(pair.peer.fd().get(), SHUT_WR);
@@ -89,7 +100,8 @@
   const ReadResult read = read_to_end(pair.peer.fd());
   CHECK(read.error == 0);
   CHECK((read.bytes == response));
-  CHECK(pair.host.until([&] { return pair.handler.end_reasons.size() == 1; }));
+  CHECK(pair.wait_for_end());
+  CHECK(pair.end_reasons().size() == 1);
 }
 
 TEST_CASE("stream: a graceful close ends at its timeout, and the loop waits meanwhile") {
@@ -107,8 +119,7 @@
     });
     finished.get_future().get();
     CHECK(std::chrono::steady_clock::now() - start >= 200ms);
-    CHECK(pair.host.run([&] { return pair.handler.end_reasons; }) ==
-          std::vector<std::string>{"the peer did not end in time"});
+    CHECK(pair.end_reasons() == std::vector<std::string>{"graceful close timed out"});
     CHECK(pair.host.iterations - iterations < 50);
     CHECK(read_to_end(pair.peer.fd()).error == 0);
   }
