--- a/src/discovery/dns_message_reader.cpp
+++ b/src/discovery/dns_message_reader.cpp
@@ -1,6 +1,6 @@
 #include "discovery/dns_message_reader.h"
 
-#include <cctype>
+#include "base/ascii.h"
 
 namespace rookproxy {
 namespace {
@@ -54,9 +54,7 @@
     }
     if ((size & kLabelTypeMask) != 0) throw MalformedDnsMessageError("a label of an unknown type");
     if (!name.empty()) name += '.';
-    for (const char character : read_bytes(size)) {
-      name += static_cast<char>(std::tolower(static_cast<unsigned char>(character)));
-    }
+    name += to_ascii_lowercase(read_bytes(size));
     if (name.size() > kMaxNameLength) throw MalformedDnsMessageError("a name that is too long");
   }
   if (end_of_name != 0) position_ = end_of_name;
--- a/tests/support/scenario_engine_steps.cpp
+++ b/tests/support/scenario_engine_steps.cpp
@@ -65,7 +65,7 @@
     endpoints.push_back(std::move(endpoint));
   }
   state.discovery_server->set_endpoints(std::move(endpoints));
-  state.process.wait_for_log("new list");
+  state.process.wait_for_log("endpoint list updated");
   state.process.wait_for_log("serial=\"" + std::to_string(state.discovery_server->version()));
 }
 
