--- a/tests/net/event_loop_test.cpp
+++ b/tests/net/event_loop_test.cpp
@@ -15,8 +15,8 @@
 
 namespace {
 
-void run_for(EventLoop& loop, Duration span) {
-  loop.run_at(loop.now() + span, [&loop] { loop.stop(); });
+void run_for(EventLoop& loop, Duration duration) {
+  loop.run_at(loop.now() + duration, [&loop] { loop.stop(); });
   loop.run();
 }
 
