--- a/src/config/config.h
+++ b/src/config/config.h
@@ -12,11 +12,13 @@
 #include <vector>
 
 #include "auth/auth_settings.h"
+#include "base/time.h"
 #include "config/config_error.h"
 #include "config/files.h"
-#include "dispatcher/interfaces.h"
+#include "dispatcher/engine_endpoint.h"
 #include "log/log.h"
 #include "net/socket_address.h"
+#include "rookproxy/routing/router.h"
 #include "tls/server_context.h"
 
 namespace rookproxy {
--- a/src/config/endpoints_section.cpp
+++ b/src/config/endpoints_section.cpp
@@ -4,6 +4,7 @@
 #include <utility>
 
 #include "config/sections.h"
+#include "dispatcher/engine_endpoint.h"
 
 namespace rookproxy {
 namespace {
--- a/src/config/mysql_section.cpp
+++ b/src/config/mysql_section.cpp
@@ -3,6 +3,7 @@
 #include <cstdint>
 
 #include "config/sections.h"
+#include "dispatcher/routing_time.h"
 
 namespace rookproxy {
 namespace {
--- a/src/discovery/dns.h
+++ b/src/discovery/dns.h
@@ -7,7 +7,7 @@
 #include <string_view>
 #include <vector>
 
-#include "dispatcher/interfaces.h"
+#include "dispatcher/engine_endpoint.h"
 
 namespace rookproxy {
 
--- a/src/discovery/dns_discovery_client.h
+++ b/src/discovery/dns_discovery_client.h
@@ -10,8 +10,9 @@
 #include <string_view>
 #include <vector>
 
+#include "base/time.h"
 #include "discovery/dns.h"
-#include "dispatcher/interfaces.h"
+#include "dispatcher/engine_endpoint.h"
 #include "log/log.h"
 #include "net/event_loop.h"
 #include "net/file_descriptor.h"
--- a/src/fakes/dns_response.h
+++ b/src/fakes/dns_response.h
@@ -8,6 +8,7 @@
 #include <vector>
 
 #include "discovery/dns.h"
+#include "dispatcher/engine_endpoint.h"
 
 namespace rookproxy::test {
 
--- a/src/frontend/frames_connection.h
+++ b/src/frontend/frames_connection.h
@@ -11,6 +11,7 @@
 #include <string_view>
 #include <vector>
 
+#include "dispatcher/request.h"
 #include "frontend/byte_reservation.h"
 #include "frontend/frame_request.h"
 #include "frontend/frames_frontend.h"
--- a/src/frontend/prepared_statements.h
+++ b/src/frontend/prepared_statements.h
@@ -7,7 +7,7 @@
 #include <memory>
 #include <string>
 
-#include "dispatcher/interfaces.h"
+#include "dispatcher/request.h"
 #include "mysql/protocol.h"
 
 namespace rookproxy {
--- a/src/upstream/connection_pool.h
+++ b/src/upstream/connection_pool.h
@@ -10,8 +10,10 @@
 #include <string_view>
 #include <vector>
 
-#include "dispatcher/figures.h"
-#include "dispatcher/interfaces.h"
+#include "base/time.h"
+#include "dispatcher/engine_transport.h"
+#include "dispatcher/metrics.h"
+#include "dispatcher/request.h"
 #include "log/log.h"
 #include "net/event_loop.h"
 #include "net/slot_map.h"
--- a/src/upstream/engine_connection.h
+++ b/src/upstream/engine_connection.h
@@ -8,12 +8,15 @@
 #include <string>
 #include <string_view>
 
-#include "dispatcher/interfaces.h"
+#include "base/time.h"
+#include "dispatcher/engine_transport.h"
+#include "dispatcher/request.h"
 #include "net/event_loop.h"
 #include "net/file_descriptor.h"
 #include "net/slot_map.h"
 #include "net/stream.h"
 #include "net/timer.h"
+#include "rookproxy/routing/router.h"
 #include "upstream/pool_limits.h"
 #include "upstream/request_id_history.h"
 #include "upstream/responsiveness_monitor.h"
--- a/src/upstream/line_protocol.cpp
+++ b/src/upstream/line_protocol.cpp
@@ -7,6 +7,7 @@
 #include <cstdint>
 
 #include "base/numbers.h"
+#include "dispatcher/request.h"
 
 namespace rookproxy {
 namespace {
--- a/src/upstream/line_protocol.h
+++ b/src/upstream/line_protocol.h
@@ -7,7 +7,8 @@
 #include <string>
 #include <string_view>
 
-#include "dispatcher/interfaces.h"
+#include "base/time.h"
+#include "dispatcher/engine_transport.h"
 
 namespace rookproxy {
 
--- a/src/upstream/line_protocol_connection.h
+++ b/src/upstream/line_protocol_connection.h
@@ -11,6 +11,7 @@
 #include <string_view>
 #include <vector>
 
+#include "dispatcher/engine_transport.h"
 #include "net/slot_map.h"
 #include "upstream/connection_pool.h"
 #include "upstream/engine_connection.h"
--- a/src/upstream/mysql_connection.h
+++ b/src/upstream/mysql_connection.h
@@ -7,6 +7,8 @@
 #include <string>
 #include <string_view>
 
+#include "dispatcher/engine_transport.h"
+#include "dispatcher/request.h"
 #include "mysql/protocol.h"
 #include "net/slot_map.h"
 #include "upstream/engine_connection.h"
--- a/src/upstream/mysql_pool.h
+++ b/src/upstream/mysql_pool.h
@@ -5,6 +5,8 @@
 #include <cstdint>
 #include <memory>
 
+#include "dispatcher/engine_transport.h"
+#include "dispatcher/metrics.h"
 #include "mysql/protocol.h"
 #include "net/event_loop.h"
 #include "net/slot_map.h"
--- a/tests/auth/mutation_test.cpp
+++ b/tests/auth/mutation_test.cpp
@@ -13,6 +13,7 @@
 #include "auth/base64url.h"
 #include "fakes/credential_fixture.h"
 
+#include "dispatcher/metrics.h"
 #include "fakes/credential_fixture.h"
 #include "fakes/temporary_directory.h"
 #include "net/event_loop.h"
--- a/tests/discovery/dns_discovery_client_test.cpp
+++ b/tests/discovery/dns_discovery_client_test.cpp
@@ -15,6 +15,7 @@
 #include <utility>
 #include <vector>
 
+#include "dispatcher/engine_endpoint.h"
 #include "fakes/dns_response.h"
 #include "fakes/sockets.h"
 #include "net/event_loop.h"
--- a/tests/discovery/dns_test.cpp
+++ b/tests/discovery/dns_test.cpp
@@ -4,6 +4,7 @@
 #include <string_view>
 
 #include "discovery/dns.h"
+#include "dispatcher/engine_endpoint.h"
 #include "fakes/dns_response.h"
 #include "support/damaged_input.h"
 
--- a/tests/integration/graceful_shutdown_test.cpp
+++ b/tests/integration/graceful_shutdown_test.cpp
@@ -9,6 +9,7 @@
 #include <filesystem>
 #include <map>
 
+#include "dispatcher/engine_endpoint.h"
 #include "fakes/auto_reply_line_engine.h"
 #include "fakes/dns_response.h"
 #include "fakes/fake_discovery_server.h"
--- a/tests/support/scenario_engine_steps.cpp
+++ b/tests/support/scenario_engine_steps.cpp
@@ -1,5 +1,6 @@
 #include <chrono>
 
+#include "dispatcher/engine_endpoint.h"
 #include "net/file_descriptor.h"
 #include "net/sockets.h"
 #include "support/require.h"
--- a/tests/upstream/line_protocol_test.cpp
+++ b/tests/upstream/line_protocol_test.cpp
@@ -5,6 +5,8 @@
 #include <string>
 #include <string_view>
 
+#include "dispatcher/engine_transport.h"
+#include "dispatcher/request.h"
 #include "support/damaged_input.h"
 
 using namespace rookproxy;
