--- a/bench/access_load.cpp
+++ b/bench/access_load.cpp
@@ -139,16 +139,16 @@
       const ssize_t got = ::recv(line.fd.get(), bytes, sizeof bytes, MSG_DONTWAIT);
       if (got <= 0) continue;
       line.in.append(bytes, static_cast<std::size_t>(got));
-      frames::Frame frame;
-      std::size_t used = 0;
-      while (frames::parse_frame(line.in, frame, used) == frames::ParseStatus::kComplete) {
+      for (auto parsed = frames::parse_frame(line.in); parsed.status == frames::ParseStatus::kComplete;
+           parsed = frames::parse_frame(line.in)) {
+        const frames::Frame& frame = parsed.frame;
         if (frame.type == frames::kResponse && frame.stream_id < line.due.size() && frame.stream_id > 0) {
           ++answered;
           outcome.us.push_back(
               std::chrono::duration<double, std::micro>(Clock::now() - line.due[frame.stream_id]).count());
           ++(frame.payload[0] == 0 ? outcome.served : outcome.other);
         }
-        line.in.erase(0, used);
+        line.in.erase(0, parsed.frame_size);
       }
     }
   }
--- a/src/frontend/frames_connection.cpp
+++ b/src/frontend/frames_connection.cpp
@@ -47,22 +47,21 @@
     if (bytes.size() >= kLargeFrameThreshold) stream_.set_read_paused(true);
     return 0;
   }
-  frames::Frame frame;
-  std::size_t used = 0;
-  switch (frames::parse_frame(bytes, frame, used)) {
+  const frames::ParsedFrame parsed = frames::parse_frame(bytes);
+  switch (parsed.status) {
     case frames::ParseStatus::kIncomplete:
       return handle_partial_frame(bytes);
     case frames::ParseStatus::kMalformed:
       return lose_framing("unreadable frame", bytes);
     case frames::ParseStatus::kOversized:
-      return handle_oversized_frame(frame, used, bytes);
+      return handle_oversized_frame(parsed.frame, parsed.frame_size, bytes);
     case frames::ParseStatus::kComplete:
       break;
   }
   last_frame_at_ = frontend_.loop_.now();
   frame_finished();
-  handle_frame(frame);
-  return used;
+  handle_frame(parsed.frame);
+  return parsed.frame_size;
 }
 
 std::size_t FramesFrontend::Connection::skip_bytes(std::string_view bytes) {
@@ -114,11 +113,10 @@
 // and is handled in its turn. A cancellation takes effect at once: its client has gone, and nothing may start
 // for it. When its turn comes it finds nothing to cancel.
 void FramesFrontend::Connection::scan_for_cancellations(std::string_view bytes) {
-  frames::Frame frame;
-  std::size_t used = 0;
-  while (frames::parse_frame(bytes, frame, used) == frames::ParseStatus::kComplete) {
-    if (frame.type == frames::kCancel) cancel_request(frame.stream_id);
-    bytes.remove_prefix(used);
+  for (auto parsed = frames::parse_frame(bytes); parsed.status == frames::ParseStatus::kComplete;
+       parsed = frames::parse_frame(bytes)) {
+    if (parsed.frame.type == frames::kCancel) cancel_request(parsed.frame.stream_id);
+    bytes.remove_prefix(parsed.frame_size);
   }
 }
 
--- a/src/frontend/frames_connection_requests.cpp
+++ b/src/frontend/frames_connection_requests.cpp
@@ -18,10 +18,9 @@
 }  // namespace
 
 void FramesFrontend::Connection::handle_request(const frames::Frame& frame) {
-  std::string_view statement = frame.payload;
-  frames::Fields fields;
-  if (!frames::parse_fields(statement, fields)) return fail_request(frame.stream_id, "unreadable fields");
-  FrameRequest request(frontend_.dispatcher_, fields, statement);
+  const auto payload = frames::parse_payload(frame.payload);
+  if (!payload) return fail_request(frame.stream_id, "unreadable fields");
+  FrameRequest request(frontend_.dispatcher_, payload->fields, payload->body);
   if (denial_ != policy::Denial::kNone) return deny_request(frame.stream_id, request);
   FrameRequestError error = request.validate(frontend_.authenticator_ == nullptr);
   // Engines know requests by their call id: under one that is open, another statement would end or answer the
--- a/tests/integration/connection_close_test.cpp
+++ b/tests/integration/connection_close_test.cpp
@@ -140,11 +140,11 @@
 // What an ending in order leaves a client: whole answers by stream, and the end.
 std::map<std::uint32_t, int> codes_of(std::string_view bytes) {
   std::map<std::uint32_t, int> codes;
-  frames::Frame frame;
-  std::size_t used = 0;
-  while (frames::parse_frame(bytes, frame, used) == frames::ParseStatus::kComplete) {
+  for (auto parsed = frames::parse_frame(bytes); parsed.status == frames::ParseStatus::kComplete;
+       parsed = frames::parse_frame(bytes)) {
+    const frames::Frame& frame = parsed.frame;
     if (frame.type == frames::kResponse) codes[frame.stream_id] = frame.payload[0];
-    bytes.remove_prefix(used);
+    bytes.remove_prefix(parsed.frame_size);
   }
   CHECK(bytes.empty());
   return codes;
--- a/tests/integration/graceful_shutdown_test.cpp
+++ b/tests/integration/graceful_shutdown_test.cpp
@@ -258,12 +258,14 @@
   ::sendto(directory.get(), answer.data(), answer.size(), 0, reinterpret_cast<sockaddr*>(&from), size);
   CHECK(client.wait_for_end());
   CHECK_FALSE(client.was_reset());
-  std::size_t used = 0, served = 0, not_ready = 0;
-  for (frames::Frame frame;
-       frames::parse_frame(client.buffer(), frame, used) == frames::ParseStatus::kComplete;) {
+  std::size_t served = 0;
+  std::size_t not_ready = 0;
+  for (auto parsed = frames::parse_frame(client.buffer()); parsed.status == frames::ParseStatus::kComplete;
+       parsed = frames::parse_frame(client.buffer())) {
+    const frames::Frame& frame = parsed.frame;
     if (frame.type == frames::kResponse && frame.payload[0] == 0) ++served;
     if (frame.type == frames::kReadiness && frame.payload[0] == 1) ++not_ready;
-    client.take(used);
+    client.take(parsed.frame_size);
   }
   CHECK(served == 1);
   CHECK(not_ready == 1);
@@ -463,9 +465,9 @@
     std::size_t served = 0;
     for (TestConnection& client : clients) {
       for (int left = 2; left > 0;) {
-        frames::Frame frame;
-        std::size_t used = 0;
-        if (frames::parse_frame(client.buffer(), frame, used) != frames::ParseStatus::kComplete) {
+        const frames::ParsedFrame parsed = frames::parse_frame(client.buffer());
+        const frames::Frame& frame = parsed.frame;
+        if (parsed.status != frames::ParseStatus::kComplete) {
           require(client.read_more(), "no answer");
           continue;
         }
@@ -473,7 +475,7 @@
         if (frame.type == frames::kReadiness && frame.payload[0] == 0)
           took.push_back(std::chrono::duration_cast<Duration>(monotonic_now() - from));
         if (frame.type == frames::kResponse && frame.payload[0] == 0) ++served;
-        client.take(used);
+        client.take(parsed.frame_size);
       }
     }
     CHECK(served == 20);
--- a/tests/support/fault_injection.h
+++ b/tests/support/fault_injection.h
@@ -462,23 +462,22 @@
       return true;
     }
     client.in.append(chunk, static_cast<std::size_t>(got));
-    frames::Frame frame;
-    std::size_t used = 0;
-    while (frames::parse_frame(client.in, frame, used) == frames::ParseStatus::kComplete) {
+    for (auto parsed = frames::parse_frame(client.in); parsed.status == frames::ParseStatus::kComplete;
+         parsed = frames::parse_frame(client.in)) {
+      const frames::Frame& frame = parsed.frame;
       if (frame.type == frames::kResponse && frame.stream_id != 0) {
-        std::string_view body = frame.payload.substr(1);
-        frames::Fields fields;
+        const auto payload = frames::parse_payload(frame.payload.substr(1));
         const auto asked = std::find_if(requests.begin(), requests.end(), [&](const Request& r) {
           return r.client == at && r.stream == frame.stream_id;
         });
-        if (!frames::parse_fields(body, fields)) protocol_violations.insert("an answer that can't be read");
+        if (!payload) protocol_violations.insert("an answer that can't be read");
         if (asked == requests.end()) {
           protocol_violations.insert("an answer to nothing");
         } else {
-          asked->responses.emplace_back(frame.payload[0], body);
+          asked->responses.emplace_back(frame.payload[0], payload ? payload->body : frame.payload.substr(1));
         }
       }
-      client.in.erase(0, used);
+      client.in.erase(0, parsed.frame_size);
     }
     return true;
   }
