--- a/src/auth/authenticator.cpp
+++ b/src/auth/authenticator.cpp
@@ -55,12 +55,12 @@
   ++revision_;
   const auto& keys = files_.keys.metadata();
   metrics_.key_count = keys.size();
-  const std::size_t forgotten =
+  const std::size_t dropped_tokens =
       cache_.revalidate(keys, settings_.token_rules, files_.revocations, wall_clock_now());
-  logger_.write(LogLevel::kNotice, "access", "keys and rights taken",
+  logger_.write(LogLevel::kNotice, "access", "keys and access rights reloaded",
                 {{"keys", std::to_string(keys.size())},
                  {"tenants", std::to_string(settings_.policy.tenants.size())},
-                 {"forgotten", std::to_string(forgotten)}});
+                 {"dropped_tokens", std::to_string(dropped_tokens)}});
 }
 
 // ---- tokens
--- a/src/frontend/frames_connection.cpp
+++ b/src/frontend/frames_connection.cpp
@@ -168,7 +168,7 @@
   waiting_for_reader_ = true;
   if (frontend_.connections_.unread_response_bytes() <= frontend_.limits_.max_unread_response_bytes) return;
   // Not gracefully: that would wait for just those bytes of which there are too many.
-  frontend_.log_.write(LogLevel::kNotice, "frames", "answers not taken", {});
+  frontend_.log_.write(LogLevel::kNotice, "frames", "connection closed, responses not read", {});
   frontend_.loop_.defer([&frontend = frontend_, key = key_] { frontend.drop(key); });
 }
 
@@ -243,7 +243,7 @@
 // Further requests are rejected at once, as long as frames can be told apart: what is dropped unread is lost.
 void FramesFrontend::Connection::protocol_error(std::string_view reason) {
   if (closing_) return;
-  frontend_.log_.write(LogLevel::kNotice, "frames", reason, {});
+  frontend_.log_.write(LogLevel::kNotice, "frames", "protocol error", {{"reason", std::string(reason)}});
   stream_.write(frames::encode_response(0, frames::kFailed, {}, reason));
   stop_accepting_requests();
   if (open_requests_.empty()) close_gracefully();
--- a/src/frontend/frames_connection_requests.cpp
+++ b/src/frontend/frames_connection_requests.cpp
@@ -156,7 +156,7 @@
 }
 
 void FramesFrontend::Connection::fail_request(std::uint32_t stream_id, std::string_view reason) {
-  frontend_.log_.write(LogLevel::kInfo, "frames", reason, {});
+  frontend_.log_.write(LogLevel::kInfo, "frames", "invalid request", {{"reason", std::string(reason)}});
   respond(stream_id, frames::kFailed, {}, reason);
 }
 
--- a/src/frontend/mysql_connection.cpp
+++ b/src/frontend/mysql_connection.cpp
@@ -106,7 +106,8 @@
       frontend_.connections_.unread_response_bytes() <= frontend_.max_unread_response_bytes_) {
     return;
   }
-  frontend_.log_.write(LogLevel::kNotice, "mysql", "answers not taken", {{"user", login_.user}});
+  frontend_.log_.write(LogLevel::kNotice, "mysql", "connection closed, responses not read",
+                       {{"user", login_.user}});
   frontend_.loop_.defer([&frontend = frontend_, key = key_] { frontend.drop(key); });
 }
 
--- a/tests/dispatcher/dispatcher_test.cpp
+++ b/tests/dispatcher/dispatcher_test.cpp
@@ -144,7 +144,7 @@
   fixture.loop.run_at(fixture.loop.now(), [] { std::this_thread::sleep_for(500ms); });
   CHECK(fixture.run_until([&] { return !fixture.responses.empty(); }));
   CHECK(fixture.responses.size() == 1);
-  CHECK(fixture.log_text.str().find("without a decision") == std::string::npos);
+  CHECK(fixture.log_text.str().find("without a routing decision") == std::string::npos);
 }
 
 TEST_CASE("dispatcher: one response, whatever comes twice or late") {
--- a/tests/integration/auth_test.cpp
+++ b/tests/integration/auth_test.cpp
@@ -119,7 +119,7 @@
     send a data parts=1 ok\n
     expect c served 4 ok\n
     publish new
-    expect log keys="1" tenants="2" forgotten="1"
+    expect log keys="1" tenants="2" dropped_tokens="1"
     send c as one request 5 lookup 3000 SELECT x FROM sales_17.orders
     expect c denied 5 unknown_key
     send c as two request 6 lookup 3000 SELECT x FROM sales_17.orders
@@ -143,7 +143,7 @@
     send a data parts=1 ok\n
     expect c served 1 ok\n
     revoke jti j-1
-    expect log forgotten="1"
+    expect log dropped_tokens="1"
     send c as one request 2 lookup 3000 SELECT 1
     expect c denied 2 revoked
     send c as two request 3 lookup 3000 SELECT 1
@@ -176,7 +176,7 @@
     send c as one request 2 lookup 3000 SELECT x FROM sales_17.orders
     expect a REQ
     publish k
-    expect log keys and rights taken
+    expect log keys and access rights reloaded
     set /access/tenants/0/groups ["1-16"]
     configure
     expect log reread
@@ -332,7 +332,7 @@
     send o request 1 lookup 3000 SELECT 1
     expect a REQ
     revoke certificate officer
-    expect log keys and rights taken
+    expect log keys and access rights reloaded
     expect idle goaway
     expect idle error
     expect idle closed
@@ -418,7 +418,7 @@
     client late tls officer
     expect late closed
     crl 3600
-    expect log keys and rights taken
+    expect log keys and access rights reloaded
     client fresh tls officer
     send fresh request 1 lookup 3000 SELECT 1
     expect a REQ
@@ -442,7 +442,7 @@
     send o request 1 lookup 3000 SELECT 1
     expect a REQ
     renew
-    expect log keys and rights taken
+    expect log keys and access rights reloaded
     send a data parts=1 ok\n
     expect o served 1 ok\n
     send o request 2 lookup 3000 SELECT 1
@@ -553,7 +553,7 @@
     send n query SELECT rows_1 FROM orders
     expect n rows 1
     revoke jti j-2
-    expect log forgotten="1"
+    expect log dropped_tokens="1"
     wait 300
     send n query SELECT rows_1 FROM orders
     expect n error 1045 revoked)");
@@ -580,7 +580,7 @@
     mysql busy tls anybody with officer in sales_17
     send busy query SELECT sleep_1000 rows_1 FROM orders
     revoke certificate officer
-    expect log keys and rights taken
+    expect log keys and access rights reloaded
     expect m closed
     expect busy rows 1
     expect busy closed
