--- a/src/auth/authenticator.cpp
+++ b/src/auth/authenticator.cpp
@@ -1,9 +1,10 @@
 #include "auth/authenticator.h"
-#include "net/event_loop.h"
 
 #include <algorithm>
 #include <utility>
 
+#include "net/event_loop.h"
+
 namespace rookproxy::auth {
 namespace {
 
--- a/src/frontend/frames_connection.cpp
+++ b/src/frontend/frames_connection.cpp
@@ -1,10 +1,11 @@
 #include "frontend/frames_connection.h"
-#include "net/file_descriptor.h"
-#include "net/slot_map.h"
 
 #include <algorithm>
 #include <utility>
 
+#include "net/file_descriptor.h"
+#include "net/slot_map.h"
+
 namespace rookproxy {
 namespace {
 
--- a/src/frontend/frames_connection.h
+++ b/src/frontend/frames_connection.h
@@ -30,7 +30,7 @@
   struct EvictionOrder {
     EvictionClass eviction_class = EvictionClass::kIdle;
     Time last_bytes_at;
-    auto operator<=>(const EvictionOrder&) const = default;
+    auto operator<=>(const EvictionOrder&) const = default;  // NOLINT(modernize-use-nullptr): false positive
   };
 
   Connection(FramesFrontend& frontend, SlotKey key, FileDescriptor fd,
--- a/src/frontend/mysql_connection.cpp
+++ b/src/frontend/mysql_connection.cpp
@@ -1,10 +1,11 @@
 #include "frontend/mysql_connection.h"
-#include "net/file_descriptor.h"
-#include "net/slot_map.h"
 
 #include <chrono>
 #include <utility>
 
+#include "net/file_descriptor.h"
+#include "net/slot_map.h"
+
 namespace rookproxy {
 namespace {
 
--- a/tests/dispatcher/dispatcher_test.cpp
+++ b/tests/dispatcher/dispatcher_test.cpp
@@ -19,7 +19,7 @@
 
 namespace {
 
-constexpr auto kUp = EngineState::kServing;
+constexpr auto kServing = EngineState::kServing;
 
 routing::Settings example_settings() {
   return read_config(read_toml(ROOKPROXY_ROOT "/deploy/mysql.toml")).settings;
@@ -112,7 +112,7 @@
 TEST_CASE("dispatcher: a reader that waits behind a load is not sent on in the same instant") {
   // Guards against six attempts in 5 ms: the module learnt of its cancel at once and sent straight back.
   DispatcherFixture fixture;
-  fixture.update_endpoints({make_endpoint("a", kUp), make_endpoint("b", kUp)});
+  fixture.update_endpoints({make_endpoint("a", kServing), make_endpoint("b", kServing)});
   const RequestKey key = fixture.submit("lookup");
   REQUIRE(fixture.attempts.size() == 1);
   fixture.dispatcher.on_attempt_note({key, 0}, routing::AttemptUpdateKind::kWaitingForLoad, 2);
@@ -127,7 +127,7 @@
   // Guards against an engine taken for unreachable because a client left during a connect.
   DispatcherFixture fixture;
   fixture.attempts_are_unsent = true;
-  fixture.update_endpoints({make_endpoint("a", kUp)});
+  fixture.update_endpoints({make_endpoint("a", kServing)});
   fixture.dispatcher.cancel_request(fixture.submit("lookup"));
   fixture.dispatcher.process_events();
   CHECK(fixture.run_until([&] { return fixture.cancelled.size() == 1; }));
@@ -138,7 +138,7 @@
 TEST_CASE("dispatcher: after a stall past a deadline the module decides, not the deadline timer") {
   // Guards against the timer responding in the module's place when both are due in one iteration.
   DispatcherFixture fixture;
-  fixture.update_endpoints({make_endpoint("a", kUp)});
+  fixture.update_endpoints({make_endpoint("a", kServing)});
   fixture.submit("lookup", 400ms);
   REQUIRE(fixture.attempts.size() == 1);
   fixture.loop.run_at(fixture.loop.now(), [] { std::this_thread::sleep_for(500ms); });
@@ -149,7 +149,7 @@
 
 TEST_CASE("dispatcher: one response, whatever comes twice or late") {
   DispatcherFixture fixture;
-  fixture.update_endpoints({make_endpoint("a", kUp)});
+  fixture.update_endpoints({make_endpoint("a", kServing)});
   const RequestKey key = fixture.submit("lookup");
   fixture.end_attempt({key, 0}, Outcome::kServed, "rows");
   fixture.end_attempt({key, 0}, Outcome::kServed, "rows again");
@@ -163,8 +163,8 @@
 
 TEST_CASE("dispatcher: unsent attempts for a draining engine are stopped before the grace period ends") {
   DispatcherFixture fixture;
-  fixture.update_endpoints({make_endpoint("a", kUp), make_endpoint("b", kUp)});
-  fixture.update_endpoints({make_endpoint("a", EngineState::kDraining), make_endpoint("b", kUp)});
+  fixture.update_endpoints({make_endpoint("a", kServing), make_endpoint("b", kServing)});
+  fixture.update_endpoints({make_endpoint("a", EngineState::kDraining), make_endpoint("b", kServing)});
   const Time announced_at = fixture.loop.now();
   CHECK(fixture.run_until([&] { return !fixture.stopped_engines.empty(); }));
   CHECK(fixture.stopped_engines == std::vector<EngineId>{0});
@@ -173,7 +173,7 @@
 
 TEST_CASE("dispatcher: a request beyond the buffer limit is rejected at once, with a time to retry") {
   DispatcherFixture fixture;
-  fixture.update_endpoints({make_endpoint("a", kUp)});
+  fixture.update_endpoints({make_endpoint("a", kServing)});
   auto query = std::make_shared<Query>();
   query->statement.assign(64u << 20, 'x');
   IncomingRequest incoming;
@@ -190,7 +190,7 @@
   // Guards against a second run of a request that came as a load, and against a table that grows with each
   // SIGHUP.
   DispatcherFixture fixture;
-  fixture.update_endpoints({make_endpoint("a", kUp), make_endpoint("b", kUp)});
+  fixture.update_endpoints({make_endpoint("a", kServing), make_endpoint("b", kServing)});
   auto settings = example_settings();
   const RequestKey load = fixture.submit("load", 9s);
   const RequestKey read = fixture.submit("lookup", 9s);
@@ -232,7 +232,7 @@
     fixture.dispatcher.set_process_count(process_count);
     fixture.update_endpoints({});
     fixture.run_for(50ms);
-    fixture.update_endpoints({make_endpoint("a", kUp, fixture.loop.now())});
+    fixture.update_endpoints({make_endpoint("a", kServing, fixture.loop.now())});
     for (int i = 0; i < 100; ++i) {
       IncomingRequest incoming;
       incoming.query = std::make_shared<Query>();
