--- a/src/fakes/certificate_authority.h
+++ b/src/fakes/certificate_authority.h
@@ -2,6 +2,7 @@
 #pragma once
 
 #include <chrono>
+#include <cstdint>
 #include <memory>
 #include <string>
 #include <vector>
@@ -21,14 +22,15 @@
   [[nodiscard]] std::string private_key_pem() const;
 };
 
-/// From when to when something is valid, counted from now.
+/// When something is valid, counted from now.
 struct ValidityPeriod {
   std::chrono::seconds from{-10};
   std::chrono::seconds to{3600};
 };
 
-/// What a certificate is to say.
+/// The content of a certificate.
 struct CertificateRequest {
+  /// Which side of a connection the certificate is for (its extended key usage).
   enum class Usage { kClient, kServer };
 
   std::string common_name;
@@ -41,7 +43,7 @@
 /// OpenSSL fails. For one thread.
 class CertificateAuthority {
  public:
-  /// Makes the root certificate, with that common name.
+  /// Creates the root certificate; `name` is its common name.
   explicit CertificateAuthority(const std::string& name);
 
   [[nodiscard]] Certificate issue(const CertificateRequest& request);
@@ -57,7 +59,7 @@
 
  private:
   Certificate root_;
-  long last_serial_ = 1;
+  std::int64_t last_serial_ = 1;
   std::vector<std::shared_ptr<x509_st>> revoked_;
 };
 
