--- a/src/policy/attempt_guard.cpp
+++ b/src/policy/attempt_guard.cpp
@@ -5,25 +5,25 @@
 std::string_view to_text(BlockReason reason) {
   switch (reason) {
     case BlockReason::kRequestCompleted:
-      return "request is over";
+      return "request completed";
     case BlockReason::kUnknownEngine:
       return "unknown engine";
     case BlockReason::kTooManyAttempts:
       return "too many attempts";
     case BlockReason::kAttemptInFlight:
-      return "an attempt is out";
+      return "another attempt is in flight";
     case BlockReason::kMayHaveRun:
-      return "it may have run";
+      return "request may have run";
     case BlockReason::kMayHaveRunElsewhere:
-      return "it may have run elsewhere";
+      return "request may have run on another engine";
     case BlockReason::kDeadlineExceeded:
-      return "out of time";
+      return "deadline exceeded";
     case BlockReason::kEngineDraining:
-      return "engine drains";
+      return "engine draining";
     case BlockReason::kEngineRemoved:
-      return "engine is gone";
+      return "engine removed";
     case BlockReason::kIdempotencyWindowOver:
-      return "the window for repeats is over";
+      return "idempotency window expired";
   }
   return "";
 }
--- a/tests/policy/check_queue_test.cpp
+++ b/tests/policy/check_queue_test.cpp
@@ -1,27 +1,25 @@
 // The queue of signature checks: who goes first, and how much processor time they take.
+#include "policy/check_queue.h"
+
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <vector>
 
-#include "policy/check_queue.h"
 #include "policy/credentials.h"
 
-namespace rookproxy {
+namespace rookproxy::policy {
 namespace {
 
-using namespace policy;
 using namespace std::chrono_literals;
 using test::kNow;
 
-}  // namespace
-
-TEST_CASE("check queue: a flood of bad tokens leaves proven and fresh sources their turn") {
+TEST_CASE("check queue: a flood of invalid tokens delays neither proven nor new sources") {
   CheckQueue::Limits limits;
   CheckQueue queue(limits);
   Time now = kNow;
   CHECK(queue.admit(1, 1, now) == CheckQueue::Admission::kRunNow);
   CHECK_FALSE(queue.record_check(1, 100us, true, now));
-  // 200 sources send a bad token each, far beyond the budget.
+  // 200 sources send an invalid token each, far beyond the budget.
   std::uint64_t id = 100;
   for (CheckQueue::SourceId source = 1000; source < 1200; ++source) {
     if (queue.admit(id, source, now) == CheckQueue::Admission::kRunNow)
@@ -29,10 +27,10 @@
     ++id;
   }
   CHECK(queue.waiting_count() > 100);
-  // One that is proven needs no turn among them.
+  // A proven source does not queue behind them.
   CHECK(queue.admit(2, 1, now) == CheckQueue::Admission::kRunNow);
   queue.record_check(1, 100us, true, now);
-  // A flood of one fresh source does not put another behind all of it.
+  // A flood of one new source does not put another behind all of it.
   for (int i = 0; i < 20; ++i) queue.admit(id++, 5000, now);
   queue.admit(7, 6000, now);
   std::vector<CheckQueue::CheckId> order;
@@ -46,10 +44,10 @@
   }
   REQUIRE(!order.empty());
   CHECK(order.back() == 7);
-  CHECK(std::count_if(order.begin(), order.end(), [&](auto one) { return one >= 300; }) <= 2);
+  CHECK(std::count_if(order.begin(), order.end(), [](auto id) { return id >= 300; }) <= 2);
 }
 
-TEST_CASE("check queue: what checks take of the processor stays within its share") {
+TEST_CASE("check queue: checks stay within their share of the processor") {
   CheckQueue::Limits limits;
   CheckQueue queue(limits);
   Time now = kNow;
@@ -73,7 +71,7 @@
   CHECK(spent >= 2000ms * limits.cpu_share * 0.9);
 }
 
-TEST_CASE("check queue: who waits too long is told, who is gone is forgotten, bad sources are closed") {
+TEST_CASE("check queue: overdue checks are returned, removed sources forgotten, failing sources closed") {
   CheckQueue queue(CheckQueue::Limits{});
   CHECK(queue.admit(1, 1, kNow) == CheckQueue::Admission::kRunNow);
   queue.record_check(1, 10s, false, kNow);  // deep in debt
@@ -99,4 +97,5 @@
   CHECK(queue.admit(50, 7, kNow) == CheckQueue::Admission::kWait);
 }
 
-}  // namespace rookproxy
+}  // namespace
+}  // namespace rookproxy::policy
