--- a/src/simulator/instance.cpp
+++ b/src/simulator/instance.cpp
@@ -1,6 +1,8 @@
 #include "simulator/instance.h"
 
 #include <algorithm>
+#include <array>
+#include <cstddef>
 #include <exception>
 #include <utility>
 
@@ -109,11 +111,8 @@
   return names;
 }
 
-// A reply's line ends at a line's end, and its values at tabs.
-void replace_separators(std::string& text) {
-  std::replace_if(
-      text.begin(), text.end(), [](char character) { return character == '\t' || character == '\n'; }, ' ');
-}
+// Whether the character ends a value or a line of a reply.
+bool is_separator(char character) { return character == '\t' || character == '\n'; }
 
 }  // namespace
 
@@ -173,11 +172,7 @@
   list.kind = settings::read_keyword(kEngineListKinds, message.value(kKind), "mode");
   if (list.kind != routing::EngineListKind::kRejected) {
     message.require_values(kListNumber, kListNumber);
-    const auto number = settings::read_integer<std::uint32_t>(message.value(kListNumber), "roster_id");
-    if (number >= engine_lists.size()) {
-      settings::throw_format_error("roster_id is out of range", message.value(kListNumber));
-    }
-    for (const EngineRow& row : engine_lists[number]) {
+    for (const EngineRow& row : engine_lists.at(read_engine_list_number(message.value(kListNumber)))) {
       routing::EngineEntry entry = row.entry;
       entry.id = engines_.add(entry.name);
       entry.zone = settings::index_of(zone_names_, row.zone).value_or(kUnlistedIndex);
@@ -321,7 +316,7 @@
   if (!running_) return;
   std::optional<std::string> error = run_router(now);
   if (error) {
-    replace_separators(*error);
+    std::ranges::replace_if(*error, is_separator, ' ');
     reply += "as\t" + name_ + "\nbail_out\t" + *error + "\n";
   } else if (!actions_.empty()) {
     reply += "as\t" + name_ + "\n";
--- a/src/simulator/session.cpp
+++ b/src/simulator/session.cpp
@@ -85,10 +85,7 @@
 void SimulatorSession::begin_engine_list() {
   enum Place { kListNumber = 1, kRowCount };
   message_.require_values(kRowCount, kRowCount);
-  receiving_list_ = settings::read_integer<std::uint32_t>(message_.value(kListNumber), "roster_id");
-  if (receiving_list_ >= engine_lists_.size()) {
-    settings::throw_format_error("roster_id is out of range", message_.value(kListNumber));
-  }
+  receiving_list_ = read_engine_list_number(message_.value(kListNumber));
   rows_expected_ = settings::read_integer<std::uint32_t>(message_.value(kRowCount), "entries");
   engine_lists_[receiving_list_].clear();
 }
