--- a/tests/support/scenario_engine_steps.cpp
+++ b/tests/support/scenario_engine_steps.cpp
@@ -11,7 +11,7 @@
 
 using namespace std::chrono_literals;
 
-constexpr auto kQuietTime = 20ms;
+constexpr auto kIdleTime = 20ms;
 
 std::uint16_t engine_port(ScenarioState& state, const std::string& name) {
   const auto mysql_engine = state.mysql_engines.find(name);
@@ -109,7 +109,7 @@
 }
 
 void expect_request_count(ScriptedLineEngine& engine, int wanted) {
-  engine.discard_commands(kQuietTime);
+  engine.discard_commands(kIdleTime);
   require(engine.request_count() == wanted, std::to_string(engine.request_count()) + " came");
 }
 
--- a/tests/support/scenario_process_steps.cpp
+++ b/tests/support/scenario_process_steps.cpp
@@ -142,19 +142,13 @@
   }
 }
 
-std::vector<std::string> all_executed(ScenarioState& state) {
-  std::vector<std::string> all;
-  for (const auto& [name, engine] : state.mysql_engines) {
-    const auto statements = engine->executed_statements();
-    all.insert(all.end(), statements.begin(), statements.end());
-  }
-  return all;
-}
+// The statements of one kind that an engine has recorded.
+using RecordedStatements = std::vector<std::string> (FakeMysqlEngine::*)();
 
-std::vector<std::string> all_prepared(ScenarioState& state) {
+std::vector<std::string> collect_statements(const ScenarioState& state, RecordedStatements recorded) {
   std::vector<std::string> all;
   for (const auto& [name, engine] : state.mysql_engines) {
-    const auto statements = engine->prepared_statements();
+    const auto statements = (*engine.*recorded)();
     all.insert(all.end(), statements.begin(), statements.end());
   }
   return all;
@@ -179,21 +173,30 @@
   });
 }
 
-void expect_executed(ScenarioState& state, StepReader& reader) {
+// N TEXT: so many of the statements hold the text.
+void expect_statements(const ScenarioState& state, StepReader& reader, RecordedStatements recorded) {
   const long wanted = std::stol(reader.next_word());
   const std::string text = reader.remaining_text();
-  wait_for_count(wanted, [&] { return count_containing(all_executed(state), text); });
+  wait_for_count(wanted, [&] {
+    const auto statements = collect_statements(state, recorded);
+    return count_containing(statements, text);
+  });
+}
+
+void expect_executed(ScenarioState& state, StepReader& reader) {
+  expect_statements(state, reader, &FakeMysqlEngine::executed_statements);
 }
 
 void expect_prepared(ScenarioState& state, StepReader& reader) {
-  const long wanted = std::stol(reader.next_word());
-  const std::string text = reader.remaining_text();
-  wait_for_count(wanted, [&] { return count_containing(all_prepared(state), text); });
+  expect_statements(state, reader, &FakeMysqlEngine::prepared_statements);
 }
 
 void expect_repeated_executions(ScenarioState& state, StepReader& reader) {
   const long wanted = std::stol(reader.next_word());
-  wait_for_count(wanted, [&] { return static_cast<long>(count_repeated_executions(all_executed(state))); });
+  wait_for_count(wanted, [&state] {
+    const auto executed = collect_statements(state, &FakeMysqlEngine::executed_statements);
+    return static_cast<long>(count_repeated_executions(executed));
+  });
 }
 
 constexpr ScenarioStep kProcessSteps[] = {
