--- a/src/ctl/self_signed_certificate.cpp
+++ b/src/ctl/self_signed_certificate.cpp
@@ -12,7 +12,7 @@
 
 #include "auth/openssl_pointer.h"
 #include "auth/public_key.h"
-#include "ctl/command.h"
+#include "ctl/command_error.h"
 #include "ctl/files.h"
 
 namespace rookproxy::ctl {
