--- a/src/config/mysql_section.cpp
+++ b/src/config/mysql_section.cpp
@@ -1,4 +1,4 @@
-// What a configuration says of MySQL: engines that speak it, and the frontend for clients that do.
+// The sections about MySQL: `link`, [mysql_engines] and [mysql].
 #include <cstddef>
 #include <cstdint>
 
@@ -51,7 +51,7 @@
   if (frontend.users.empty()) throw ConfigError(mysql.path("users"), "names nobody, so nobody could log in");
   const routing::ClassSettings& read = named_class(mysql, "read_class", config.settings);
   const routing::ClassSettings& load = named_class(mysql, "load_class", config.settings);
-  // A statement that may write must not be sent twice, so its class has to be one that rules this out.
+  // A statement that may write must not be sent twice, so its class has to be non-idempotent.
   if (load.idempotency != routing::Idempotency::kNonIdempotent) {
     throw ConfigError(mysql.path("load_class"),
                       "class '" + load.name + "' may be repeated; it must be side_effect");
