--- a/tests/integration/access_token_test.cpp
+++ b/tests/integration/access_token_test.cpp
@@ -141,9 +141,9 @@
     send c as one request 1 lookup 3000 SELECT x FROM sales_17.orders
     expect a REQ
     configure {"broken
-    expect log the former settings stay
+    expect log configuration reload failed
     spoil {"keys":[{"kty":"EC"
-    expect log the former keys stay
+    expect log credential reload failed
     answer a c 1 ok\n
     send c as one request 2 lookup 3000 SELECT x FROM sales_17.orders
     expect a REQ
@@ -151,7 +151,7 @@
     expect log keys and access rights reloaded
     set /access/tenants/0/groups ["1-16"]
     configure
-    expect log reread
+    expect log configuration reloaded
     answer a c 2 ok\n
     send c as one request 3 lookup 3000 SELECT x FROM sales_17.orders
     expect c denied 3 schema
--- a/tests/integration/cluster_processes_test.cpp
+++ b/tests/integration/cluster_processes_test.cpp
@@ -358,7 +358,7 @@
   write_key(fleet.folder(0) + "/key", "short");
   fleet.zones(0, {"z", "y"});
   fleet.process(0).send_signal(SIGHUP);
-  fleet.process(0).wait_for_log("the former settings stay: fleet.key");
+  fleet.process(0).wait_for_log("configuration reload failed: fleet.key");
   const auto received = fleet.figure(0, "received");
   fleet.wait("it hears on", [&] { return fleet.figure(0, "received") > received + 20; });
   CHECK(fleet.figure(0, "reads_plan") == 1);
--- a/tests/integration/descriptor_limit_test.cpp
+++ b/tests/integration/descriptor_limit_test.cpp
@@ -38,7 +38,7 @@
     expect log discovery server unresponsive
     move directory
     reload
-    expect log reread
+    expect log configuration reloaded
     directory b=up
     call STATUS
     expect answer +OK ready
--- a/tests/integration/graceful_shutdown_test.cpp
+++ b/tests/integration/graceful_shutdown_test.cpp
@@ -11,14 +11,14 @@
 TEST_CASE("graceful shutdown: SIGTERM with other signals: what was taken is served, and it exits with 0") {
   const std::pair<const char*, const char*> orders[] = {
       {"SIGHUP and SIGTERM in one turn", "signal STOP\nsignal HUP\nsignal TERM\nsignal CONT\n"},
-      {"SIGTERM, then SIGHUP", "signal TERM\nexpect log draining\nsignal HUP\nexpect log reread\n"},
+      {"SIGTERM, then SIGHUP", "signal TERM\nexpect log graceful shutdown started\nsignal HUP\nexpect log configuration reloaded\n"},
       {"SIGTERM, then SIGHUP with a broken file",
-       "signal TERM\nexpect log draining\nconfigure {\nsignal HUP\nexpect log the former settings stay\n"},
+       "signal TERM\nexpect log graceful shutdown started\nconfigure {\nsignal HUP\nexpect log configuration reload failed\n"},
       {"SIGHUP with a broken file, and SIGTERM in one turn",
        "configure {\nsignal STOP\nsignal HUP\nsignal TERM\nsignal CONT\nexpect log the former settings "
        "stay\n"},
-      {"SIGTERM twice", "signal TERM\nexpect log draining\nsignal TERM\n"},
-      {"SIGTERM, then SIGINT", "signal TERM\nexpect log draining\nsignal INT\n"},
+      {"SIGTERM twice", "signal TERM\nexpect log graceful shutdown started\nsignal TERM\n"},
+      {"SIGTERM, then SIGINT", "signal TERM\nexpect log graceful shutdown started\nsignal INT\n"},
       {"SIGTERM and SIGINT in one turn", "signal STOP\nsignal INT\nsignal TERM\nsignal CONT\n"}};
   for (const auto& [what, signals] : orders) {
     DYNAMIC_SECTION(what) {
--- a/tests/integration/hot_restart_test.cpp
+++ b/tests/integration/hot_restart_test.cpp
@@ -77,13 +77,13 @@
     pass sockets
     start
     upgrade
-    expect log another process lives: half of every share
+    expect log another process is running, resource limits halved
     signal old STOP
     ready-clients c0 c1 c2 c3
     expect c0 closed
     signal old KILL
     expect old exit 137
-    expect log alone
+    expect log no other process is running, resource limits restored
     ready-clients d0 d1 d2 d3 d4
     expect c1 nothing 1
     ready-clients d5
@@ -102,7 +102,7 @@
     expect executed 1 sleep
     upgrade
     signal old TERM
-    expect old log draining
+    expect old log graceful shutdown started
     call old STATUS
     expect answer -ERR not ready: draining
     mysql n
--- a/tests/integration/peers_test.cpp
+++ b/tests/integration/peers_test.cpp
@@ -112,7 +112,7 @@
     set /settings/permissions/may_tell false
     set /peers "telex"
     start
-    expect log no peers: peers: neither a list
+    expect log peer list ignored: peers: neither a list
     client c
     send c request 1 lookup 3000 SELECT 1
     expect a REQ
@@ -121,7 +121,7 @@
     set /peers {"t1":"127.0.0.1:7001","t2":"127.0.0.1:7002"}
     set /peer_listen "127.0.0.1:7001"
     reload
-    expect log peers known
+    expect log peer list loaded
     set /peers null
     reload
     expect figure loads=2
--- a/tests/integration/platform_test.cpp
+++ b/tests/integration/platform_test.cpp
@@ -71,7 +71,7 @@
     expect a REQ
     answer a c 1 one\n
     reload
-    expect log reread
+    expect log configuration reloaded
     send c request 2 load 3000 INSERT INTO s_1.t VALUES (1)
     expect a REQ
     answer a c 2 two\n
--- a/tests/integration/reload_test.cpp
+++ b/tests/integration/reload_test.cpp
@@ -16,10 +16,10 @@
     send c request 1 load 20000 INSERT INTO s_1.t VALUES (1)
     expect a REQ
     reload {"settings": 7}
-    expect log the former settings stay: settings
+    expect log configuration reload failed: settings
     move directory
     reload
-    expect log reread
+    expect log configuration reloaded
     directory a=draining b=up
     send c request 2 lookup 3000 SELECT 2
     expect b REQ
@@ -37,13 +37,13 @@
     expect c failed 2 op
     set /settings/permissions/max_attempts 0
     reload
-    expect log the former settings stay: settings.permissions.max_attempts
+    expect log configuration reload failed: settings.permissions.max_attempts
     set /settings/permissions/max_attempts 2
     set /settings/grades/0/effect "side_effect"
     set /settings/grades/2 {"name":"marks","effect":"pure","value":1.0,"target":600000,"aim_stretch":1.5,"deadline":3000000,"late_worth":0.1}
     set /settings/grades/2/deadline -1
     reload
-    expect log the former settings stay: settings.grades.2.deadline
+    expect log configuration reload failed: settings.grades.2.deadline
     expect figure load_errors=2
     set /settings/grades/2/deadline 3000000
     reload
@@ -81,7 +81,7 @@
     expect executed 1 sleep
     set /mysql/users {"school":"changed"}
     reload
-    expect log reread
+    expect log configuration reloaded
     expect m ok
     mysql n denied
     send m query INSERT INTO s_1.t VALUES ('still in')
@@ -105,7 +105,7 @@
     expect figure passed.load=1
     set /mysql null
     reload
-    expect log the former settings stay: mysql: missing
+    expect log configuration reload failed: mysql: missing
     send m query INSERT INTO s_1.t VALUES ('three')
     expect m ok
     expect figure passed.marks=2
--- a/tests/integration/startup_signals_test.cpp
+++ b/tests/integration/startup_signals_test.cpp
@@ -62,9 +62,9 @@
 void check_never_ready(const DispatcherProcess& process) {
   const std::string log = process.log();
   INFO(log);
-  CHECK(log.find("draining") != std::string::npos);
+  CHECK(log.find("graceful shutdown started") != std::string::npos);
   CHECK(log.find("ready to serve") == std::string::npos);
-  CHECK(log.find("idle, so done") != std::string::npos);
+  CHECK(log.find("graceful shutdown completed") != std::string::npos);
 }
 
 // Reads one DNS query from the socket and responds with an empty list of version 1.
@@ -193,7 +193,7 @@
   dispatcher.start();
   dispatcher.process().send_signal(SIGHUP);
   dispatcher.release(make_fixed_engine_config());
-  dispatcher.process().wait_for_log("reread");
+  dispatcher.process().wait_for_log("configuration reloaded");
   dispatcher.process().wait_for_log("ready to serve");
   dispatcher.process().send_signal(SIGTERM);
   CHECK(dispatcher.process().wait_for_exit() == 0);
@@ -213,7 +213,7 @@
   TestConnection client = TestConnection::connect(dispatcher.process().client_port());
   client.send(make_request_and_readiness_frames(1));
   dispatcher.process().send_signal(SIGTERM);
-  dispatcher.process().wait_for_log("draining");
+  dispatcher.process().wait_for_log("graceful shutdown started");
   respond_to_dns_query(discovery);
   CHECK(client.wait_for_end());
   CHECK_FALSE(client.was_reset());
@@ -233,7 +233,7 @@
   const std::string log = dispatcher.process().log();
   INFO(log);
   const auto ready = log.find("ready to serve");
-  CHECK((ready == std::string::npos || ready < log.find("draining")));
+  CHECK((ready == std::string::npos || ready < log.find("graceful shutdown started")));
 }
 
 TEST_CASE("startup: SIGTERM to a hot restart's successor before it is ready, and the former serves on") {
--- a/tests/integration/tenants_test.cpp
+++ b/tests/integration/tenants_test.cpp
@@ -113,7 +113,7 @@
     client c
     set /settings/parties [{"name":"new","quota_rps":9,"fraction":0.5}]
     reload
-    expect log reread
+    expect log configuration reloaded
     send c fields 1 op=lookup,call=new,ttl=3000,org=old SELECT 1
     expect a REQ
     answer a c 1 one\n
--- a/tests/support/dispatcher_process.cpp
+++ b/tests/support/dispatcher_process.cpp
@@ -31,7 +31,7 @@
 constexpr int kStartFailed = 99;
 constexpr int kSignalExitOffset = 128;
 constexpr const char* kClientPort = "start [rookproxy@32473 port=\"";
-constexpr const char* kAdminReady = "answering operators";
+constexpr const char* kAdminReady = "admin server listening";
 
 // Gives the sockets the numbers from kFirstInheritedDescriptor on. Each is copied first, as it may have one
 // of these numbers already; the copies are closed on exec.
