--- a/tests/support/scenario_process_steps.cpp
+++ b/tests/support/scenario_process_steps.cpp
@@ -49,8 +49,9 @@
   state.process.wait_for_log("ready to serve");
   state.frames_port =
       static_cast<std::uint16_t>(std::stoi(state.process.wait_for_log("start [rookproxy@32473 port=\"")));
-  if (!state.mysql_engines.empty())
+  if (!state.mysql_engines.empty()) {
     state.mysql_port = state.process.port_logged_with("MySQL frontend listening");
+  }
 }
 
 void upgrade(ScenarioState& state, StepReader& reader) {
