--- a/src/routing/dispatch.cpp
+++ b/src/routing/dispatch.cpp
@@ -57,7 +57,7 @@
   }
   if (idle.empty()) return false;
   auto queue = longest->second.queue;
-  std::sort(queue.begin(), queue.end(), [](const Request* a, const Request* b) { return a->id < b->id; });
+  std::ranges::sort(queue, {}, &Request::id);
   for (Request* const request : queue) {
     ScoredEngine best{std::numeric_limits<double>::max(), nullptr};
     for (Engine* const engine : idle) {
