--- a/tests/agent/agent_test.cpp
+++ b/tests/agent/agent_test.cpp
@@ -70,7 +70,9 @@
       ::execl(ROOKPROXY_AGENT, "rookproxy-agent", "--file", config_file().c_str(), nullptr);
       ::_exit(kStartFailed);
     }
-    REQUIRE(wait_until([this] { return ctl("status").exit_code != kNoAgent; }));
+    REQUIRE(wait_until([this] {
+      return ctl("status").exit_code != kNoAgent;
+    }));
   }
   ~AgentProcess() {
     if (pid_ <= 0) return;
@@ -160,7 +162,9 @@
   const std::string command = std::string("\"") + ROOKPROXY_BINARY + "\", \"--file\", \"" + file + "\"";
   AgentProcess agent(instance("n1", command) + "listen = [\"" + network + ".1:0\"]\nops = [\"" + network +
                      ".1:3399\", \"" + network + ".2:3399\"]\n" + instance("plain", R"("sleep", "1000")"));
-  wait_until([&] { return agent.ctl("figures n1").exit_code == 0; });
+  wait_until([&] {
+    return agent.ctl("figures n1").exit_code == 0;
+  });
   CHECK(agent.ctl("figures n1").output.find("n1 svc.passed.lookup=0\n") != std::string::npos);
   CHECK(agent.ctl("figures").exit_code == 5);  // 'plain' has no admin address
   CHECK(agent.ctl("upgrade plain").exit_code == 1);
--- a/tests/cluster/membership_cluster.h
+++ b/tests/cluster/membership_cluster.h
@@ -51,8 +51,9 @@
     return datagrams_of(membership.receive(now, from, datagram.incarnation, datagram.body, datagram.gossip));
   }
   long count_changes_to(MemberState state) const {
-    return std::count_if(changes.begin(), changes.end(),
-                         [&](const MemberChange& change) { return change.after == state; });
+    return std::count_if(changes.begin(), changes.end(), [&](const MemberChange& change) {
+      return change.after == state;
+    });
   }
 
   Membership membership;
@@ -126,11 +127,17 @@
     }
   }
   void heal() {
-    partition([](std::size_t) { return 0; });
+    partition([](std::size_t) {
+      return 0;
+    });
   }
 
   void run(Duration span) {
-    run_until([] { return false; }, span);
+    run_until(
+        [] {
+          return false;
+        },
+        span);
   }
   // Runs until `is_done`, which is checked every 10 ms, and returns how long that took; nothing: the limit
   // was reached.
--- a/tests/discovery/dns_discovery_client_test.cpp
+++ b/tests/discovery/dns_discovery_client_test.cpp
@@ -144,7 +144,9 @@
   }
   // Runs until so many lists were reported.
   void run_until_reported(std::size_t lists) {
-    run_until([this, lists] { return reported.size() == lists; });
+    run_until([this, lists] {
+      return reported.size() == lists;
+    });
   }
   // How many log lines hold the text.
   [[nodiscard]] std::size_t count_in_log(const std::string& text) const {
@@ -215,8 +217,9 @@
 }
 
 TEST_CASE("discovery: a port that refuses is logged as such, and another server is used") {
-  DiscoveryFixture fixture(
-      [](FakeDiscoveryServer& server, const ReceivedQuery& query) { server.respond(query, 2); });
+  DiscoveryFixture fixture([](FakeDiscoveryServer& server, const ReceivedQuery& query) {
+    server.respond(query, 2);
+  });
   FileDescriptor closed_socket = bind_udp(test::kAnyLoopbackPort);
   const SocketAddress refusing{test::kLoopbackAddress, local_port(closed_socket)};
   closed_socket.reset();
@@ -247,7 +250,9 @@
     server.respond(delayed.front(), 2);
   });
   fixture.start();
-  fixture.run_until([&] { return !fixture.reported.empty() && fixture.reported.back() == 5; });
+  fixture.run_until([&] {
+    return !fixture.reported.empty() && fixture.reported.back() == 5;
+  });
   CHECK((fixture.reported == std::vector<std::uint16_t>{2, 4, 5}));
 }
 
@@ -276,7 +281,9 @@
     if (round == 3) server.respond(query, 2);
   });
   fixture.start();
-  fixture.run_until([&] { return !fixture.reported.empty(); });
+  fixture.run_until([&] {
+    return !fixture.reported.empty();
+  });
   CHECK((fixture.reported == std::vector<std::uint16_t>{2}));
   CHECK(fixture.server.queries().size() <= 5);
   CHECK(fixture.server.ports().size() == 1);  // the path is not unresponsive
--- a/tests/discovery/dns_test.cpp
+++ b/tests/discovery/dns_test.cpp
@@ -61,8 +61,9 @@
     CHECK(parse_dns_response(loop, 77, name).error == DnsError::kMalformed);
   }
   SECTION("damaged responses never crash") {
-    test::parse_damaged(message,
-                        [&](const std::string& bytes) { (void)parse_dns_response(bytes, 77, name); });
+    test::parse_damaged(message, [&](const std::string& bytes) {
+      (void)parse_dns_response(bytes, 77, name);
+    });
   }
 }
 
--- a/tests/dispatcher/dispatcher_test.cpp
+++ b/tests/dispatcher/dispatcher_test.cpp
@@ -43,7 +43,9 @@
       : log(log_text, LogLevel::kDebug, "h", "a"),
         dispatcher(loop, log, metrics, settings, {"addis-dc1"}, {}) {
     dispatcher.set_transport(*this);
-    loop.on_iteration_end([this] { dispatcher.process_events(); });
+    loop.on_iteration_end([this] {
+      dispatcher.process_events();
+    });
   }
 
   void update_endpoints(const std::vector<EngineEndpoint>& endpoints) {
@@ -76,7 +78,9 @@
   }
   void run_for(Duration duration) {
     const Time start = loop.now();
-    run_until([&] { return loop.now() - start > duration; });
+    run_until([&] {
+      return loop.now() - start > duration;
+    });
   }
 
   ResponseStatus on_response(std::uint64_t, Response response) override {
@@ -119,7 +123,9 @@
   fixture.dispatcher.process_events();
   REQUIRE(fixture.cancelled.size() == 1);
   CHECK(fixture.attempts.size() == 1);
-  CHECK(fixture.run_until([&] { return fixture.attempts.size() == 2; }));
+  CHECK(fixture.run_until([&] {
+    return fixture.attempts.size() == 2;
+  }));
   CHECK(fixture.attempts[1].engine != fixture.attempts[0].engine);
 }
 
@@ -130,7 +136,9 @@
   fixture.update_endpoints({make_endpoint("a", kServing)});
   fixture.dispatcher.cancel_request(fixture.submit("lookup"));
   fixture.dispatcher.process_events();
-  CHECK(fixture.run_until([&] { return fixture.cancelled.size() == 1; }));
+  CHECK(fixture.run_until([&] {
+    return fixture.cancelled.size() == 1;
+  }));
   fixture.submit("load");  // would wait if 'a' were ejected
   CHECK(fixture.attempts.size() == 2);
 }
@@ -141,8 +149,12 @@
   fixture.update_endpoints({make_endpoint("a", kServing)});
   fixture.submit("lookup", 400ms);
   REQUIRE(fixture.attempts.size() == 1);
-  fixture.loop.run_at(fixture.loop.now(), [] { std::this_thread::sleep_for(500ms); });
-  CHECK(fixture.run_until([&] { return !fixture.responses.empty(); }));
+  fixture.loop.run_at(fixture.loop.now(), [] {
+    std::this_thread::sleep_for(500ms);
+  });
+  CHECK(fixture.run_until([&] {
+    return !fixture.responses.empty();
+  }));
   CHECK(fixture.responses.size() == 1);
   CHECK(fixture.log_text.str().find("without a routing decision") == std::string::npos);
 }
@@ -166,7 +178,9 @@
   fixture.update_endpoints({make_endpoint("a", kServing), make_endpoint("b", kServing)});
   fixture.update_endpoints({make_endpoint("a", EngineState::kDraining), make_endpoint("b", kServing)});
   const Time announced_at = fixture.loop.now();
-  CHECK(fixture.run_until([&] { return !fixture.stopped_engines.empty(); }));
+  CHECK(fixture.run_until([&] {
+    return !fixture.stopped_engines.empty();
+  }));
   CHECK(fixture.stopped_engines == std::vector<EngineId>{0});
   CHECK(fixture.loop.now() - announced_at >= 1s);
 }
@@ -180,7 +194,9 @@
   incoming.query = query;
   incoming.deadline = fixture.loop.now() + 3s;
   fixture.dispatcher.submit(incoming, fixture, 1);
-  CHECK(fixture.run_until([&] { return !fixture.responses.empty(); }));
+  CHECK(fixture.run_until([&] {
+    return !fixture.responses.empty();
+  }));
   CHECK(fixture.responses[0].status == ResponseStatus::kRejected);
   CHECK(fixture.responses[0].retry_after);
   CHECK(fixture.attempts.empty());
@@ -204,7 +220,9 @@
   fixture.dispatcher.process_events();
   REQUIRE(fixture.responses.size() == 1);  // that of the load
   CHECK(fixture.responses[0].status == ResponseStatus::kFailed);
-  CHECK(fixture.run_until([&] { return fixture.attempts.size() == 3; }));
+  CHECK(fixture.run_until([&] {
+    return fixture.attempts.size() == 3;
+  }));
   CHECK(fixture.attempts[2].key.request == read);
   fixture.end_attempt(fixture.attempts[2].key, Outcome::kServed, "rows");
   fixture.dispatcher.process_events();
--- a/tests/frontend/frame_codec_test.cpp
+++ b/tests/frontend/frame_codec_test.cpp
@@ -35,7 +35,9 @@
 }
 
 TEST_CASE("frames: lengths out of bounds") {
-  const auto parse = [](std::string_view bytes) { return frames::parse_frame(bytes).status; };
+  const auto parse = [](std::string_view bytes) {
+    return frames::parse_frame(bytes).status;
+  };
   using namespace std::string_view_literals;
   CHECK(parse("\0\0\0\4\2\0\0\0\1"sv) == frames::ParseStatus::kMalformed);
   CHECK(parse("\xff\xff\xff\xff\2\0\0\0\1"sv) == frames::ParseStatus::kMalformed);
@@ -51,8 +53,9 @@
   }
   const std::string duplicate = encode_fields({{"op", "a"}, {"op", "b"}});
   CHECK_FALSE(frames::parse_payload(duplicate));
-  test::parse_damaged(good + "body",
-                      [](const std::string& bytes) { static_cast<void>(frames::parse_payload(bytes)); });
+  test::parse_damaged(good + "body", [](const std::string& bytes) {
+    static_cast<void>(frames::parse_payload(bytes));
+  });
 }
 
 }  // namespace
--- a/tests/integration/cluster_processes_test.cpp
+++ b/tests/integration/cluster_processes_test.cpp
@@ -79,7 +79,9 @@
   }
   template <class Act>
   void net(Act act) {
-    relay_.run_on_thread([&](FaultInjectingNetwork& relay) { act(relay); });
+    relay_.run_on_thread([&](FaultInjectingNetwork& relay) {
+      act(relay);
+    });
   }
   static NodeId node(std::size_t i) { return static_cast<NodeId>(i); }
   // Nothing passes between this member and the others, as far as the ways go.
@@ -136,8 +138,9 @@
     }
   }
   void wait(std::size_t i, const std::string& name, std::uint64_t value) {
-    wait(std::to_string(i) + ": " + name + "=" + std::to_string(value),
-         [&] { return figure(i, name) == value; });
+    wait(std::to_string(i) + ": " + name + "=" + std::to_string(value), [&] {
+      return figure(i, name) == value;
+    });
   }
   void wait_all(const std::string& name, std::uint64_t value) {
     for (std::size_t i = 0; i < members_.size(); ++i) wait(i, name, value);
@@ -200,7 +203,9 @@
     fleet.start();
     fleet.wait_whole();
     if (row.twice == 1)
-      fleet.wait("repeats are counted", [&] { return fleet.figure(0, "dropped.seen") > 20; });
+      fleet.wait("repeats are counted", [&] {
+        return fleet.figure(0, "dropped.seen") > 20;
+      });
   }
 }
 
@@ -223,7 +228,9 @@
     }
     for (std::size_t i : {0u, 1u}) {
       fleet.wait(i, "reads_plan", 1);
-      fleet.wait("a new plan", [&] { return fleet.figure(i, "epoch") > epoch; });
+      fleet.wait("a new plan", [&] {
+        return fleet.figure(i, "epoch") > epoch;
+      });
       fleet.wait(i, "standing", 2);
     }
     CHECK(fleet.figure(2, "standing") != 2);
@@ -246,8 +253,12 @@
   std::this_thread::sleep_for(3s);  // longer than any lease that it had
   fleet.cut(1, true, true);
   fleet.process(1).send_signal(SIGCONT);
-  fleet.wait("it has noticed", [&] { return fleet.figure(1, "wakes") > wakes; });
-  all_along(1500ms, [&] { return fleet.figure(1, "standing") != 2; });
+  fleet.wait("it has noticed", [&] {
+    return fleet.figure(1, "wakes") > wakes;
+  });
+  all_along(1500ms, [&] {
+    return fleet.figure(1, "standing") != 2;
+  });
   for (std::size_t i : {0u, 2u}) fleet.wait(i, "standing", 2);
   fleet.cut(1, true, true, false);
   fleet.wait_whole();
@@ -259,7 +270,9 @@
   fleet.wait_whole();
   // An epoch that is not the settings', so that one that forgets it would be seen.
   for (std::size_t i = 0; i < 3; ++i) fleet.zones(i, {"z", "y"}), fleet.process(i).send_signal(SIGHUP);
-  fleet.wait("a plan with the new zones", [&] { return fleet.figure(0, "epoch") >= 1; });
+  fleet.wait("a plan with the new zones", [&] {
+    return fleet.figure(0, "epoch") >= 1;
+  });
   fleet.wait_whole();
   for (const std::size_t member : {2u, 0u, 1u}) {
     CAPTURE(member);
@@ -268,7 +281,9 @@
     fleet.process(member).wait_for_exit();
     fleet.cut(member, true, true);
     fleet.start(member);
-    all_along(700ms, [&] { return fleet.figure(member, "votes") == 0; });
+    all_along(700ms, [&] {
+      return fleet.figure(member, "votes") == 0;
+    });
     fleet.cut(member, true, true, false);
     fleet.wait(member, "votes", 1);
     CHECK(fleet.figure(member, "epoch") >= epoch);
@@ -309,7 +324,9 @@
     });
     const Values settled = fleet.everywhere("epoch");
     CHECK(settled[0] <= epoch + 4);
-    all_along(3s, [&] { return fleet.everywhere("epoch") == settled; });
+    all_along(3s, [&] {
+      return fleet.everywhere("epoch") == settled;
+    });
   }
 }
 
@@ -319,8 +336,12 @@
   fleet.start();
   for (std::size_t i : {0u, 1u}) fleet.wait(i, "standing", 2);
   for (std::size_t i = 0; i < 3; ++i)
-    fleet.wait("forged ones are counted", [&] { return fleet.figure(i, "dropped.forged") > 3; });
-  fleet.wait("each side knows its own", [&] { return fleet.everywhere("alive") == Values{2, 2, 1}; });
+    fleet.wait("forged ones are counted", [&] {
+      return fleet.figure(i, "dropped.forged") > 3;
+    });
+  fleet.wait("each side knows its own", [&] {
+    return fleet.everywhere("alive") == Values{2, 2, 1};
+  });
   CHECK(fleet.figure(2, "standing") != 2);
   write_key(fleet.folder(2) + "/key", kKeyText);
   fleet.process(2).send_signal(SIGHUP);
@@ -360,7 +381,9 @@
   fleet.process(0).send_signal(SIGHUP);
   fleet.process(0).wait_for_log("configuration reload failed: fleet.key");
   const auto received = fleet.figure(0, "received");
-  fleet.wait("it hears on", [&] { return fleet.figure(0, "received") > received + 20; });
+  fleet.wait("it hears on", [&] {
+    return fleet.figure(0, "received") > received + 20;
+  });
   CHECK(fleet.figure(0, "reads_plan") == 1);
   CHECK(fleet.everywhere("dropped.forged") == Values(3, 0));
   fleet.wait_whole();
@@ -370,14 +393,18 @@
   Fleet fleet(3);
   fleet.start();
   for (std::size_t i = 0; i < 3; ++i) fleet.zones(i, {"z", "y"}), fleet.process(i).send_signal(SIGHUP);
-  fleet.wait("a plan", [&] { return fleet.figure(2, "epoch") >= 1; });
+  fleet.wait("a plan", [&] {
+    return fleet.figure(2, "epoch") >= 1;
+  });
   fleet.wait_whole();
   const Values epochs = fleet.everywhere("epoch");
   fleet.process(2).send_signal(SIGKILL);
   fleet.process(2).wait_for_exit();
   fleet.zones(2, {"z"});
   fleet.start(2);
-  fleet.wait("it has the plan", [&] { return fleet.figure(2, "epoch") >= epochs[0]; });
+  fleet.wait("it has the plan", [&] {
+    return fleet.figure(2, "epoch") >= epochs[0];
+  });
   fleet.wait(2, "standing", 1);
   CHECK(fleet.figure(2, "reads_plan") == 0);
   for (std::size_t i : {0u, 1u}) CHECK(fleet.figure(i, "reads_plan") == 1);
--- a/tests/integration/connection_close_test.cpp
+++ b/tests/integration/connection_close_test.cpp
@@ -96,7 +96,9 @@
   // The loop stalls beyond the time at which the connection is idle, and the request comes meanwhile.
   fixture.run_on_loop([&] {
     std::this_thread::sleep_for(150ms);
-    fixture.run_later(1ms, [&] { client.send(fixture.encode_request(2)); });
+    fixture.run_later(1ms, [&] {
+      client.send(fixture.encode_request(2));
+    });
   });
   REQUIRE(fixture.wait_for_attempts(2));
   fixture.serve(1, "two");
--- a/tests/integration/drain_test.cpp
+++ b/tests/integration/drain_test.cpp
@@ -40,7 +40,9 @@
       : log_(log_text_, LogLevel::kDebug, "h", "a"),
         dispatcher_(loop_, log_, metrics_, settings, {kZone}, {}) {
     dispatcher_.set_transport(*this);
-    loop_.on_iteration_end([this] { dispatcher_.process_events(); });
+    loop_.on_iteration_end([this] {
+      dispatcher_.process_events();
+    });
   }
 
   void list_engine(routing::EngineState state, std::optional<Time> listed_at = std::nullopt) {
@@ -65,7 +67,9 @@
   }
 
   void run_until(Time end) {
-    loop_.run_at(end, [this] { loop_.stop(); });
+    loop_.run_at(end, [this] {
+      loop_.stop();
+    });
     loop_.run();
   }
 
@@ -128,7 +132,9 @@
   // anew.
   void run() {
     pool_.send(make_attempt(1, loop_.now() + 1s));
-    loop_.run_at(loop_.now(), [this] { serve_until_first_end(); });
+    loop_.run_at(loop_.now(), [this] {
+      serve_until_first_end();
+    });
     loop_.run();
   }
 
@@ -142,7 +148,9 @@
     const bool has_request = engine_ && engine_->read_more(1ms) && callbacks_.outcomes.empty();
     if (has_request) engine_->send("1 data parts=1 0\r\n\r\n");
     if (callbacks_.outcomes.empty()) {
-      loop_.run_at(loop_.now() + 1ms, [this] { serve_until_first_end(); });
+      loop_.run_at(loop_.now() + 1ms, [this] {
+        serve_until_first_end();
+      });
     } else {
       reset_and_send_next();
     }
@@ -157,7 +165,9 @@
       pool_.stop_new_attempts(0);
     });
     was_reset_ = true;
-    loop_.run_at(loop_.now() + 100ms, [this] { loop_.stop(); });
+    loop_.run_at(loop_.now() + 100ms, [this] {
+      loop_.stop();
+    });
   }
 
   RecordingCallbacks callbacks_;
--- a/tests/integration/graceful_shutdown_test.cpp
+++ b/tests/integration/graceful_shutdown_test.cpp
@@ -11,9 +11,11 @@
 TEST_CASE("graceful shutdown: SIGTERM with other signals: what was taken is served, and it exits with 0") {
   const std::pair<const char*, const char*> orders[] = {
       {"SIGHUP and SIGTERM in one turn", "signal STOP\nsignal HUP\nsignal TERM\nsignal CONT\n"},
-      {"SIGTERM, then SIGHUP", "signal TERM\nexpect log graceful shutdown started\nsignal HUP\nexpect log configuration reloaded\n"},
+      {"SIGTERM, then SIGHUP",
+       "signal TERM\nexpect log graceful shutdown started\nsignal HUP\nexpect log configuration reloaded\n"},
       {"SIGTERM, then SIGHUP with a broken file",
-       "signal TERM\nexpect log graceful shutdown started\nconfigure {\nsignal HUP\nexpect log configuration reload failed\n"},
+       "signal TERM\nexpect log graceful shutdown started\nconfigure {\nsignal HUP\nexpect log configuration "
+       "reload failed\n"},
       {"SIGHUP with a broken file, and SIGTERM in one turn",
        "configure {\nsignal STOP\nsignal HUP\nsignal TERM\nsignal CONT\nexpect log the former settings "
        "stay\n"},
--- a/tests/mysql/handshake_test.cpp
+++ b/tests/mysql/handshake_test.cpp
@@ -55,10 +55,12 @@
   CHECK(mysql::parse_login(login_payload).schema == "s");
   CHECK(mysql::parse_login(login_payload).auth_response == login.auth_response);
 
-  test::parse_damaged(greeting_payload,
-                      [](const std::string& damaged) { parse_leniently(mysql::parse_greeting, damaged); });
-  test::parse_damaged(login_payload,
-                      [](const std::string& damaged) { parse_leniently(mysql::parse_login, damaged); });
+  test::parse_damaged(greeting_payload, [](const std::string& damaged) {
+    parse_leniently(mysql::parse_greeting, damaged);
+  });
+  test::parse_damaged(login_payload, [](const std::string& damaged) {
+    parse_leniently(mysql::parse_login, damaged);
+  });
 }
 
 TEST_CASE("mysql: proofs are those of the public specification") {
--- a/tests/net/acceptor_test.cpp
+++ b/tests/net/acceptor_test.cpp
@@ -40,8 +40,9 @@
 TEST_CASE("descriptors: an acceptor without any closes new connections, also after its reserve was taken") {
   EventLoop loop;
   std::vector<FileDescriptor> accepted;
-  Acceptor acceptor(loop, test::listen_on_free_port(),
-                    [&](FileDescriptor connection) { accepted.push_back(std::move(connection)); });
+  Acceptor acceptor(loop, test::listen_on_free_port(), [&](FileDescriptor connection) {
+    accepted.push_back(std::move(connection));
+  });
   Clients first;
   Clients burst;
   std::size_t iterations = 0;
--- a/tests/net/append_mark.h
+++ b/tests/net/append_mark.h
@@ -9,7 +9,9 @@
 
 // A task that appends the mark to the text, which must outlive it.
 inline EventLoop::Task append_mark(std::string& text, char mark) {
-  return [&text, mark] { text += mark; };
+  return [&text, mark] {
+    text += mark;
+  };
 }
 
 }  // namespace rookproxy::test
--- a/tests/net/event_loop_test.cpp
+++ b/tests/net/event_loop_test.cpp
@@ -16,7 +16,9 @@
 namespace {
 
 void run_for(EventLoop& loop, Duration duration) {
-  loop.run_at(loop.now() + duration, [&loop] { loop.stop(); });
+  loop.run_at(loop.now() + duration, [&loop] {
+    loop.stop();
+  });
   loop.run();
 }
 
@@ -43,9 +45,13 @@
 TEST_CASE("event loop: a stalled iteration is reported with its duration") {
   EventLoop loop;
   std::vector<Duration> stalls;
-  loop.on_stalled_iteration(50ms, [&](Duration duration) { stalls.push_back(duration); });
+  loop.on_stalled_iteration(50ms, [&](Duration duration) {
+    stalls.push_back(duration);
+  });
   loop.run_at(loop.now(), [] {});
-  loop.run_at(loop.now() + 1ms, [] { std::this_thread::sleep_for(60ms); });
+  loop.run_at(loop.now() + 1ms, [] {
+    std::this_thread::sleep_for(60ms);
+  });
   loop.run_at(loop.now() + 2ms, [] {});
   run_for(loop, 100ms);
   REQUIRE(!stalls.empty());
@@ -75,7 +81,9 @@
     fired_in_iteration = 0;
   });
   TimerId cancelled;
-  loop.run_at(loop.now(), [&] { loop.cancel(cancelled); });
+  loop.run_at(loop.now(), [&] {
+    loop.cancel(cancelled);
+  });
   cancelled = loop.run_at(loop.now(), test::append_mark(wrongly_run, 'x'));
   loop.run_at(loop.now(), rearm);
   loop.run();
--- a/tests/net/stream_close_test.cpp
+++ b/tests/net/stream_close_test.cpp
@@ -44,16 +44,22 @@
     });
   }
   ~StreamPair() {
-    host.finish([this] { stream.reset(); });
+    host.finish([this] {
+      stream.reset();
+    });
   }
 
   // Of the stream's end, as the handler was told; none while it is open.
   std::vector<std::string> end_reasons() {
-    return host.run([this] { return handler.end_reasons; });
+    return host.run([this] {
+      return handler.end_reasons;
+    });
   }
   // Whether the handler is told of the stream's end within the tests' limit.
   bool wait_for_end() {
-    return host.until([this] { return !handler.end_reasons.empty(); });
+    return host.until([this] {
+      return !handler.end_reasons.empty();
+    });
   }
 
   EventLoopThread host;
@@ -69,7 +75,9 @@
   // Guards against a close that resets the connection, which may discard what was just written.
   StreamPair pair;
   const std::string response(16U << 20U, 'a');  // more than kernels hold, so that some is queued
-  pair.host.run([&] { pair.stream->set_read_paused(true); });
+  pair.host.run([&] {
+    pair.stream->set_read_paused(true);
+  });
   pair.peer.send(std::string(100'000, 'q'));
   pair.host.run([&] {
     pair.stream->write(response);
@@ -82,11 +90,15 @@
   CHECK(read.error == 0);
   CHECK((read.bytes == response));
   CHECK(pair.end_reasons().empty());
-  CHECK(pair.host.run([&] { return pair.stream->is_open(); }));
+  CHECK(pair.host.run([&] {
+    return pair.stream->is_open();
+  }));
   pair.peer.close();
   CHECK(pair.wait_for_end());
   CHECK(pair.end_reasons() == std::vector<std::string>{"closed by the peer"});
-  CHECK(pair.host.run([&] { return pair.handler.received; }) == "");
+  CHECK(pair.host.run([&] {
+    return pair.handler.received;
+  }) == "");
 }
 
 TEST_CASE("stream: a graceful close still delivers to a peer that has ended its side") {
@@ -115,7 +127,9 @@
     std::promise<void> finished;
     pair.host.run([&] {
       pair.stream->close_gracefully(200ms);
-      pair.host.loop.run_at(pair.host.loop.now() + 300ms, [&] { finished.set_value(); });
+      pair.host.loop.run_at(pair.host.loop.now() + 300ms, [&] {
+        finished.set_value();
+      });
     });
     finished.get_future().get();
     CHECK(std::chrono::steady_clock::now() - start >= 200ms);
--- a/tests/net/stream_test.cpp
+++ b/tests/net/stream_test.cpp
@@ -44,7 +44,9 @@
   CHECK_FALSE(stream.has_write_started(first));
   CHECK(stream.cancel_write(first));
   CHECK_FALSE(stream.cancel_write(first));
-  CHECK(test::run_until(loop, [&] { return stream.has_write_started(second); }));
+  CHECK(test::run_until(loop, [&] {
+    return stream.has_write_started(second);
+  }));
   CHECK_FALSE(stream.cancel_write(second));
   test::TestConnection peer(accept_connection(listener));
   REQUIRE(peer.wait_for_bytes(6));
@@ -59,6 +61,8 @@
   REQUIRE(test::wait_until_readable(listener, test::kWaitLimit));
   Stream stream(loop, accept_connection(listener), handler, false, kInputLimit);
   peer.send(std::string(5000, 'x'));
-  REQUIRE(test::run_until(loop, [&] { return !handler.close_reason.empty(); }));
+  REQUIRE(test::run_until(loop, [&] {
+    return !handler.close_reason.empty();
+  }));
   CHECK(handler.close_reason == "message exceeds the input limit");
 }
--- a/tests/policy/check_queue_test.cpp
+++ b/tests/policy/check_queue_test.cpp
@@ -44,7 +44,9 @@
   }
   REQUIRE(!order.empty());
   CHECK(order.back() == 7);
-  CHECK(std::count_if(order.begin(), order.end(), [](auto id) { return id >= 300; }) <= 2);
+  CHECK(std::count_if(order.begin(), order.end(), [](auto id) {
+          return id >= 300;
+        }) <= 2);
 }
 
 TEST_CASE("check queue: checks stay within their share of the processor") {
--- a/tests/policy/revocation_status_test.cpp
+++ b/tests/policy/revocation_status_test.cpp
@@ -14,7 +14,9 @@
 
 TEST_CASE("revocation: a list that is missing or too old fails closed, after its grace") {
   const CrlTimes crl{kNow - 60s, kNow};
-  const auto status_at = [&](Time now) { return revocation_status(crl, now, 30s, 5s); };
+  const auto status_at = [&](Time now) {
+    return revocation_status(crl, now, 30s, 5s);
+  };
   CHECK(status_at(kNow - 1s) == RevocationStatus::kFresh);
   CHECK(status_at(kNow) == RevocationStatus::kInGracePeriod);
   CHECK(status_at(kNow + 29s) == RevocationStatus::kInGracePeriod);
--- a/tests/routing/affinity_test.cpp
+++ b/tests/routing/affinity_test.cpp
@@ -58,7 +58,9 @@
   }
   // The distance to an empty engine is 1 and the tilt at most 0.4: 28 queries at 1/20 each outweigh both.
   EXPECT_EQ(where[5], where[0]);
-  const auto moved = std::find_if(where.begin(), where.end(), [&](auto e) { return e != where[0]; });
+  const auto moved = std::find_if(where.begin(), where.end(), [&](auto e) {
+    return e != where[0];
+  });
   ASSERT_NE(moved, where.end());
   EXPECT_GE(moved - where.begin(), 12);
   EXPECT_LE(moved - where.begin(), 29);
@@ -74,7 +76,9 @@
   swapped_router.update_engines(0, {first, engine(1), third});
   router.handle(1, {query(1, 5)});
   swapped_router.handle(1, {query(1, 5)});
-  const auto unswapped = [](EngineId id) { return id == 1 ? 1u : 2u - id; };
+  const auto unswapped = [](EngineId id) {
+    return id == 1 ? 1u : 2u - id;
+  };
   EXPECT_EQ(router.sends()[0].engine, unswapped(swapped_router.sends()[0].engine));
 }
 
@@ -175,7 +179,9 @@
   auto running = router.sends();
   std::vector<Event> disconnects;  // of the others: only what runs counts towards the limit
   for (RequestId id = 1000; id < 1100; ++id) {
-    const auto runs = [id](const Send& one) { return one.request == id; };
+    const auto runs = [id](const Send& one) {
+      return one.request == id;
+    };
     if (std::none_of(running.begin(), running.end(), runs)) disconnects.push_back(ClientDisconnected{id});
   }
   router.handle(now + 1, disconnects);
--- a/tests/routing/concurrency_limit_test.cpp
+++ b/tests/routing/concurrency_limit_test.cpp
@@ -112,7 +112,9 @@
 
   [[nodiscard]] double attempts_on(const std::vector<EngineEntry>& engines) const {
     const auto is_on_engines = [&](const auto& attempt) {
-      const auto has_id = [&](const EngineEntry& entry) { return entry.id == attempt.second.engine; };
+      const auto has_id = [&](const EngineEntry& entry) {
+        return entry.id == attempt.second.engine;
+      };
       return std::any_of(engines.begin(), engines.end(), has_id);
     };
     return static_cast<double>(std::count_if(attempts_.begin(), attempts_.end(), is_on_engines));
--- a/tests/routing/outlier_detection_test.cpp
+++ b/tests/routing/outlier_detection_test.cpp
@@ -58,7 +58,11 @@
   router.update_engines(3, {engine(1)}, EngineListKind::kDelta);
   router.handle(kSecond, {query(2, 1), query(3, 2), query(4, 3)});
   const auto sends = router.sends();
-  EXPECT_EQ(std::count_if(sends.begin(), sends.end(), [](const Send& send) { return send.engine == 0; }), 1);
+  EXPECT_EQ(std::count_if(sends.begin(), sends.end(),
+                          [](const Send& send) {
+                            return send.engine == 0;
+                          }),
+            1);
 }
 
 TEST(OutlierDetection, ABrokenConnectionIsNoProofThatItsEngineIsUnreachable) {
--- a/tests/routing/records_test.cpp
+++ b/tests/routing/records_test.cpp
@@ -259,7 +259,9 @@
   known[0].grant_factor = 10;
   known[1].grant_factor = 20;
   const std::vector<ClassSettings> after = {named("a", 1), named("a", 5), named("b", 3), named("c", 4)};
-  const auto initial = [](const ClassSettings&) { return ClassState{}; };
+  const auto initial = [](const ClassSettings&) {
+    return ClassState{};
+  };
   const auto states = carry_over(before, known, after, initial);
   ASSERT_EQ(states.size(), 4u);
   EXPECT_EQ(states[0].grant_factor, 10);
--- a/tests/routing/simulated_cluster_test.cpp
+++ b/tests/routing/simulated_cluster_test.cpp
@@ -232,9 +232,13 @@
     cluster.run_until(kListsSilentAt);
     for (EngineId replaced = 0; replaced < 12; ++replaced) {
       const Time drains_at = kListsSilentAt + (replaced / 4) * 5 * kSecond / 2;
-      cluster.schedule(drains_at, [&cluster, replaced] { replace_engine(cluster, replaced); });
+      cluster.schedule(drains_at, [&cluster, replaced] {
+        replace_engine(cluster, replaced);
+      });
     }
-    cluster.schedule(kListsResumeAt, [&cluster] { cluster.publish_list(kListSpread); });
+    cluster.schedule(kListsResumeAt, [&cluster] {
+      cluster.publish_list(kListSpread);
+    });
     cluster.run_until(45 * kSecond);
     cluster.finish_requests();
     EXPECT_LT(response_shares(cluster, kListsSilentAt, 30 * kSecond).late, 0.05);
--- a/tests/routing/simulation/engine_set.cpp
+++ b/tests/routing/simulation/engine_set.cpp
@@ -35,7 +35,9 @@
 }
 
 void EngineSet::remove(EngineId id) {
-  std::erase_if(list_, [id](const EngineEntry& entry) { return entry.id == id; });
+  std::erase_if(list_, [id](const EngineEntry& entry) {
+    return entry.id == id;
+  });
 }
 
 void EngineSet::reuse_address(EngineId id, EngineId other) {
@@ -49,7 +51,9 @@
 }
 
 EngineEntry& EngineSet::entry(EngineId id) {
-  const auto has_id = [id](const EngineEntry& entry) { return entry.id == id; };
+  const auto has_id = [id](const EngineEntry& entry) {
+    return entry.id == id;
+  };
   return *std::find_if(list_.begin(), list_.end(), has_id);
 }
 
--- a/tests/routing/simulation/simulated_cluster.cpp
+++ b/tests/routing/simulation/simulated_cluster.cpp
@@ -220,7 +220,9 @@
     advance_attempt(process, speed, attempt);
     if (is_over(attempt)) over.push_back(attempt);
   }
-  std::erase_if(process.attempts, [this](const RunningAttempt& attempt) { return is_over(attempt); });
+  std::erase_if(process.attempts, [this](const RunningAttempt& attempt) {
+    return is_over(attempt);
+  });
   for (const auto& attempt : over) {
     report_outcome(attempt, attempt.remaining_work <= 0 ? Outcome::kServed : Outcome::kNoResponse);
   }
@@ -309,7 +311,9 @@
     return;
   }
   const Outcome outcome = target.exited ? Outcome::kConnectFailed : Outcome::kRejected;
-  schedule(now_ + kTimeStep, [this, attempt, outcome] { report_outcome(attempt, outcome); });
+  schedule(now_ + kTimeStep, [this, attempt, outcome] {
+    report_outcome(attempt, outcome);
+  });
 }
 
 void SimulatedCluster::check_send(std::uint32_t dispatcher, const Send& send) {
@@ -364,8 +368,9 @@
     ended.report.emplace();
     ended.report->active_queries = static_cast<double>(target.attempts.size());
   }
-  schedule(now_ + (target.hung ? kHungProbeTimeout : kTimeStep),
-           [this, dispatcher, ended] { dispatchers_[dispatcher].receive(ended); });
+  schedule(now_ + (target.hung ? kHungProbeTimeout : kTimeStep), [this, dispatcher, ended] {
+    dispatchers_[dispatcher].receive(ended);
+  });
 }
 
 // ---- figures ----
--- a/tests/routing/simulation/slow_start_run.cpp
+++ b/tests/routing/simulation/slow_start_run.cpp
@@ -79,13 +79,17 @@
 
 void SlowStartRun::begin_burst() {
   cluster_.conditions().traffic_factor = scenario_.burst_factor;
-  cluster_.schedule(cluster_.now() + kBurstPeriod, [this] { cluster_.conditions().traffic_factor = 1; });
+  cluster_.schedule(cluster_.now() + kBurstPeriod, [this] {
+    cluster_.conditions().traffic_factor = 1;
+  });
 }
 
 void SlowStartRun::restart_some_dispatchers() {
   for (std::uint32_t i = 0; i < scenario_.dispatchers; i += 3) {
     const Time when = cluster_.now() + kSecond / 2 + 4 * kSecond * i / scenario_.dispatchers;
-    cluster_.schedule(when, [this, i] { cluster_.restart_dispatcher(i); });
+    cluster_.schedule(when, [this, i] {
+      cluster_.restart_dispatcher(i);
+    });
   }
 }
 
@@ -93,8 +97,9 @@
   const std::uint32_t processes = scenario_.dispatchers * scenario_.processes_per_dispatcher;
   for (std::uint32_t i = 0; i < processes; ++i) {
     const Time when = cluster_.now() + scenario_.all_restart_after + scenario_.restart_period * i / processes;
-    cluster_.schedule(
-        when, [this, i] { cluster_.restart_dispatcher(i, scenario_.list_delay_after_restart, false); });
+    cluster_.schedule(when, [this, i] {
+      cluster_.restart_dispatcher(i, scenario_.list_delay_after_restart, false);
+    });
   }
 }
 
--- a/tests/support/frontend_fixture.cpp
+++ b/tests/support/frontend_fixture.cpp
@@ -78,7 +78,9 @@
       dispatcher_(host_.loop, log_, metrics_, make_frontend_config().settings, {"z"}, {}) {
   host_.run([&] {
     dispatcher_.set_transport(*this);
-    host_.on_iteration_end = [this] { dispatcher_.process_events(); };
+    host_.on_iteration_end = [this] {
+      dispatcher_.process_events();
+    };
     dispatcher_.update_endpoints({make_serving_endpoint()}, false);
     dispatcher_.process_events();
     frames_ = std::make_unique<FramesFrontend>(host_.loop, log_, dispatcher_, listen_on_free_port(), limits);
@@ -92,14 +94,20 @@
 // The result of a const member function, on the loop's thread.
 template <class Object, class Result>
 Result FrontendFixture::query(const Object& object, Result (Object::*function)() const) {
-  return host_.run([&] { return (object.*function)(); });
+  return host_.run([&] {
+    return (object.*function)();
+  });
 }
 
 // Waits until a const member function returns that, on the loop's thread.
 template <class Object, class Result>
 bool FrontendFixture::wait_until(const Object& object, Result (Object::*function)() const, Result wanted,
                                  std::chrono::milliseconds within) {
-  return host_.until([&] { return (object.*function)() == wanted; }, within);
+  return host_.until(
+      [&] {
+        return (object.*function)() == wanted;
+      },
+      within);
 }
 
 FrontendFixture::~FrontendFixture() {
@@ -132,12 +140,16 @@
 }
 
 bool FrontendFixture::wait_for_attempts(std::size_t count) {
-  return host_.until([&] { return attempts_.size() >= count; });
+  return host_.until([&] {
+    return attempts_.size() >= count;
+  });
 }
 
 void FrontendFixture::serve(std::size_t attempt, const std::string& body) {
   const AttemptResult result{Outcome::kServed, std::nullopt, body};
-  host_.run([&] { dispatcher_.on_attempt_ended(attempts_.at(attempt), result); });
+  host_.run([&] {
+    dispatcher_.on_attempt_ended(attempts_.at(attempt), result);
+  });
 }
 
 bool FrontendFixture::wait_for_open_requests(std::size_t count, std::chrono::milliseconds within) {
@@ -152,7 +164,9 @@
 }
 
 std::size_t FrontendFixture::attempt_count() {
-  return host_.run([this] { return attempts_.size(); });
+  return host_.run([this] {
+    return attempts_.size();
+  });
 }
 
 std::size_t FrontendFixture::open_request_count() {
@@ -171,11 +185,15 @@
 }
 
 void FrontendFixture::close_frames_gracefully(Duration timeout) {
-  host_.run([&] { frames_->close_all_gracefully(timeout); });
+  host_.run([&] {
+    frames_->close_all_gracefully(timeout);
+  });
 }
 
 void FrontendFixture::close_mysql_gracefully(Duration timeout) {
-  host_.run([&] { mysql_->close_all_gracefully(timeout); });
+  host_.run([&] {
+    mysql_->close_all_gracefully(timeout);
+  });
 }
 
 bool FrontendFixture::has_frames_connections() { return query(*frames_, &FramesFrontend::has_connections); }
@@ -195,7 +213,9 @@
 }
 
 bool FrontendFixture::wait_for_no_connections() {
-  return host_.until([this] { return !frames_->has_connections() && !mysql_->has_connections(); });
+  return host_.until([this] {
+    return !frames_->has_connections() && !mysql_->has_connections();
+  });
 }
 
 bool FrontendFixture::is_frames_flushed() { return query(*frames_, &FramesFrontend::is_flushed); }
@@ -205,7 +225,9 @@
 }
 
 void FrontendFixture::set_mysql_limits(std::size_t max_connections, std::size_t max_bytes) {
-  host_.run([&] { mysql_->set_resource_limits(max_connections, max_bytes, max_bytes); });
+  host_.run([&] {
+    mysql_->set_resource_limits(max_connections, max_bytes, max_bytes);
+  });
 }
 
 void FrontendFixture::run_later(Duration delay, const std::function<void()>& task) {
