--- a/bench/open_loop_load.h
+++ b/bench/open_loop_load.h
@@ -28,6 +28,7 @@
   [[nodiscard]] LoadResult run(SteadyClock::duration length);
 
  private:
+  // A client connection and what it waits for.
   struct Connection {
     FileDescriptor socket;
     std::string received;
--- a/bench/token_flood.h
+++ b/bench/token_flood.h
@@ -28,6 +28,7 @@
   [[nodiscard]] std::uint64_t sent() const { return sent_; }
 
  private:
+  // A client connection and its stream ids.
   struct Connection {
     FileDescriptor socket;
     std::uint32_t last_stream_id = 0;
--- a/tests/cluster/membership_cluster.h
+++ b/tests/cluster/membership_cluster.h
@@ -165,7 +165,9 @@
  private:
   static constexpr Duration kCheckInterval{10'000};
 
+  // What happens to a member.
   enum class EventKind : std::uint8_t { kMessage, kTick, kResume };
+  // Something that happens at a time; of two at one time the one scheduled first.
   struct Event {
     Time at;
     std::uint64_t order;
@@ -178,6 +180,7 @@
       return std::tie(other.at, other.order) < std::tie(at, order);
     }
   };
+  // A member with its links and its traffic.
   struct Node {
     std::unique_ptr<SimulatedMember> member;
     std::vector<bool> is_cut;  // towards each other member
--- a/tests/routing/simulation/simulated_dispatcher.h
+++ b/tests/routing/simulation/simulated_dispatcher.h
@@ -49,6 +49,7 @@
   void close_request(std::size_t request) { open_requests_.erase(request); }
 
  private:
+  // A timer that the router has set.
   struct PendingTimer {
     Time at = 0;
     std::uint64_t token = 0;
--- a/tests/support/mysql_client.h
+++ b/tests/support/mysql_client.h
@@ -41,6 +41,7 @@
 /// For one thread.
 class MysqlClient {
  public:
+  /// Whether an execution carries the types of its parameters.
   enum class ParameterTypes { kSent, kOmitted };
 
   explicit MysqlClient(TestConnection connection) : connection_(std::move(connection)) {}
