--- a/src/settings/settings_reader.cpp
+++ b/src/settings/settings_reader.cpp
@@ -165,8 +165,9 @@
 void read_engine_features(const SettingValues& values, routing::Settings& settings) {
   settings.memory_grants_supported = values.is_set("domain.takes_grants");
   settings.priorities_supported = values.is_set("domain.priorities");
-  if (values.text("domain.largest_share"))
+  if (values.text("domain.largest_share")) {
     settings.max_memory_grant_share = values.number_or("domain.largest_share", 1);
+  }
   if (const auto mode = values.text("domain.out_of_memory")) {
     settings.memory_pressure = read_keyword(kMemoryPressureModes, *mode, "domain.out_of_memory");
   }
--- a/src/settings/text_values.h
+++ b/src/settings/text_values.h
@@ -41,10 +41,12 @@
   Integer value{};
   const char* const end = text.data() + text.size();
   const auto [stop, error] = std::from_chars(text.data(), end, value);
-  if (error == std::errc::result_out_of_range)
+  if (error == std::errc::result_out_of_range) {
     throw_format_error(std::string(name) + " is out of range", text);
-  if (error != std::errc() || stop != end)
+  }
+  if (error != std::errc() || stop != end) {
     throw_format_error(std::string(name) + " is not a whole number", text);
+  }
   return value;
 }
 
