--- a/tests/integration/startup_signals_test.cpp
+++ b/tests/integration/startup_signals_test.cpp
@@ -217,14 +217,15 @@
   respond_to_dns_query(discovery);
   CHECK(client.wait_for_end());
   CHECK_FALSE(client.was_reset());
-  std::size_t size = 0;
   std::size_t served = 0;
   std::size_t not_ready = 0;
-  frames::Frame frame;
-  while (frames::parse_frame(client.buffer(), frame, size) == frames::ParseStatus::kComplete) {
+  frames::ParsedFrame parsed = frames::parse_frame(client.buffer());
+  while (parsed.status == frames::ParseStatus::kComplete) {
+    const frames::Frame& frame = parsed.frame;
     if (frame.type == frames::kResponse && frame.payload[0] == frames::kServed) ++served;
     if (frame.type == frames::kReadiness && frame.payload[0] == kIsNotReady) ++not_ready;
-    client.take(size);
+    client.take(parsed.frame_size);
+    parsed = frames::parse_frame(client.buffer());
   }
   CHECK(served == 1);
   CHECK(not_ready == 1);
--- a/tests/policy/check_queue_test.cpp
+++ b/tests/policy/check_queue_test.cpp
@@ -44,8 +44,8 @@
   }
   REQUIRE(!order.empty());
   CHECK(order.back() == 7);
-  CHECK(std::count_if(order.begin(), order.end(), [](auto id) {
-          return id >= 300;
+  CHECK(std::count_if(order.begin(), order.end(), [](CheckQueue::CheckId check) {
+          return check >= 300;
         }) <= 2);
 }
 
