--- a/tests/policy/revocation_status_test.cpp
+++ b/tests/policy/revocation_status_test.cpp
@@ -1,28 +1,28 @@
 // Revocation lists: how far one can be relied on.
-#include "policy/revocation_status.h"
-
 #include <catch2/catch.hpp>
 #include <optional>
 
 #include "policy/credentials.h"
+#include "policy/revocation_status.h"
 
-namespace rookproxy::policy {
+namespace rookproxy {
 namespace {
 
+using namespace policy;
 using namespace std::chrono_literals;
 using test::kNow;
 
+}  // namespace
+
 TEST_CASE("revocation: a list that is missing or too old fails closed, after its grace") {
   const CrlTimes crl{kNow - 60s, kNow};
-  const auto status_at = [&](Time now) {
-    return revocation_status(crl, now, 30s, 5s);
-  };
-  CHECK(status_at(kNow - 1s) == RevocationStatus::kFresh);
-  CHECK(status_at(kNow) == RevocationStatus::kInGracePeriod);
-  CHECK(status_at(kNow + 29s) == RevocationStatus::kInGracePeriod);
-  CHECK(status_at(kNow + 30s) == RevocationStatus::kExpired);
-  CHECK(status_at(kNow - 66s) == RevocationStatus::kNotYetValid);
-  CHECK(status_at(kNow - 65s) == RevocationStatus::kFresh);
+  const auto judge = [&](Time now) { return revocation_status(crl, now, 30s, 5s); };
+  CHECK(judge(kNow - 1s) == RevocationStatus::kFresh);
+  CHECK(judge(kNow) == RevocationStatus::kInGracePeriod);
+  CHECK(judge(kNow + 29s) == RevocationStatus::kInGracePeriod);
+  CHECK(judge(kNow + 30s) == RevocationStatus::kExpired);
+  CHECK(judge(kNow - 66s) == RevocationStatus::kNotYetValid);
+  CHECK(judge(kNow - 65s) == RevocationStatus::kFresh);
   CHECK(revocation_status(std::nullopt, kNow, 30s, 5s) == RevocationStatus::kMissing);
   CHECK(revocation_status(CrlTimes{kNow - 60s, {}}, kNow + 1000h, 30s, 5s) == RevocationStatus::kFresh);
   CHECK(fails_closed(RevocationStatus::kExpired));
@@ -34,5 +34,4 @@
   CHECK(may_replace(std::nullopt, {kNow, {}}));
 }
 
-}  // namespace
-}  // namespace rookproxy::policy
+}  // namespace rookproxy
--- a/tests/policy/token_cache_test.cpp
+++ b/tests/policy/token_cache_test.cpp
@@ -1,28 +1,30 @@
 // The cache of verified tokens: its bounds, and what leaves it.
-#include "policy/token_cache.h"
-
 #include <catch2/catch.hpp>
 #include <memory>
 #include <string>
 
 #include "policy/credentials.h"
+#include "policy/token_cache.h"
 
-namespace rookproxy::policy {
+namespace rookproxy {
 namespace {
 
+using namespace policy;
 using namespace std::chrono_literals;
 using test::kNow;
 
+}  // namespace
+
 TEST_CASE("token cache: it holds what is good, within its bounds, and forgets what is over") {
   TokenCache cache({3, 1u << 20, 16, 5s}, 42);
-  const auto entry = [](Duration lifetime, const std::string& key = "k") {
-    auto credential = std::make_shared<VerifiedCredential>();
-    credential->claims = test::make_claims();
-    credential->identity = test::make_identity("student");
-    credential->identity.not_after = kNow + lifetime;
-    credential->key_id = key;
-    credential->key_fingerprint = "p-" + key;
-    return credential;
+  const auto entry = [](Duration life, const std::string& key = "k") {
+    auto one = std::make_shared<VerifiedCredential>();
+    one->claims = test::make_claims();
+    one->identity = test::make_identity("student");
+    one->identity.not_after = kNow + life;
+    one->key_id = key;
+    one->key_fingerprint = "p-" + key;
+    return one;
   };
   cache.put("a", entry(10s));
   cache.put("b", entry(20s, "other"));
@@ -62,5 +64,4 @@
   CHECK_FALSE(small.is_known_invalid("bad", kNow));
 }
 
-}  // namespace
-}  // namespace rookproxy::policy
+}  // namespace rookproxy
--- a/tests/policy/token_validation_test.cpp
+++ b/tests/policy/token_validation_test.cpp
@@ -1,19 +1,19 @@
 // Validation of tokens: the choice of the key, and the claims.
-#include "policy/token_validation.h"
-
 #include <catch2/catch.hpp>
-#include <optional>
-#include <string>
 #include <vector>
 
 #include "policy/credentials.h"
+#include "policy/token_validation.h"
 
-namespace rookproxy::policy {
+namespace rookproxy {
 namespace {
 
+using namespace policy;
 using namespace std::chrono_literals;
 using test::kNow;
 
+}  // namespace
+
 TEST_CASE("token: the key is chosen by its id, and it says which algorithm is taken") {
   const std::vector<KeyMetadata> keys{{"old", Algorithm::kEs256, {}, kNow - 1s, "p1"},
                                       {"now", Algorithm::kEs256, kNow - 10s, kNow + 10s, "p2"},
@@ -37,34 +37,30 @@
   CHECK(choose({"ES256", "now", "", false, true}) == Denial::kUnknownKey);
 }
 
-TEST_CASE("token: its claims are validated against rules and time") {
+TEST_CASE("token: what it says is judged against rules and time") {
   const double now = *test::make_claims().expires - 60;
-  const auto denial_of = [](const TokenClaims& claims) {
-    return validate_claims(claims, test::make_rules(), {{"j-bad"}, {"s-bad"}}, kNow);
-  };
-  // The denial of claims in which one member differs from valid ones.
-  const auto denial_with = [&](auto TokenClaims::*member, auto value) {
-    TokenClaims claims = test::make_claims();
-    claims.*member = value;
-    return denial_of(claims);
+  const auto judge = [](auto change) {
+    TokenClaims one = test::make_claims();
+    change(one);
+    return validate_claims(one, test::make_rules(), {{"j-bad"}, {"s-bad"}}, kNow);
   };
-  CHECK(denial_of(test::make_claims()) == Denial::kNone);
-  CHECK(denial_with(&TokenClaims::issuer, "https://id/") == Denial::kUntrustedIssuer);
-  CHECK(denial_with(&TokenClaims::issuer, "") == Denial::kUntrustedIssuer);
-  CHECK(denial_with(&TokenClaims::audience, std::vector<std::string>{"other"}) == Denial::kWrongAudience);
-  CHECK(denial_with(&TokenClaims::audience, std::vector<std::string>{}) == Denial::kWrongAudience);
-  CHECK(denial_with(&TokenClaims::expires, std::nullopt) == Denial::kNoExpiry);
-  CHECK(denial_with(&TokenClaims::expires, 1e300) == Denial::kNoExpiry);
-  CHECK(denial_with(&TokenClaims::expires, -1) == Denial::kNoExpiry);
-  CHECK(denial_with(&TokenClaims::expires, now - 4) == Denial::kNone);
-  CHECK(denial_with(&TokenClaims::expires, now - 5) == Denial::kExpired);
-  CHECK(denial_with(&TokenClaims::not_before, now + 4) == Denial::kNone);
-  CHECK(denial_with(&TokenClaims::not_before, now + 6) == Denial::kNotYetValid);
-  CHECK(denial_with(&TokenClaims::not_before, 1e300) == Denial::kNotYetValid);
-  CHECK(denial_with(&TokenClaims::issued_at, now + 6) == Denial::kNotYetValid);
-  CHECK(denial_with(&TokenClaims::subject, "") == Denial::kNoSubject);
-  CHECK(denial_with(&TokenClaims::id, "j-bad") == Denial::kRevoked);
-  CHECK(denial_with(&TokenClaims::subject, "s-bad") == Denial::kRevoked);
+  CHECK(judge([](auto&) {}) == Denial::kNone);
+  CHECK(judge([](auto& c) { c.issuer = "https://id/"; }) == Denial::kUntrustedIssuer);
+  CHECK(judge([](auto& c) { c.issuer.clear(); }) == Denial::kUntrustedIssuer);
+  CHECK(judge([](auto& c) { c.audience = {"other"}; }) == Denial::kWrongAudience);
+  CHECK(judge([](auto& c) { c.audience.clear(); }) == Denial::kWrongAudience);
+  CHECK(judge([](auto& c) { c.expires.reset(); }) == Denial::kNoExpiry);
+  CHECK(judge([](auto& c) { c.expires = 1e300; }) == Denial::kNoExpiry);
+  CHECK(judge([](auto& c) { c.expires = -1; }) == Denial::kNoExpiry);
+  CHECK(judge([&](auto& c) { c.expires = now - 4; }) == Denial::kNone);
+  CHECK(judge([&](auto& c) { c.expires = now - 5; }) == Denial::kExpired);
+  CHECK(judge([&](auto& c) { c.not_before = now + 4; }) == Denial::kNone);
+  CHECK(judge([&](auto& c) { c.not_before = now + 6; }) == Denial::kNotYetValid);
+  CHECK(judge([](auto& c) { c.not_before = 1e300; }) == Denial::kNotYetValid);
+  CHECK(judge([&](auto& c) { c.issued_at = now + 6; }) == Denial::kNotYetValid);
+  CHECK(judge([](auto& c) { c.subject.clear(); }) == Denial::kNoSubject);
+  CHECK(judge([](auto& c) { c.id = "j-bad"; }) == Denial::kRevoked);
+  CHECK(judge([](auto& c) { c.subject = "s-bad"; }) == Denial::kRevoked);
   TokenRules bounded = test::make_rules();
   bounded.max_lifetime = 100s;
   CHECK(validate_claims(test::make_claims(), bounded, {}, kNow) == Denial::kNoExpiry);
@@ -76,5 +72,4 @@
   CHECK(*identity.not_after == kNow + 15s);
 }
 
-}  // namespace
-}  // namespace rookproxy::policy
+}  // namespace rookproxy
--- a/tests/routing/affinity_test.cpp
+++ b/tests/routing/affinity_test.cpp
@@ -9,39 +9,36 @@
 #include <utility>
 #include <vector>
 
-#include "routing/scripted_router.h"
-#include "routing/test_events.h"
-#include "routing/test_settings.h"
-#include "routing/test_time.h"
+#include "routing/router_script.h"
 
 namespace rookproxy::routing {
 namespace {
 
-TEST(Affinity, GroupReturnsToItsEngine) {
-  ScriptedRouter router(basic_settings());
-  router.update_engines(0, {engine(0), engine(1), engine(2)});
-  router.handle(1, {query(1, 7)});
-  ASSERT_EQ(router.sends().size(), 1u);
-  const auto preferred = router.sends()[0].engine;
-  // Distance 0 + 1/20 at the group's engine against 1 elsewhere: even a tilt of 0.4 does not move it.
+TEST(Affinity, GroupReturnsToTheEngineThatHeldIt) {
+  Script s(basic_settings());
+  s.list(0, {engine(0), engine(1), engine(2)});
+  s.at(1, {query(1, 7)});
+  ASSERT_EQ(s.sends().size(), 1u);
+  const auto preferred = s.sends()[0].engine;
+  // Distance 0 + 1/20 at home against 1 elsewhere: even a tilt of 0.4 does not move it.
   for (RequestId id = 2; id < 8; ++id) {
-    router.handle(static_cast<Time>(id), {query(id, 7)});
-    ASSERT_EQ(router.sends().size(), 1u);
-    EXPECT_EQ(router.sends()[0].engine, preferred);
+    s.at(static_cast<Time>(id), {query(id, 7)});
+    ASSERT_EQ(s.sends().size(), 1u);
+    EXPECT_EQ(s.sends()[0].engine, preferred);
   }
 }
 
 TEST(Affinity, OtherGroupsAvoidAnEngineThatIsFullOfOne) {
-  ScriptedRouter router(basic_settings());
-  router.update_engines(0, {engine(0), engine(1)});
-  router.handle(1, {query(1, 7)});
-  const auto preferred = router.sends()[0].engine;
+  Script s(basic_settings());
+  s.list(0, {engine(0), engine(1)});
+  s.at(1, {query(1, 7)});
+  const auto preferred = s.sends()[0].engine;
   // sqrt(2) + 1/20 at the other group's engine against at most 1 + 0.4 at the empty one.
   for (std::uint64_t group = 20; group < 26; ++group) {
-    ScriptedRouter t(basic_settings());
-    t.update_engines(0, {engine(0), engine(1)});
-    t.handle(1, {query(1, 7)});
-    t.handle(2, {query(2, group)});
+    Script t(basic_settings());
+    t.list(0, {engine(0), engine(1)});
+    t.at(1, {query(1, 7)});
+    t.at(2, {query(2, group)});
     EXPECT_NE(t.sends()[0].engine, preferred);
   }
 }
@@ -49,53 +46,47 @@
 TEST(Affinity, LoadOverTheFactorOutweighsDistance) {
   auto settings = basic_settings();
   settings.machine_types[0].cores = 100;
-  ScriptedRouter router(settings);
-  router.update_engines(0, {engine(0), engine(1)});
+  Script s(settings);
+  s.list(0, {engine(0), engine(1)});
   std::vector<EngineId> where;
   for (RequestId id = 1; id <= 40; ++id) {
-    router.handle(static_cast<Time>(id), {query(id, 7)});
-    where.push_back(router.sends()[0].engine);
+    s.at(static_cast<Time>(id), {query(id, 7)});
+    where.push_back(s.sends()[0].engine);
   }
   // The distance to an empty engine is 1 and the tilt at most 0.4: 28 queries at 1/20 each outweigh both.
   EXPECT_EQ(where[5], where[0]);
-  const auto moved = std::find_if(where.begin(), where.end(), [&](auto e) {
-    return e != where[0];
-  });
+  const auto moved = std::find_if(where.begin(), where.end(), [&](auto e) { return e != where[0]; });
   ASSERT_NE(moved, where.end());
   EXPECT_GE(moved - where.begin(), 12);
   EXPECT_LE(moved - where.begin(), 29);
 }
 
 TEST(Affinity, TiesDoNotDependOnTheOrderOfTheList) {
-  ScriptedRouter router(basic_settings());
-  ScriptedRouter swapped_router(basic_settings());
-  router.update_engines(0, {engine(0), engine(1), engine(2)});
-  auto first = engine(0);
-  auto third = engine(2);
+  Script a(basic_settings()), b(basic_settings());
+  a.list(0, {engine(0), engine(1), engine(2)});
+  auto first = engine(0), second = engine(1), third = engine(2);
   std::swap(first.name, third.name);
-  swapped_router.update_engines(0, {first, engine(1), third});
-  router.handle(1, {query(1, 5)});
-  swapped_router.handle(1, {query(1, 5)});
-  const auto unswapped = [](EngineId id) {
-    return id == 1 ? 1u : 2u - id;
-  };
-  EXPECT_EQ(router.sends()[0].engine, unswapped(swapped_router.sends()[0].engine));
+  b.list(0, {first, second, third});
+  a.at(1, {query(1, 5)});
+  b.at(1, {query(1, 5)});
+  const auto name = [](EngineId id, bool swapped) { return swapped ? (id == 1 ? 1u : 2u - id) : id; };
+  EXPECT_EQ(name(a.sends()[0].engine, false), name(b.sends()[0].engine, true));
 }
 
 TEST(TableLoads, AReaderThatWaitsBehindOneIsRetriedElsewhere) {
   auto settings = basic_settings();
   settings.classes[0].waits_for_loads = true;
-  ScriptedRouter router(settings);
-  router.update_engines(0, {engine(0), engine(1)});
-  router.handle(1, {query(1, 7)});
-  const auto preferred = router.sends()[0].engine;
-  router.handle(2, {AttemptUpdate{1, 0, preferred, AttemptUpdateKind::kWaitingForLoad, 2}});
-  ASSERT_EQ(router.actions_of<Cancel>().size(), 1u);
-  router.handle(3, {ended(1, 0, preferred, Outcome::kCancelled)});
-  ASSERT_EQ(router.sends().size(), 1u);
-  EXPECT_NE(router.sends()[0].engine, preferred);
-  router.handle(4, {query(2, 7)});  // that the group waits for a load is remembered
-  EXPECT_NE(router.sends()[0].engine, preferred);
+  Script s(settings);
+  s.list(0, {engine(0), engine(1)});
+  s.at(1, {query(1, 7)});
+  const auto preferred = s.sends()[0].engine;
+  s.at(2, {AttemptUpdate{1, 0, preferred, AttemptUpdateKind::kWaitingForLoad, 2}});
+  ASSERT_EQ(s.all<Cancel>().size(), 1u);
+  s.at(3, {ended(1, 0, preferred, Outcome::kCancelled)});
+  ASSERT_EQ(s.sends().size(), 1u);
+  EXPECT_NE(s.sends()[0].engine, preferred);
+  s.at(4, {query(2, 7)});  // the held group is remembered
+  EXPECT_NE(s.sends()[0].engine, preferred);
 }
 
 TEST(TableLoads, GoWhereTheirGroupsReadersAreNot) {
@@ -103,53 +94,53 @@
     auto settings = basic_settings();
     settings.classes.push_back(settings.classes[0]);
     settings.classes[1].is_load = true;
-    ScriptedRouter router(settings);
-    router.update_engines(0, {engine(0), engine(1)});
-    router.handle(1, {query(1, group)});
-    const auto preferred = router.sends()[0].engine;
-    router.handle(2, {ended(1, 0, preferred, Outcome::kServed)});
+    Script s(settings);
+    s.list(0, {engine(0), engine(1)});
+    s.at(1, {query(1, group)});
+    const auto preferred = s.sends()[0].engine;
+    s.at(2, {ended(1, 0, preferred, Outcome::kServed)});
     auto load = query(2, group);
     load.class_index = 1;
-    router.handle(3, {load});
-    EXPECT_NE(router.sends()[0].engine, preferred);
+    s.at(3, {load});
+    EXPECT_NE(s.sends()[0].engine, preferred);
   }
 }
 
 TEST(Affinity, InstancesAgreeOnPreferredEnginesWithoutTalking) {
   std::map<EngineId, int> preferred_engines;
   for (std::uint32_t i = 0; i < 60; ++i) {
-    ScriptedRouter router(instance_settings(100, i));
-    router.update_engines(0, engine_entries(20));
+    Script s(one_of_many(100, i));
+    s.at(0, {EngineList{EngineListKind::kSnapshot, fleet(20)}});
     for (RequestId id = 1; id <= 4; ++id) {  // each has another past
-      router.handle(static_cast<Time>(id), {query(id, 1000 + 7 * i + id)});
-      router.handle(static_cast<Time>(id), {ended(id, 0, router.sends().at(0).engine, Outcome::kServed)});
+      s.at(static_cast<Time>(id), {query(id, 1000 + 7 * i + id)});
+      s.at(static_cast<Time>(id), {ended(id, 0, s.sends().at(0).engine, Outcome::kServed)});
     }
-    router.handle(10, {query(5, 7)});
-    ++preferred_engines[router.sends().at(0).engine];
+    s.at(10, {query(5, 7)});
+    ++preferred_engines[s.sends().at(0).engine];
   }
-  std::vector<int> most;  // a fifth of each instance's traffic: four of twenty engines are preferred
+  std::vector<int> most;  // a fifth of each gateway's traffic: four of twenty engines are its homes
   for (const auto& [id, n] : preferred_engines) most.push_back(n);
   std::sort(most.rbegin(), most.rend());
   most.resize(6);
   EXPECT_GE(std::accumulate(most.begin(), most.end(), 0), 45);
 }
 
-// First sends of 100 instances by engine; each instance has so many queries, which are served at once.
-std::map<EngineId, int> first_sends_by_engine(bool loads, int queries, std::uint64_t groups) {
+// Sends of 100 gateways side by side, each with `each` queries that are answered at once, by engine.
+std::map<EngineId, int> first_sends_by_engine(bool loads, int each, std::uint64_t groups) {
   std::map<EngineId, int> at;
   for (std::uint32_t i = 0; i < 100; ++i) {
-    auto settings = instance_settings(100, i);
+    auto settings = one_of_many(100, i);
     settings.classes[0].is_load = loads;
-    ScriptedRouter router(settings);
-    router.update_engines(0, engine_entries(30));
-    for (int k = 0; k < queries; ++k) {
+    Script s(settings);
+    s.at(0, {EngineList{EngineListKind::kSnapshot, fleet(30)}});
+    for (int k = 0; k < each; ++k) {
       const RequestId id = i * 1000 + static_cast<RequestId>(k) + 1;
-      auto arrived = query(id, id * 40503 / 7 % groups);
-      arrived.deadline = k * 300'000 + 20 * kSecond;
-      router.handle(k * 300'000, {arrived});
-      for (const auto& one : router.sends()) {
+      auto q = query(id, id * 40503 / 7 % groups);
+      q.deadline = k * 300'000 + 20 * kSecond;
+      s.at(k * 300'000, {q});
+      for (const auto& one : s.sends()) {
         ++at[one.engine];
-        router.handle(k * 300'000 + 100'000, {ended(one, Outcome::kServed)});
+        s.at(k * 300'000 + 100'000, {ended(one.request, 0, one.engine, Outcome::kServed)});
       }
     }
   }
@@ -171,59 +162,57 @@
   for (const auto& [engine, n] : at) EXPECT_LT(n, 60) << engine;  // 20 each if all were even
 }
 
-// Fills the aggregate limit with queries of unrelated groups; those that run.
-std::vector<Send> fill_aggregate_limit(ScriptedRouter& router, Time now) {
+// Fills the sum of windows with unrelated groups; the requests that run.
+std::vector<Send> fill_aggregate_limit(Script& s, Time now) {
   std::vector<Event> burst;
   for (RequestId id = 1000; id < 1100; ++id) burst.push_back(query(id, id));
-  router.handle(now, burst);
-  auto running = router.sends();
-  std::vector<Event> disconnects;  // of the others: only what runs counts towards the limit
+  s.at(now, burst);
+  auto running = s.sends();
+  std::vector<Event> gone;  // the rest leaves again: only what runs holds the sum
   for (RequestId id = 1000; id < 1100; ++id) {
-    const auto runs = [id](const Send& one) {
-      return one.request == id;
-    };
-    if (std::none_of(running.begin(), running.end(), runs)) disconnects.push_back(ClientDisconnected{id});
+    const auto runs = [id](const Send& one) { return one.request == id; };
+    if (std::none_of(running.begin(), running.end(), runs)) gone.push_back(ClientDisconnected{id});
   }
-  router.handle(now + 1, disconnects);
+  s.at(now + 1, gone);
   return running;
 }
 
-TEST(Affinity, QueuedRequestsDoNotMoveTheirGroupElsewhere) {
-  int at_preferred = 0;
+TEST(Affinity, WhatWaitsInOurQueueDoesNotDriveItsGroupElsewhere) {
+  int at_home = 0;
   for (std::uint64_t group = 1; group <= 8; ++group) {
-    ScriptedRouter router(instance_settings(147));
-    router.update_engines(0, engine_entries(40));
-    const auto running = fill_aggregate_limit(router, 1);
-    router.handle(200'003, {query(1, group), query(2, group), query(3, group)});
-    ASSERT_EQ(router.sends().size(), 0u);
+    Script s(one_of_many(147));
+    s.at(0, {EngineList{EngineListKind::kSnapshot, fleet(40)}});
+    const auto running = fill_aggregate_limit(s, 1);
+    s.at(200'003, {query(1, group), query(2, group), query(3, group)});
+    ASSERT_EQ(s.sends().size(), 0u);
     std::map<EngineId, int> preferred_engines;
     Time now = 200'004;
     for (const auto& one : running) {
-      router.handle(++now, {ended(one, Outcome::kServed)});
-      while (!router.sends().empty()) {
-        const auto sent = router.sends()[0];
+      s.at(++now, {ended(one.request, 0, one.engine, Outcome::kServed)});
+      while (!s.sends().empty()) {
+        const auto sent = s.sends()[0];
         ++preferred_engines[sent.engine];
-        router.handle(++now, {ended(sent, Outcome::kServed)});
+        s.at(++now, {ended(sent.request, 0, sent.engine, Outcome::kServed)});
       }
     }
     int most = 0;
     for (const auto& [id, n] : preferred_engines) most = std::max(most, n);
-    at_preferred += most;
+    at_home += most;
   }
-  EXPECT_GE(at_preferred, 20);  // of 24
+  EXPECT_GE(at_home, 20);  // of 24
 }
 
 TEST(Affinity, AZoneThatCostsIsUsedLess) {
-  auto settings = instance_settings(100);
+  auto settings = one_of_many(100);
   settings.cross_zone_cost = 1;
-  ScriptedRouter router(settings);
-  auto all = engine_entries(10);
+  Script s(settings);
+  auto all = fleet(10);
   for (auto& e : all) e.zone = e.id < 5 ? 0 : 1;
-  router.update_engines(0, all);
+  s.at(0, {EngineList{EngineListKind::kSnapshot, all}});
   for (RequestId id = 1; id <= 8; ++id) {
-    router.handle(static_cast<Time>(id), {query(id, id)});
-    EXPECT_LT(router.sends().at(0).engine, 5u);
-    router.handle(static_cast<Time>(id), {ended(id, 0, router.sends().at(0).engine, Outcome::kServed)});
+    s.at(static_cast<Time>(id), {query(id, id)});
+    EXPECT_LT(s.sends().at(0).engine, 5u);
+    s.at(static_cast<Time>(id), {ended(id, 0, s.sends().at(0).engine, Outcome::kServed)});
   }
 }
 
--- a/tests/routing/ordered_keys_test.cpp
+++ b/tests/routing/ordered_keys_test.cpp
@@ -3,10 +3,7 @@
 
 #include <cstdint>
 
-#include "routing/scripted_router.h"
-#include "routing/test_events.h"
-#include "routing/test_settings.h"
-#include "routing/test_time.h"
+#include "routing/router_script.h"
 
 namespace rookproxy::routing {
 namespace {
@@ -19,35 +16,35 @@
 }
 
 RequestArrived keyed_query(RequestId id, std::uint64_t key) {
-  auto arrived = query(id);
-  arrived.key = key;
-  return arrived;
+  auto q = query(id);
+  q.key = key;
+  return q;
 }
 
 TEST(OrderedKeys, OneKeyOneAtATime) {
-  ScriptedRouter router(ordered());
-  router.update_engines(0, {engine(0), engine(1)});
-  router.handle(1, {keyed_query(1, 5), keyed_query(2, 5), keyed_query(3, 6), query(4)});
-  ASSERT_EQ(router.sends().size(), 3u);
-  for (const auto& send : router.sends()) EXPECT_NE(send.request, 2u);
-  router.handle(2, {ended(1, 0, router.sends()[0].engine, Outcome::kServed)});
-  ASSERT_EQ(router.sends().size(), 1u);
-  EXPECT_EQ(router.sends()[0].request, 2u);
+  Script s(ordered());
+  s.list(0, {engine(0), engine(1)});
+  s.at(1, {keyed_query(1, 5), keyed_query(2, 5), keyed_query(3, 6), query(4)});
+  ASSERT_EQ(s.sends().size(), 3u);
+  for (const auto& send : s.sends()) EXPECT_NE(send.request, 2u);
+  s.at(2, {ended(1, 0, s.sends()[0].engine, Outcome::kServed)});
+  ASSERT_EQ(s.sends().size(), 1u);
+  EXPECT_EQ(s.sends()[0].request, 2u);
 }
 
 TEST(OrderedKeys, AKeyHasACooldownAfterAnAttemptThatMayStillRun) {
-  ScriptedRouter router(ordered());
-  router.update_engines(0, {engine(0), engine(1)});
-  router.handle(1, {keyed_query(1, 5), keyed_query(2, 5)});
-  const auto first = router.sends()[0].engine;
-  router.handle(2, {ClientDisconnected{1}});
-  EXPECT_EQ(router.sends().size(), 0u);
-  router.handle(3, {ended(1, 0, first, Outcome::kCancelled)});
-  EXPECT_EQ(router.sends().size(), 0u);
-  router.advance(20'000, kSecond - 1);
-  EXPECT_EQ(router.sends().size(), 0u);
-  router.handle(kSecond + 4, {TimerFired{kTickToken}});
-  EXPECT_EQ(router.sends().size(), 1u);
+  Script s(ordered());
+  s.list(0, {engine(0), engine(1)});
+  s.at(1, {keyed_query(1, 5), keyed_query(2, 5)});
+  const auto first = s.sends()[0].engine;
+  s.at(2, {ClientDisconnected{1}});
+  EXPECT_EQ(s.sends().size(), 0u);
+  s.at(3, {ended(1, 0, first, Outcome::kCancelled)});
+  EXPECT_EQ(s.sends().size(), 0u);
+  s.wait(20'000, kSecond - 1);
+  EXPECT_EQ(s.sends().size(), 0u);
+  s.at(kSecond + 4, {TimerFired{1}});
+  EXPECT_EQ(s.sends().size(), 1u);
 }
 
 }  // namespace
--- a/tests/routing/quota_test.cpp
+++ b/tests/routing/quota_test.cpp
@@ -1,46 +1,39 @@
 // Tenants beyond their quota. Each guard has a test that fails when the guard is taken out.
 #include <gtest/gtest.h>
 
-#include <algorithm>
 #include <cstddef>
 #include <cstdint>
 #include <vector>
 
-#include "routing/scripted_router.h"
-#include "routing/test_events.h"
-#include "routing/test_settings.h"
-#include "routing/test_time.h"
+#include "routing/router_script.h"
 
 namespace rookproxy::routing {
 namespace {
 
 TEST(Quota, BeyondItsQuotaATenantWaitsBehindTheOthers) {
   auto settings = basic_settings();
-  settings.machine_types[0].cores = 0.5;  // a limit of one query
+  settings.machine_types[0].cores = 0.5;  // a window of one query
   settings.over_quota_weight = 0.05;
   settings.tenants = {{"a", 1, 0.5}, {"b", 1, 0.5}};
-  ScriptedRouter router(settings);
-  router.update_engines(0, {engine(0)});
-  const auto query_of_tenant = [](RequestId id, std::uint32_t tenant) {
-    auto arrived = query(id);
-    arrived.tenant = tenant;
-    return arrived;
+  Script s(settings);
+  s.list(0, {engine(0)});
+  const auto of = [](RequestId id, std::uint32_t tenant) {
+    auto q = query(id);
+    q.tenant = tenant;
+    return q;
   };
   std::vector<Event> burst;
-  for (RequestId id = 1; id <= 8; ++id)
-    burst.push_back(query_of_tenant(id, 0));  // five seconds of quota are saved up
-  burst.push_back(query_of_tenant(9, 1));
-  router.handle(1, burst);
+  for (RequestId id = 1; id <= 8; ++id) burst.push_back(of(id, 0));  // five seconds' worth are saved up
+  burst.push_back(of(9, 1));
+  s.at(1, burst);
   std::vector<RequestId> order;
   for (std::size_t i = 0; i < 9; ++i) {
-    for (const auto& one : router.sends()) order.push_back(one.request);
+    for (const auto& one : s.sends()) order.push_back(one.request);
     ASSERT_GT(order.size(), i);
-    router.handle(static_cast<Time>(2 + i), {ended(order[i], 0, 0, Outcome::kServed)});
+    s.at(static_cast<Time>(2 + i), {ended(order[i], 0, 0, Outcome::kServed)});
   }
-  const auto place_of = [&](RequestId id) {
-    return std::find(order.begin(), order.end(), id) - order.begin();
-  };
-  for (RequestId over = 6; over <= 8; ++over) EXPECT_LT(place_of(9), place_of(over));
+  const auto at = [&](RequestId id) { return std::find(order.begin(), order.end(), id) - order.begin(); };
+  for (RequestId over = 6; over <= 8; ++over) EXPECT_LT(at(9), at(over));
 }
 
 }  // namespace
--- a/tests/routing/records_test.cpp
+++ b/tests/routing/records_test.cpp
@@ -24,7 +24,7 @@
   return e;
 }
 
-TEST(Outcome, ClassifiesWhatAnAttemptMayHaveDone) {
+TEST(Outcome, SaysWhatAnAttemptMayHaveDone) {
   EXPECT_TRUE(never_ran(Outcome::kRejected));
   EXPECT_TRUE(never_ran(Outcome::kConnectFailed));
   EXPECT_TRUE(never_ran(Outcome::kNotSent));
@@ -86,11 +86,11 @@
   EXPECT_TRUE(fresh.update(entry(5), types, 3)) << "first seen after a start";
 }
 
-TEST(Engine, RetainsItsCoresWhereItsMachineTypeIsUnknown) {
+TEST(Engine, KeepsItsCoresWhereItsMachineTypeIsUnknown) {
   Engine engine;
   EXPECT_FALSE(engine.update(entry(0, 7), {{"small", 8.0, 16384.0}}, 1));
   EXPECT_EQ(engine.cores, 1);
-  EXPECT_FALSE(engine.update(entry(0, 0), {{"without figures", std::nullopt, std::nullopt}}, 2));
+  EXPECT_FALSE(engine.update(entry(0, 0), {{"told nothing", std::nullopt, std::nullopt}}, 2));
   EXPECT_EQ(engine.cores, 1);
   EXPECT_EQ(engine.memory_mb, 0);
 }
@@ -216,7 +216,7 @@
   EXPECT_TRUE(may_start(second));
 }
 
-TEST_F(OrderedKeysTest, NothingOfAKeyStartsDuringItsCooldown) {
+TEST_F(OrderedKeysTest, AKeyRestsDuringItsCooldown) {
   first.completed = true;
   keys.start_cooldown(first);
   keys.leave_if_done(first);
@@ -259,9 +259,7 @@
   known[0].grant_factor = 10;
   known[1].grant_factor = 20;
   const std::vector<ClassSettings> after = {named("a", 1), named("a", 5), named("b", 3), named("c", 4)};
-  const auto initial = [](const ClassSettings&) {
-    return ClassState{};
-  };
+  const auto initial = [](const ClassSettings&) { return ClassState{}; };
   const auto states = carry_over(before, known, after, initial);
   ASSERT_EQ(states.size(), 4u);
   EXPECT_EQ(states[0].grant_factor, 10);
--- a/tests/routing/retry_policy_test.cpp
+++ b/tests/routing/retry_policy_test.cpp
@@ -6,10 +6,7 @@
 #include <cstdint>
 #include <vector>
 
-#include "routing/scripted_router.h"
-#include "routing/test_events.h"
-#include "routing/test_settings.h"
-#include "routing/test_time.h"
+#include "routing/router_script.h"
 
 namespace rookproxy::routing {
 namespace {
@@ -19,24 +16,24 @@
        {Outcome::kError, Outcome::kConnectionLost, Outcome::kNoResponse, Outcome::kCancelled}) {
     auto settings = basic_settings();
     settings.classes[0].idempotency = Idempotency::kNonIdempotent;
-    ScriptedRouter router(settings);
-    router.update_engines(0, {engine(0), engine(1)});
-    router.handle(1, {query(1)});
-    router.handle(2, {ended(1, 0, router.sends()[0].engine, outcome)});
-    EXPECT_EQ(router.sends().size(), 0u);
-    EXPECT_EQ(router.actions_of<Reject>().size(), 0u);
-    EXPECT_EQ(router.actions_of<Fail>().size(), 1u);
+    Script s(settings);
+    s.list(0, {engine(0), engine(1)});
+    s.at(1, {query(1)});
+    s.at(2, {ended(1, 0, s.sends()[0].engine, outcome)});
+    EXPECT_EQ(s.sends().size(), 0u);
+    EXPECT_EQ(s.all<Reject>().size(), 0u);
+    EXPECT_EQ(s.all<Fail>().size(), 1u);
   }
 }
 
 TEST(Idempotency, NonIdempotentThatNeverRanIsRetried) {
   auto settings = basic_settings();
   settings.classes[0].idempotency = Idempotency::kNonIdempotent;
-  ScriptedRouter router(settings);
-  router.update_engines(0, {engine(0), engine(1)});
-  router.handle(1, {query(1)});
-  router.handle(2, {ended(1, 0, router.sends()[0].engine, Outcome::kRejected)});
-  EXPECT_EQ(router.sends().size(), 1u);
+  Script s(settings);
+  s.list(0, {engine(0), engine(1)});
+  s.at(1, {query(1)});
+  s.at(2, {ended(1, 0, s.sends()[0].engine, Outcome::kRejected)});
+  EXPECT_EQ(s.sends().size(), 1u);
 }
 
 Settings keyed(IdempotencyScope scope) {
@@ -49,81 +46,78 @@
 
 TEST(Idempotency, KeyedStaysInItsZoneOrCell) {
   for (const auto scope : {IdempotencyScope::kZone, IdempotencyScope::kCell}) {
-    int sent_to_first = 0;
+    int alone = 0;
     for (std::uint64_t group = 1; group < 20; ++group) {
-      ScriptedRouter router(keyed(scope));
-      auto second = engine(1);
-      auto third = engine(2);
-      (scope == IdempotencyScope::kZone ? second.zone : second.cell) = 1;
-      (scope == IdempotencyScope::kZone ? third.zone : third.cell) = 1;
-      router.update_engines(0, {engine(0), second, third});
-      router.handle(1, {query(1, group)});
-      const auto first = router.sends().at(0).engine;
-      router.handle(2, {ended(1, 0, first, Outcome::kConnectionLost)});
-      EXPECT_EQ(router.actions_of<Reject>().size(), 0u);
-      sent_to_first += first == 0;  // no other engine of its scope
-      ASSERT_EQ(router.sends().size(), 1u);
-      EXPECT_EQ(router.sends()[0].engine == 0, first == 0);
+      Script s(keyed(scope));
+      auto a = engine(0), b = engine(1), c = engine(2);
+      (scope == IdempotencyScope::kZone ? b.zone : b.cell) = 1;
+      (scope == IdempotencyScope::kZone ? c.zone : c.cell) = 1;
+      s.list(0, {a, b, c});
+      s.at(1, {query(1, group)});
+      const auto first = s.sends().at(0).engine;
+      s.at(2, {ended(1, 0, first, Outcome::kConnectionLost)});
+      EXPECT_EQ(s.all<Reject>().size(), 0u);
+      alone += first == 0;  // no other engine drops its repeats
+      ASSERT_EQ(s.sends().size(), 1u);
+      EXPECT_EQ(s.sends()[0].engine == 0, first == 0);
     }
-    EXPECT_GT(sent_to_first, 0);
+    EXPECT_GT(alone, 0);
   }
 }
 
 TEST(Idempotency, KeyedIsNotRetriedOutsideItsWindow) {
-  ScriptedRouter router(keyed(IdempotencyScope::kAll));
-  router.update_engines(0, {engine(0), engine(1)});
-  router.handle(1, {query(1), query(2)});
-  const auto first = router.sends()[0].engine;
-  router.handle(5 * kSecond, {ended(1, 0, first, Outcome::kError)});
-  EXPECT_EQ(router.sends().size(), 1u);
-  router.handle(5 * kSecond + 1, {ended(2, 0, first, Outcome::kError)});
-  EXPECT_EQ(router.sends().size(), 0u);
-  EXPECT_EQ(router.final_responses(), 1u);
+  Script s(keyed(IdempotencyScope::kAll));
+  s.list(0, {engine(0), engine(1)});
+  s.at(1, {query(1), query(2)});
+  const auto first = s.sends()[0].engine;
+  s.at(5 * kSecond, {ended(1, 0, first, Outcome::kError)});
+  EXPECT_EQ(s.sends().size(), 1u);
+  s.at(5 * kSecond + 1, {ended(2, 0, first, Outcome::kError)});
+  EXPECT_EQ(s.sends().size(), 0u);
+  EXPECT_EQ(s.final_responses(), 1u);
 }
 
 TEST(Idempotency, OneAttemptAtATime) {
-  ScriptedRouter router(basic_settings());
-  router.update_engines(0, {engine(0), engine(1)});
-  router.handle(1, {query(1)});
-  router.advance(20'000, 5 * kSecond);
-  EXPECT_EQ(router.all_sends().size(), 1u);
+  Script s(basic_settings());
+  s.list(0, {engine(0), engine(1)});
+  s.at(1, {query(1)});
+  s.wait(20'000, 5 * kSecond);
+  EXPECT_EQ(s.all_sends.size(), 1u);
 }
 
 TEST(AllowedEngines, ClassesKeepToTheirZonesAndMachineTypes) {
   auto settings = basic_settings();
   settings.classes[0].allowed_zones = std::vector<std::uint32_t>{1};
   settings.classes[0].allowed_machine_types = std::vector<std::uint32_t>{1};
-  ScriptedRouter router(settings);
-  auto other_machine_type = engine(0);
-  other_machine_type.zone = 1;
-  auto other_zone = engine(1);
-  other_zone.machine_type = 1;
-  auto allowed = engine(2);
-  allowed.zone = 1;
-  allowed.machine_type = 1;
-  router.update_engines(0, {other_machine_type, other_zone});
-  router.handle(1, {query(1, 1), query(2, 2)});
-  EXPECT_EQ(router.sends().size(), 0u);
-  router.update_engines(2, {allowed}, EngineListKind::kDelta);
-  router.advance(20'000, 40'000);
-  ASSERT_EQ(router.all_sends().size(), 2u);
-  for (const auto& send : router.all_sends()) EXPECT_EQ(send.engine, 2u);
+  Script s(settings);
+  auto a = engine(0), b = engine(1), c = engine(2);
+  a.zone = 1;
+  b.machine_type = 1;
+  c.zone = 1;
+  c.machine_type = 1;
+  s.list(0, {a, b});
+  s.at(1, {query(1, 1), query(2, 2)});
+  EXPECT_EQ(s.sends().size(), 0u);
+  s.list(2, {c}, EngineListKind::kDelta);
+  s.wait(20'000, 40'000);
+  ASSERT_EQ(s.all_sends.size(), 2u);
+  for (const auto& send : s.all_sends) EXPECT_EQ(send.engine, 2u);
 }
 
 TEST(Retries, StayWithinTheBudget) {
   auto settings = basic_settings();
   settings.retry_budget = RetryBudget{2, 0.1, 10 * kSecond};
-  ScriptedRouter router(settings);
-  router.update_engines(0, {engine(0), engine(1)});
+  Script s(settings);
+  s.list(0, {engine(0), engine(1)});
   std::vector<Event> burst;
   for (RequestId id = 1; id <= 10; ++id) burst.push_back(query(id, id));
-  router.handle(1, burst);
-  const auto first = router.sends();
+  s.at(1, burst);
+  const auto first = s.sends();
   ASSERT_EQ(first.size(), 10u);
   std::size_t extra = 0;
   for (const auto& send : first) {
-    router.handle(2, {ended(send, Outcome::kRejected)});
-    extra += router.sends().size();
+    s.at(2, {ended(send.request, 0, send.engine, Outcome::kRejected)});
+    extra += s.sends().size();
   }
   EXPECT_EQ(extra, 3u);  // 2 + 0.1 x 10
 }
@@ -131,14 +125,14 @@
 TEST(Retries, NoMoreThanAllowed) {
   auto settings = basic_settings();
   settings.max_attempts = 2;
-  ScriptedRouter router(settings);
-  router.update_engines(0, {engine(0), engine(1)});
-  router.handle(1, {query(1)});
-  router.handle(2, {ended(1, 0, router.sends()[0].engine, Outcome::kRejected)});
-  ASSERT_EQ(router.sends().size(), 1u);
-  router.handle(3, {ended(1, 1, router.sends()[0].engine, Outcome::kRejected)});
-  EXPECT_EQ(router.sends().size(), 0u);
-  EXPECT_EQ(router.actions_of<Reject>().size(), 1u);
+  Script s(settings);
+  s.list(0, {engine(0), engine(1)});
+  s.at(1, {query(1)});
+  s.at(2, {ended(1, 0, s.sends()[0].engine, Outcome::kRejected)});
+  ASSERT_EQ(s.sends().size(), 1u);
+  s.at(3, {ended(1, 1, s.sends()[0].engine, Outcome::kRejected)});
+  EXPECT_EQ(s.sends().size(), 0u);
+  EXPECT_EQ(s.all<Reject>().size(), 1u);
 }
 
 }  // namespace
--- a/tests/routing/settings_validation_test.cpp
+++ b/tests/routing/settings_validation_test.cpp
@@ -4,35 +4,32 @@
 #include <string>
 #include <utility>
 
-#include "routing/scripted_router.h"
-#include "routing/test_events.h"
-#include "routing/test_settings.h"
-#include "routing/test_time.h"
+#include "routing/router_script.h"
 
 namespace rookproxy::routing {
 namespace {
 
 TEST(SettingsValidation, ContradictionsAreNamed) {
-  const auto message = [](Settings settings) {
+  const auto message = [](Settings s) {
     try {
-      const Router router(std::move(settings));
-    } catch (const InvalidSettings& error) {
-      return std::string(error.what());
+      Router router(std::move(s));
+    } catch (const InvalidSettings& bad) {
+      return std::string(bad.what());
     }
     return std::string();
   };
-  auto settings = basic_settings();
-  settings.instance_count = 0;
-  EXPECT_NE(message(settings).find("routers"), std::string::npos);
-  settings = basic_settings();
-  settings.instance_index = 3;
-  EXPECT_NE(message(settings).find("ordinal"), std::string::npos);
-  settings = basic_settings();
-  settings.classes.clear();
-  EXPECT_NE(message(settings).find("classes"), std::string::npos);
-  settings = settings_with_slow_start();
-  settings.slow_start->initial_share = 1.5;
-  EXPECT_NE(message(settings).find("cold.from"), std::string::npos);
+  auto s = basic_settings();
+  s.instance_count = 0;
+  EXPECT_NE(message(s).find("routers"), std::string::npos);
+  s = basic_settings();
+  s.instance_index = 3;
+  EXPECT_NE(message(s).find("ordinal"), std::string::npos);
+  s = basic_settings();
+  s.classes.clear();
+  EXPECT_NE(message(s).find("classes"), std::string::npos);
+  s = with_slow_start();
+  s.slow_start->initial_share = 1.5;
+  EXPECT_NE(message(s).find("cold.from"), std::string::npos);
   EXPECT_EQ(message(basic_settings()), "");
 }
 
--- a/tests/routing/statistics_test.cpp
+++ b/tests/routing/statistics_test.cpp
@@ -123,7 +123,7 @@
   EXPECT_EQ(median({4, 1, 3, 2}), 3);
 }
 
-TEST(TickTimer, MeasuresItsLatenessWhileItIsArmed) {
+TEST(TickTimer, TellsHowLateItIsWhileItIsArmed) {
   TickTimer tick;
   EXPECT_FALSE(tick.is_armed());
   EXPECT_EQ(tick.lateness(100), 0);
--- a/tests/support/dispatcher_process.cpp
+++ b/tests/support/dispatcher_process.cpp
@@ -26,12 +26,11 @@
 
 constexpr auto kPollInterval = std::chrono::milliseconds(5);
 constexpr int kFirstInheritedDescriptor = 3;
-constexpr int kFirstCopiedDescriptor = 64;  // below it are the program's own and the inherited ones
+constexpr int kDescriptorsKeptFree = 64;  // below this the program's own and the inherited ones are put
 constexpr int kFilterFailed = 98;
 constexpr int kStartFailed = 99;
 constexpr int kSignalExitOffset = 128;
-constexpr const char* kClientPort = "start [rookproxy@32473 port=\"";
-constexpr const char* kAdminReady = "admin server listening";
+constexpr const char* kAdminReady = "answering operators";
 
 // Gives the sockets the numbers from kFirstInheritedDescriptor on. Each is copied first, as it may have one
 // of these numbers already; the copies are closed on exec.
@@ -40,7 +39,7 @@
   ::setenv("NODE_PASSED_SOCKET", std::to_string(kFirstInheritedDescriptor).c_str(), 1);
   std::vector<FileDescriptor> copies;
   for (const FileDescriptor& socket : sockets) {
-    copies.emplace_back(::fcntl(socket.get(), F_DUPFD_CLOEXEC, kFirstCopiedDescriptor));
+    copies.emplace_back(::fcntl(socket.get(), F_DUPFD_CLOEXEC, kDescriptorsKeptFree));
   }
   int number = kFirstInheritedDescriptor;
   for (const FileDescriptor& copy : copies) ::dup2(copy.get(), number++);
@@ -114,10 +113,6 @@
   return static_cast<std::uint16_t>(std::stoi(text.substr(at + field.size())));
 }
 
-std::uint16_t DispatcherProcess::client_port() const {
-  return static_cast<std::uint16_t>(std::stoi(wait_for_log(kClientPort)));
-}
-
 std::uint16_t DispatcherProcess::admin_port() const { return port_logged_with(kAdminReady); }
 
 void DispatcherProcess::send_signal(int number) const { ::kill(pid_, number); }
--- a/tests/support/dispatcher_process.h
+++ b/tests/support/dispatcher_process.h
@@ -42,9 +42,6 @@
   /// Waits until the log holds `text`, and returns what follows it there up to the next quote.
   std::string wait_for_log(const std::string& text) const;
 
-  /// The port on which it accepts clients of the frame protocol, once it has bound it.
-  [[nodiscard]] std::uint16_t client_port() const;
-
   /// The port on which it answers operators, once it does.
   [[nodiscard]] std::uint16_t admin_port() const;
 
--- a/tests/support/event_loop_thread.h
+++ b/tests/support/event_loop_thread.h
@@ -29,9 +29,7 @@
       ++iterations;
       if (on_iteration_end) on_iteration_end();
     });
-    thread_ = std::thread([this] {
-      loop.run();
-    });
+    thread_ = std::thread([this] { loop.run(); });
   }
   ~EventLoopThread() { finish(); }
   EventLoopThread(const EventLoopThread&) = delete;
@@ -44,9 +42,7 @@
     auto result = packaged.get_future();
     {
       const std::lock_guard lock(mutex_);
-      tasks_.push_back([&packaged] {
-        packaged();
-      });
+      tasks_.push_back([&packaged] { packaged(); });
     }
     const std::uint64_t one = 1;
     REQUIRE(::write(wake_.get(), &one, sizeof one) == sizeof one);
--- a/tests/support/frames_client.cpp
+++ b/tests/support/frames_client.cpp
@@ -27,15 +27,14 @@
 }
 
 std::optional<ReceivedFrame> FramesClient::next_frame() {
-  frames::ParsedFrame parsed = frames::parse_frame(connection_.buffer());
-  while (parsed.status != frames::ParseStatus::kComplete) {
+  frames::Frame frame;
+  std::size_t size = 0;
+  while (frames::parse_frame(connection_.buffer(), frame, size) != frames::ParseStatus::kComplete) {
     if (!connection_.read_more()) return std::nullopt;
-    parsed = frames::parse_frame(connection_.buffer());
   }
-  const frames::Frame& frame = parsed.frame;
   // The payload is a view of the buffer, and so is copied before the buffer changes.
   ReceivedFrame received{frame.type, frame.stream_id, std::string(frame.payload), ""};
-  received.bytes = connection_.take(parsed.frame_size);
+  received.bytes = connection_.take(size);
   return received;
 }
 
--- a/tests/support/key_rotation_load.cpp
+++ b/tests/support/key_rotation_load.cpp
@@ -18,13 +18,9 @@
 KeyRotationLoad::KeyRotationLoad(std::uint16_t port, int client_count, Tokens tokens)
     : port_(port), client_count_(client_count), tokens_(std::move(tokens)) {
   for (int number = 0; number < client_count; ++number) {
-    threads_.emplace_back([this, number] {
-      run_requests(static_cast<std::uint64_t>(number) + 2, false);
-    });
+    threads_.emplace_back([this, number] { run_requests(static_cast<std::uint64_t>(number) + 2, false); });
   }
-  threads_.emplace_back([this] {
-    run_requests(1, true);
-  });
+  threads_.emplace_back([this] { run_requests(1, true); });
 }
 
 KeyRotationLoad::~KeyRotationLoad() { stop(); }
--- a/tests/support/key_rotation_load.h
+++ b/tests/support/key_rotation_load.h
@@ -13,7 +13,6 @@
 /// the old key at first; beside them one whose key nobody trusts. Its functions are for one thread.
 class KeyRotationLoad {
  public:
-  /// One token by each key.
   struct Tokens {
     std::string old_key;
     std::string new_key;
--- a/tests/support/mysql_client.h
+++ b/tests/support/mysql_client.h
@@ -41,7 +41,6 @@
 /// For one thread.
 class MysqlClient {
  public:
-  /// Whether an execution carries the types of its parameters.
   enum class ParameterTypes { kSent, kOmitted };
 
   explicit MysqlClient(TestConnection connection) : connection_(std::move(connection)) {}
--- a/tests/support/run_until.h
+++ b/tests/support/run_until.h
@@ -1,4 +1,4 @@
-/// Runs an event loop until something holds.
+// Runs an event loop until something holds.
 #pragma once
 
 #include <functional>
@@ -8,14 +8,14 @@
 
 namespace rookproxy::test {
 
-/// Checks the condition every millisecond of the loop's time; false if it does not hold within the limit.
+// Checks the condition every millisecond of the loop's time; false if it does not hold within the limit.
 template <class Condition>
 bool run_until(EventLoop& loop, Condition condition, Duration limit = Duration(kWaitLimit)) {
-  const Time deadline = loop.now() + limit;
+  const Time give_up = loop.now() + limit;
   bool holds = false;
   std::function<void()> poll = [&] {
     holds = condition();
-    if (holds || loop.now() >= deadline) return loop.stop();
+    if (holds || loop.now() >= give_up) return loop.stop();
     loop.run_at(loop.now() + std::chrono::milliseconds(1), poll);
   };
   loop.run_at(loop.now(), poll);
--- a/tests/support/scenario.cpp
+++ b/tests/support/scenario.cpp
@@ -1,14 +1,26 @@
 #include "support/scenario.h"
+#include "support/require.h"
 
 #include <algorithm>
 #include <exception>
+#include <map>
 #include <sstream>
-#include <vector>
+#include <stdexcept>
+
+#include "fakes/auto_reply_line_engine.h"
+#include "fakes/credential_fixture.h"
 
+#include "frontend/frame_codec.h"
+#include "net/file_descriptor.h"
+#include "net/socket_address.h"
+#include "net/sockets.h"
+#include "support/descriptor_limit.h"
+#include "support/dispatcher_process.h"
 #include "support/require.h"
-#include "support/scenario_prepared_steps.h"
 #include "support/scenario_state.h"
 #include "support/scenario_steps.h"
+#include "support/system_call_filter.h"
+#include "upstream/line_protocol_connection.h"
 
 namespace rookproxy::test {
 namespace {
@@ -32,17 +44,6 @@
   return nullptr;
 }
 
-// The lines of one prepared step; an error names the line within.
-void run_prepared_lines(ScenarioState& state, const std::vector<std::string>& lines) {
-  for (const std::string& line : lines) {
-    try {
-      run_step(state, line);
-    } catch (const std::exception& error) {
-      fail_test("'" + line.substr(0, kMaxLineInError) + "': " + error.what());
-    }
-  }
-}
-
 std::string logs_of(const ScenarioState& state) {
   std::string logs;
   if (state.previous_process.started()) logs += state.previous_process.log() + "-- its successor:\n";
@@ -53,14 +54,12 @@
 }  // namespace
 
 const ScenarioStep* find_step(std::span<const ScenarioStep> steps, std::string_view verb) {
-  for (const ScenarioStep& step : steps) {
-    if (step.verb == verb) return &step;
-  }
-  return nullptr;
+  const auto found = std::find_if(steps.begin(), steps.end(),
+                                  [verb](const ScenarioStep& step) { return step.verb == verb; });
+  return found == steps.end() ? nullptr : &*found;
 }
 
 void run_step(ScenarioState& state, const std::string& line) {
-  if (const auto lines = expand_prepared_step(line)) return run_prepared_lines(state, *lines);
   StepReader reader(line);
   const ScenarioStep* step = find_step_in_all_tables(reader.next_word());
   require(step != nullptr, "unknown step");
--- a/tests/support/scenario.h
+++ b/tests/support/scenario.h
@@ -66,16 +66,6 @@
 //   hold N [TEXT]                   N connections to the operators' address, with no whole call on them
 //   expect log TEXT                 waits until the dispatcher's log holds it
 //   expect dispatcher exit CODE | expect old exit CODE | expect old log TEXT
-//
-// Prepared steps, each for the lines behind it (scenario_prepared_steps.h):
-//   frames-dispatcher A B ...       engines A B ... | start | client c
-//   mysql-dispatcher A B ...        mysql-engines A B ... | start | mysql m
-//   access-key K ALGORITHM          access | key K ALGORITHM | publish K
-//   clients C D ...                 client C | client D | ...
-//   ready-clients C D ...           each: client C | send C ready 7 | expect C ready 0
-//   answer A C STREAM TEXT          send A data parts=1 TEXT | expect C served STREAM TEXT
-//   denied-lookup C TOKEN STREAM REASON   send C as TOKEN request STREAM lookup 3000 SELECT 1 | expect C denied STREAM REASON
-//   reload [TEXT]                   configure [TEXT] | signal HUP
 // clang-format on
 #pragma once
 
--- a/tests/support/scenario_client_steps.cpp
+++ b/tests/support/scenario_client_steps.cpp
@@ -5,8 +5,7 @@
 namespace {
 
 TestConnection& connection_of(ScenarioClient& client) {
-  if (auto* mysql_client = std::get_if<MysqlClient>(&client)) return mysql_client->connection();
-  return std::get<FramesClient>(client).connection();
+  return std::visit([](auto& any) -> TestConnection& { return any.connection(); }, client);
 }
 
 // client C [tls [CERTIFICATE]]
@@ -23,7 +22,6 @@
   state.clients.insert_or_assign(name, FramesClient(std::move(connection)));
 }
 
-// How a `mysql` step logs in, and what has to come of it.
 struct MysqlLoginStep {
   MysqlLoginOptions options;
   bool is_denied = false;  // the log-in has to fail
--- a/tests/support/scenario_engine_steps.cpp
+++ b/tests/support/scenario_engine_steps.cpp
@@ -1,6 +1,5 @@
 #include <chrono>
 
-#include "dispatcher/engine_endpoint.h"
 #include "net/file_descriptor.h"
 #include "net/sockets.h"
 #include "support/require.h"
@@ -11,7 +10,7 @@
 
 using namespace std::chrono_literals;
 
-constexpr auto kIdleTime = 20ms;
+constexpr auto kQuietTime = 20ms;
 
 std::uint16_t engine_port(ScenarioState& state, const std::string& name) {
   const auto mysql_engine = state.mysql_engines.find(name);
@@ -66,7 +65,7 @@
     endpoints.push_back(std::move(endpoint));
   }
   state.discovery_server->set_endpoints(std::move(endpoints));
-  state.process.wait_for_log("endpoint list updated");
+  state.process.wait_for_log("new list");
   state.process.wait_for_log("serial=\"" + std::to_string(state.discovery_server->version()));
 }
 
@@ -109,7 +108,7 @@
 }
 
 void expect_request_count(ScriptedLineEngine& engine, int wanted) {
-  engine.discard_commands(kIdleTime);
+  engine.discard_commands(kQuietTime);
   require(engine.request_count() == wanted, std::to_string(engine.request_count()) + " came");
 }
 
--- a/tests/support/scenario_frames_steps.cpp
+++ b/tests/support/scenario_frames_steps.cpp
@@ -103,10 +103,9 @@
   require(frame.type == frames::kResponse, "not an answer but type " + std::to_string(frame.type));
   if (what == "error") return require(frame.stream_id == 0, "an error on a stream");
   const int code = frame.payload[0];
-  auto payload = frames::parse_payload(std::string_view(frame.payload).substr(1));
-  require(payload.has_value(), "unreadable fields");
-  const std::string_view body = payload->body;
-  frames::Fields& fields = payload->fields;
+  std::string_view body = std::string_view(frame.payload).substr(1);
+  frames::Fields fields;
+  require(frames::parse_fields(body, fields), "unreadable fields");
   require(frame.stream_id == std::stoul(reader.next_word()), "on stream " + std::to_string(frame.stream_id));
   require(code == wanted_code(what, code), "code " + std::to_string(code) + ": " + std::string(body));
   if (what == "denied") return expect_denial(fields, reader.next_word(), body);
--- a/tests/support/scenario_process_steps.cpp
+++ b/tests/support/scenario_process_steps.cpp
@@ -49,9 +49,7 @@
   state.process.wait_for_log("ready to serve");
   state.frames_port =
       static_cast<std::uint16_t>(std::stoi(state.process.wait_for_log("start [rookproxy@32473 port=\"")));
-  if (!state.mysql_engines.empty()) {
-    state.mysql_port = state.process.port_logged_with("MySQL frontend listening");
-  }
+  if (!state.mysql_engines.empty()) state.mysql_port = state.process.port_logged_with("serving mysql");
 }
 
 void upgrade(ScenarioState& state, StepReader& reader) {
@@ -144,13 +142,19 @@
   }
 }
 
-// The statements of one kind that an engine has recorded.
-using RecordedStatements = std::vector<std::string> (FakeMysqlEngine::*)();
+std::vector<std::string> all_executed(ScenarioState& state) {
+  std::vector<std::string> all;
+  for (const auto& [name, engine] : state.mysql_engines) {
+    const auto statements = engine->executed_statements();
+    all.insert(all.end(), statements.begin(), statements.end());
+  }
+  return all;
+}
 
-std::vector<std::string> collect_statements(const ScenarioState& state, RecordedStatements recorded) {
+std::vector<std::string> all_prepared(ScenarioState& state) {
   std::vector<std::string> all;
   for (const auto& [name, engine] : state.mysql_engines) {
-    const auto statements = (*engine.*recorded)();
+    const auto statements = engine->prepared_statements();
     all.insert(all.end(), statements.begin(), statements.end());
   }
   return all;
@@ -175,30 +179,21 @@
   });
 }
 
-// N TEXT: so many of the statements hold the text.
-void expect_statements(const ScenarioState& state, StepReader& reader, RecordedStatements recorded) {
+void expect_executed(ScenarioState& state, StepReader& reader) {
   const long wanted = std::stol(reader.next_word());
   const std::string text = reader.remaining_text();
-  wait_for_count(wanted, [&] {
-    const auto statements = collect_statements(state, recorded);
-    return count_containing(statements, text);
-  });
-}
-
-void expect_executed(ScenarioState& state, StepReader& reader) {
-  expect_statements(state, reader, &FakeMysqlEngine::executed_statements);
+  wait_for_count(wanted, [&] { return count_containing(all_executed(state), text); });
 }
 
 void expect_prepared(ScenarioState& state, StepReader& reader) {
-  expect_statements(state, reader, &FakeMysqlEngine::prepared_statements);
+  const long wanted = std::stol(reader.next_word());
+  const std::string text = reader.remaining_text();
+  wait_for_count(wanted, [&] { return count_containing(all_prepared(state), text); });
 }
 
 void expect_repeated_executions(ScenarioState& state, StepReader& reader) {
   const long wanted = std::stol(reader.next_word());
-  wait_for_count(wanted, [&state] {
-    const auto executed = collect_statements(state, &FakeMysqlEngine::executed_statements);
-    return static_cast<long>(count_repeated_executions(executed));
-  });
+  wait_for_count(wanted, [&] { return static_cast<long>(count_repeated_executions(all_executed(state))); });
 }
 
 constexpr ScenarioStep kProcessSteps[] = {
--- a/tests/support/scripted_engine.cpp
+++ b/tests/support/scripted_engine.cpp
@@ -14,7 +14,8 @@
 namespace rookproxy::test {
 namespace {
 
-constexpr auto kNoWait = std::chrono::milliseconds(0);
+constexpr int kQueueFillers = 4;
+constexpr int kListenBacklog = 64;
 constexpr std::size_t kReadSize = 16 * 1024;
 constexpr std::size_t kAttemptIdSize = 16;
 const std::string kLineEnd = "\r\n";
@@ -54,9 +55,20 @@
   closing.ended = true;
 }
 
+void ScriptedEngine::fill_accept_queue() {
+  accept_queue_full = true;
+  ::listen(listener.get(), 0);
+  for (int i = 0; i < kQueueFillers; ++i) {
+    queue_fillers_.push_back(connect_tcp({kLoopbackAddress, port}));
+  }
+}
+
 void ScriptedEngine::resume() {
   is_reading = true;
-  if (accept_queue_.is_full()) accept_queue_.drain(listener, kNoWait);
+  if (!std::exchange(accept_queue_full, false)) return;
+  queue_fillers_.clear();
+  while (accept_connection(listener)) continue;
+  ::listen(listener.get(), kListenBacklog);
 }
 
 bool ScriptedEngine::process_input(AttemptObserver& observer) {
@@ -70,7 +82,7 @@
 
 bool ScriptedEngine::accept_connections() {
   bool has_accepted = false;
-  while (!accept_queue_.is_full()) {
+  while (!accept_queue_full) {
     FileDescriptor fd = accept_connection(listener);
     if (!fd) break;
     connections.emplace_back().fd = std::move(fd);
--- a/tests/support/scripted_engine.h
+++ b/tests/support/scripted_engine.h
@@ -8,13 +8,12 @@
 #include <set>
 #include <string>
 #include <string_view>
+#include <vector>
 
 #include "base/time.h"
-#include "fakes/sockets.h"
 #include "net/file_descriptor.h"
 #include "net/socket_address.h"
 #include "net/sockets.h"
-#include "support/accept_queue_filler.h"
 
 namespace rookproxy::test {
 
@@ -32,8 +31,8 @@
   std::size_t connection = 0;
   Time started_at;  // when its first byte came
   bool fully_received = false;
-  std::optional<Time> proven_not_run_at;  // when a full response was sent that proves that it never ran
-  bool is_in_flight = true;  // no full response was sent, it was not cancelled, and it can be sent
+  std::optional<Time> proven_not_run_at;  // when a whole answer went out that proves that it never ran
+  bool is_in_flight = true;               // neither answered in whole, nor stopped, nor its connection ended
   std::set<std::size_t> fetched_parts;
 };
 
@@ -63,9 +62,10 @@
   };
 
   std::size_t index = 0;  // its number among the test's engines
-  FileDescriptor listener = listen_on_free_port();
+  FileDescriptor listener = listen_tcp({0x7f000001, 0});
   std::uint16_t port = local_port(listener);
   std::deque<Connection> connections;
+  bool accept_queue_full = false;
   bool is_reading = true;
 
   /// Accepts connections and reads commands that have come; false if there was nothing to do.
@@ -75,7 +75,7 @@
   void close_connection(std::size_t connection, CloseKind kind);
 
   /// Lets no connection in any more: the kernel drops attempts to connect, as for a machine that is cut off.
-  void fill_accept_queue() { accept_queue_.fill(listener); }
+  void fill_accept_queue();
   /// Reads again and lets connections in.
   void resume();
 
@@ -87,7 +87,7 @@
   void apply_attempt_command(std::size_t number, const std::string& verb, const std::string& id,
                              const std::string& last_word, AttemptObserver& observer) const;
 
-  AcceptQueueFiller accept_queue_;
+  std::vector<FileDescriptor> queue_fillers_;
 };
 
 }  // namespace rookproxy::test
--- a/tests/upstream/connection_policies_test.cpp
+++ b/tests/upstream/connection_policies_test.cpp
@@ -52,9 +52,7 @@
   PoolLimits limits;
   limits.unresponsive_timeout = 1500ms;
   int unresponsive = 0;
-  ResponsivenessMonitor monitor(loop, limits, [&] {
-    ++unresponsive;
-  });
+  ResponsivenessMonitor monitor(loop, limits, [&] { ++unresponsive; });
   monitor.start();
   advance(1s);
   monitor.record_activity();
--- a/tests/upstream/line_protocol_test.cpp
+++ b/tests/upstream/line_protocol_test.cpp
@@ -5,8 +5,6 @@
 #include <string>
 #include <string_view>
 
-#include "dispatcher/engine_transport.h"
-#include "dispatcher/request.h"
 #include "support/damaged_input.h"
 
 using namespace rookproxy;
