--- a/src/dispatcher/dispatcher.cpp
+++ b/src/dispatcher/dispatcher.cpp
@@ -183,7 +183,7 @@
   end_attempt(key, std::move(result));
 }
 
-void Dispatcher::on_attempt_note(AttemptKey key, routing::AttemptUpdateKind kind, double amount) {
+void Dispatcher::on_attempt_update(AttemptKey key, routing::AttemptUpdateKind kind, double amount) {
   const Attempt* attempt = requests_.find_attempt(key);
   if (!attempt || !attempt->in_flight) return;
   queue_event(routing::AttemptUpdate{key.request, key.number, attempt->engine, kind, amount});
--- a/src/dispatcher/dispatcher.h
+++ b/src/dispatcher/dispatcher.h
@@ -96,7 +96,7 @@
 
   bool may_start(AttemptKey key) override;
   void on_attempt_ended(AttemptKey key, AttemptResult result) override;
-  void on_attempt_note(AttemptKey key, routing::AttemptUpdateKind kind, double amount) override;
+  void on_attempt_update(AttemptKey key, routing::AttemptUpdateKind kind, double amount) override;
   void on_probe_ended(EngineId engine, Outcome outcome, std::optional<LoadReport> report) override;
 
   // Hands the events that have come in to the decision module and carries out its actions. To be called at
--- a/src/dispatcher/engine_transport.h
+++ b/src/dispatcher/engine_transport.h
@@ -72,7 +72,7 @@
   virtual bool may_start(AttemptKey key) = 0;
   virtual void on_attempt_ended(AttemptKey key, AttemptResult result) = 0;
   // `amount`: the share that is done, or the megabytes that are missing, depending on the kind.
-  virtual void on_attempt_note(AttemptKey key, routing::AttemptUpdateKind kind, double amount) = 0;
+  virtual void on_attempt_update(AttemptKey key, routing::AttemptUpdateKind kind, double amount) = 0;
   virtual void on_probe_ended(EngineId engine, Outcome outcome, std::optional<LoadReport> report) = 0;
 
  protected:
--- a/src/upstream/engine_connection.cpp
+++ b/src/upstream/engine_connection.cpp
@@ -86,7 +86,7 @@
 }
 
 void EngineConnection::report_update(AttemptKey attempt, routing::AttemptUpdateKind kind, double amount) {
-  pool_.callbacks_.on_attempt_note(attempt, kind, amount);
+  pool_.callbacks_.on_attempt_update(attempt, kind, amount);
 }
 
 void EngineConnection::complete_probe(Outcome outcome, const std::optional<LoadReport>& report) {
--- a/tests/dispatcher/dispatcher_test.cpp
+++ b/tests/dispatcher/dispatcher_test.cpp
@@ -115,7 +115,7 @@
   fixture.update_endpoints({make_endpoint("a", kUp), make_endpoint("b", kUp)});
   const RequestKey key = fixture.submit("lookup");
   REQUIRE(fixture.attempts.size() == 1);
-  fixture.dispatcher.on_attempt_note({key, 0}, routing::AttemptUpdateKind::kWaitingForLoad, 2);
+  fixture.dispatcher.on_attempt_update({key, 0}, routing::AttemptUpdateKind::kWaitingForLoad, 2);
   fixture.dispatcher.process_events();
   REQUIRE(fixture.cancelled.size() == 1);
   CHECK(fixture.attempts.size() == 1);
--- a/tests/integration/deployments_test.cpp
+++ b/tests/integration/deployments_test.cpp
@@ -412,7 +412,7 @@
     bool closed = false;  // the core's word
     bool may_start(AttemptKey) override { return !closed; }
     void on_attempt_ended(AttemptKey, AttemptResult end) override { outcomes.push_back(end.outcome); }
-    void on_attempt_note(AttemptKey, rookproxy::routing::AttemptUpdateKind, double) override {}
+    void on_attempt_update(AttemptKey, rookproxy::routing::AttemptUpdateKind, double) override {}
     void on_probe_ended(EngineId, Outcome, std::optional<LoadReport>) override {}
   } ends;
   std::ostringstream text;
