--- a/src/dispatcher/dispatcher.cpp
+++ b/src/dispatcher/dispatcher.cpp
@@ -64,12 +64,12 @@
 // ---- frontends
 
 RequestKey Dispatcher::submit(const IncomingRequest& incoming, ResponseHandler& handler,
-                              std::uint64_t ticket) {
+                              std::uint64_t correlation_id) {
   Request request;
   request.incoming = incoming;
   request.incoming.deadline -= limits_.response_margin;
   request.handler = &handler;
-  request.ticket = ticket;
+  request.correlation_id = correlation_id;
   request.buffered_bytes = incoming.query->bytes();
   const bool overloaded = is_overloaded(request.buffered_bytes);
   settings_.add_request(incoming.class_index);
@@ -392,7 +392,7 @@
     request_log_.request_completed(*request, class_name, response, loop_.now());
   }
   // A response that nobody receives is not counted.
-  if (handler) respond(key, *handler, request->ticket, std::move(response));
+  if (handler) respond(key, *handler, request->correlation_id, std::move(response));
   // Attempts that are unsent end at once, whatever the class. Those that have started are the decision
   // module's to cancel or not.
   for (std::uint32_t number = 0; requests_.find_attempt({key, number}); ++number) {
@@ -400,8 +400,9 @@
   }
 }
 
-void Dispatcher::respond(RequestKey key, ResponseHandler& handler, std::uint64_t ticket, Response response) {
-  const ResponseStatus status = handler.on_response(ticket, std::move(response));
+void Dispatcher::respond(RequestKey key, ResponseHandler& handler, std::uint64_t correlation_id,
+                         Response response) {
+  const ResponseStatus status = handler.on_response(correlation_id, std::move(response));
   const Request* request = requests_.find(key);
   if (!request) return;
   const std::string& class_name = class_settings(request->incoming.class_index).name;
--- a/src/dispatcher/dispatcher.h
+++ b/src/dispatcher/dispatcher.h
@@ -72,7 +72,7 @@
   // ---- frontends
 
   // Takes a request. The handler gets exactly one response, not within this call, unless it cancels before.
-  RequestKey submit(const IncomingRequest& incoming, ResponseHandler& handler, std::uint64_t ticket);
+  RequestKey submit(const IncomingRequest& incoming, ResponseHandler& handler, std::uint64_t correlation_id);
   // The client disconnected: its handler gets no response.
   void cancel_request(RequestKey key);
   // Counts a response that a frontend gave to what never became a request, but whose class is known.
@@ -133,7 +133,7 @@
   void end_attempt(AttemptKey key, AttemptResult result);
 
   void finish(RequestKey key, Response response);
-  void respond(RequestKey key, ResponseHandler& handler, std::uint64_t ticket, Response response);
+  void respond(RequestKey key, ResponseHandler& handler, std::uint64_t correlation_id, Response response);
   void release_if_done(RequestKey key);
 
   EventLoop& loop_;
--- a/src/dispatcher/request.h
+++ b/src/dispatcher/request.h
@@ -98,9 +98,9 @@
 // Receives the responses of the requests it submitted; implemented by frontends.
 class ResponseHandler {
  public:
-  // `ticket` is the number the handler gave when it submitted the request. Returns the status that its client
-  // is told, which may differ from the response's: a result may not fit the frontend's protocol.
-  virtual ResponseStatus on_response(std::uint64_t ticket, Response response) = 0;
+  // `correlation_id` is the number the handler gave when it submitted the request. Returns the status that
+  // its client is told, which may differ from the response's: a result may not fit the frontend's protocol.
+  virtual ResponseStatus on_response(std::uint64_t correlation_id, Response response) = 0;
 
  protected:
   ~ResponseHandler() = default;
--- a/src/dispatcher/request_table.h
+++ b/src/dispatcher/request_table.h
@@ -34,7 +34,7 @@
   IncomingRequest incoming;
   // Null once the response was sent or the client disconnected.
   ResponseHandler* handler = nullptr;
-  std::uint64_t ticket = 0;
+  std::uint64_t correlation_id = 0;
   bool is_completed = false;
   int attempts_in_flight = 0;
   int priority = 1;
--- a/src/frontend/frames_connection.cpp
+++ b/src/frontend/frames_connection.cpp
@@ -196,11 +196,11 @@
 }
 
 std::vector<SlotKey> FramesFrontend::Connection::take_open_requests() {
-  std::vector<SlotKey> tickets;
-  tickets.reserve(open_requests_.size());
-  for (const auto& [stream_id, ticket] : open_requests_) tickets.push_back(ticket);
+  std::vector<SlotKey> correlation_ids;
+  correlation_ids.reserve(open_requests_.size());
+  for (const auto& [stream_id, correlation_id] : open_requests_) correlation_ids.push_back(correlation_id);
   open_requests_.clear();
-  return tickets;
+  return correlation_ids;
 }
 
 // Silent clients and partial frames hold descriptors that others need. Where requests are open the connection
--- a/src/frontend/frames_connection.h
+++ b/src/frontend/frames_connection.h
@@ -71,7 +71,7 @@
   void close_when_answered();
   /// Closes at once.
   void close() { stream_.close(); }
-  /// The tickets of all open requests, which are not open any more.
+  /// The correlation ids of all open requests, which are not open any more.
   std::vector<SlotKey> take_open_requests();
 
  private:
@@ -93,11 +93,11 @@
   void deny_request(std::uint32_t stream_id, const FrameRequest& request);
   void open_request(std::uint32_t stream_id, FrameRequest& request);
   void cancel_request(std::uint32_t stream_id);
-  void submit(SlotKey ticket, const IncomingRequest& incoming);
-  void authenticate(SlotKey ticket, IncomingRequest incoming, std::optional<std::string_view> token);
-  void check_token(SlotKey ticket, IncomingRequest incoming, std::string_view token);
+  void submit(SlotKey correlation_id, const IncomingRequest& incoming);
+  void authenticate(SlotKey correlation_id, IncomingRequest incoming, std::optional<std::string_view> token);
+  void check_token(SlotKey correlation_id, IncomingRequest incoming, std::string_view token);
   auth::AuthenticationResult authenticate_by_certificate();
-  void authorize(SlotKey ticket, IncomingRequest incoming, auth::AuthenticationResult authentication);
+  void authorize(SlotKey correlation_id, IncomingRequest incoming, auth::AuthenticationResult authentication);
   void fail_request(std::uint32_t stream_id, std::string_view reason);
 
   // Writing and closing.
@@ -111,7 +111,7 @@
   FramesFrontend& frontend_;
   SlotKey key_;
   std::unique_ptr<auth::CertificateAuthenticator> certificate_;  // null without TLS
-  std::map<std::uint32_t, SlotKey> open_requests_;               // ticket by stream id
+  std::map<std::uint32_t, SlotKey> open_requests_;               // correlation id by stream id
   std::size_t bytes_to_skip_ = 0;                                // of an oversized frame
   bool closing_ = false;                                         // no request is accepted any more
   bool framing_lost_ = false;        // nothing is read: where the next frame starts is unknown
--- a/src/frontend/frames_connection_requests.cpp
+++ b/src/frontend/frames_connection_requests.cpp
@@ -60,38 +60,39 @@
 void FramesFrontend::Connection::open_request(std::uint32_t stream_id, FrameRequest& request) {
   IncomingRequest incoming = request.take_incoming(frontend_.loop_.now());
   std::string call_id(request.call_id());
-  const SlotKey ticket = frontend_.pending_requests_.insert({key_, stream_id, 0, call_id});
+  const SlotKey correlation_id = frontend_.pending_requests_.insert({key_, stream_id, 0, call_id});
   frontend_.open_call_ids_.insert(std::move(call_id));
-  open_requests_[stream_id] = ticket;
+  open_requests_[stream_id] = correlation_id;
   frontend_.loop_.cancel(idle_timer_);
-  if (!frontend_.authenticator_) return submit(ticket, incoming);
-  authenticate(ticket, std::move(incoming), request.field(frontend_.authenticator_->settings().token_field));
+  if (!frontend_.authenticator_) return submit(correlation_id, incoming);
+  authenticate(correlation_id, std::move(incoming),
+               request.field(frontend_.authenticator_->settings().token_field));
 }
 
 void FramesFrontend::Connection::cancel_request(std::uint32_t stream_id) {
   const auto found = open_requests_.find(stream_id);
   if (found == open_requests_.end()) return;  // its response was already on its way
-  const SlotKey ticket = found->second;
+  const SlotKey correlation_id = found->second;
   open_requests_.erase(found);
-  frontend_.cancel_request(ticket);
+  frontend_.cancel_request(correlation_id);
   update_idle_state();
 }
 
-void FramesFrontend::Connection::submit(SlotKey ticket, const IncomingRequest& incoming) {
-  const RequestKey request = frontend_.dispatcher_.submit(incoming, frontend_, ticket);
-  frontend_.pending_requests_.find(ticket)->request = request;
+void FramesFrontend::Connection::submit(SlotKey correlation_id, const IncomingRequest& incoming) {
+  const RequestKey request = frontend_.dispatcher_.submit(incoming, frontend_, correlation_id);
+  frontend_.pending_requests_.find(correlation_id)->request = request;
 }
 
 // A token is passed on no further than the authenticator.
-void FramesFrontend::Connection::authenticate(SlotKey ticket, IncomingRequest incoming,
+void FramesFrontend::Connection::authenticate(SlotKey correlation_id, IncomingRequest incoming,
                                               std::optional<std::string_view> token) {
-  if (!token) return authorize(ticket, std::move(incoming), authenticate_by_certificate());
+  if (!token) return authorize(correlation_id, std::move(incoming), authenticate_by_certificate());
   const std::size_t bytes = incoming.query->bytes();
   if (frontend_.bytes_in_check_ + bytes > frontend_.limits_.max_partial_frame_bytes) {
-    return authorize(ticket, std::move(incoming),
+    return authorize(correlation_id, std::move(incoming),
                      {policy::Denial::kBusy, nullptr, frontend_.dispatcher_.overload_retry_after(), false});
   }
-  check_token(ticket, std::move(incoming), *token);
+  check_token(correlation_id, std::move(incoming), *token);
 }
 
 auth::AuthenticationResult FramesFrontend::Connection::authenticate_by_certificate() {
@@ -103,34 +104,34 @@
   return result;
 }
 
-void FramesFrontend::Connection::check_token(SlotKey ticket, IncomingRequest incoming,
+void FramesFrontend::Connection::check_token(SlotKey correlation_id, IncomingRequest incoming,
                                              std::string_view token) {
   const std::size_t bytes = incoming.query->bytes();
   auto waiting = std::make_shared<IncomingRequest>(std::move(incoming));
   // Destroyed with its check, which ends with this connection at the latest.
-  const auto on_checked = [this, ticket, waiting](auth::AuthenticationResult result) {
-    frontend_.finish_check(*frontend_.pending_requests_.find(ticket));
+  const auto on_checked = [this, correlation_id, waiting](auth::AuthenticationResult result) {
+    frontend_.finish_check(*frontend_.pending_requests_.find(correlation_id));
     // The settings may have changed meanwhile, and the index of the class with them.
     const auto class_index = frontend_.dispatcher_.find_class(waiting->query->class_name);
     if (!class_index) {
-      return fail_request(frontend_.take_pending_request(ticket)->stream_id,
+      return fail_request(frontend_.take_pending_request(correlation_id)->stream_id,
                           frame_request_error_text(FrameRequestError::kUnknownClass));
     }
     waiting->class_index = *class_index;
-    authorize(ticket, std::move(*waiting), std::move(result));
+    authorize(correlation_id, std::move(*waiting), std::move(result));
   };
   const Time deadline = std::max(frontend_.loop_.now(), waiting->deadline - kResponseMargin);
   auto check = frontend_.authenticator_->check_token(token, key_, deadline, on_checked);
   if (auto* result = std::get_if<auth::AuthenticationResult>(&check)) {
-    return authorize(ticket, std::move(*waiting), std::move(*result));
+    return authorize(correlation_id, std::move(*waiting), std::move(*result));
   }
-  PendingRequest& request = *frontend_.pending_requests_.find(ticket);
+  PendingRequest& request = *frontend_.pending_requests_.find(correlation_id);
   request.check = std::get<auth::Authenticator::CheckId>(check);
   request.bytes_in_check = bytes;
   frontend_.bytes_in_check_ += bytes;
 }
 
-void FramesFrontend::Connection::authorize(SlotKey ticket, IncomingRequest incoming,
+void FramesFrontend::Connection::authorize(SlotKey correlation_id, IncomingRequest incoming,
                                            auth::AuthenticationResult authentication) {
   static const policy::Identity kNobody;
   const Query& query = *incoming.query;
@@ -147,8 +148,8 @@
     denial = frontend_.authenticator_->authorize(identity, query.class_name, may_write, analysis, audit);
     incoming.tenant = identity.tenant;
   }
-  if (denial == policy::Denial::kNone) return submit(ticket, incoming);
-  const auto request = frontend_.take_pending_request(ticket);
+  if (denial == policy::Denial::kNone) return submit(correlation_id, incoming);
+  const auto request = frontend_.take_pending_request(correlation_id);
   frontend_.dispatcher_.record_rejection(incoming.class_index, ResponseStatus::kRejected, incoming.tenant);
   frames::Fields fields{{"denied", std::string(policy::reason_code(denial))}};
   if (authentication.retry_after) fields.insert(frames::retry_after_field(*authentication.retry_after));
--- a/src/frontend/frames_frontend.cpp
+++ b/src/frontend/frames_frontend.cpp
@@ -48,15 +48,15 @@
 
 FramesFrontend::~FramesFrontend() = default;
 
-std::optional<FramesFrontend::PendingRequest> FramesFrontend::take_pending_request(SlotKey ticket) {
-  auto request = pending_requests_.take(ticket);
+std::optional<FramesFrontend::PendingRequest> FramesFrontend::take_pending_request(SlotKey correlation_id) {
+  auto request = pending_requests_.take(correlation_id);
   if (request) open_call_ids_.erase(request->call_id);
   return request;
 }
 
 // The client does not wait for it any more.
-void FramesFrontend::cancel_request(SlotKey ticket) {
-  const auto request = take_pending_request(ticket);
+void FramesFrontend::cancel_request(SlotKey correlation_id) {
+  const auto request = take_pending_request(correlation_id);
   if (!request) return;
   if (request->check != 0) {
     bytes_in_check_ -= request->bytes_in_check;
@@ -94,7 +94,7 @@
   Connection* connection = connections_.find(key);
   if (!connection) return;
   connection->close_gracefully();
-  for (const SlotKey ticket : connection->take_open_requests()) cancel_request(ticket);
+  for (const SlotKey correlation_id : connection->take_open_requests()) cancel_request(correlation_id);
 }
 
 void FramesFrontend::accept(FileDescriptor fd) {
@@ -109,15 +109,15 @@
 void FramesFrontend::drop(SlotKey key) {
   Connection* connection = connections_.find(key);
   if (!connection) return;
-  for (const SlotKey ticket : connection->take_open_requests()) cancel_request(ticket);
+  for (const SlotKey correlation_id : connection->take_open_requests()) cancel_request(correlation_id);
   connection->close();
   std::erase(closing_, key);
   if (authenticator_) authenticator_->remove_source(key);
   connections_.remove(key);
 }
 
-ResponseStatus FramesFrontend::on_response(std::uint64_t ticket, Response response) {
-  const auto request = take_pending_request(ticket);
+ResponseStatus FramesFrontend::on_response(std::uint64_t correlation_id, Response response) {
+  const auto request = take_pending_request(correlation_id);
   Connection* connection = request ? connections_.find(request->connection) : nullptr;
   if (!connection) return response.status;
   if (response.status == ResponseStatus::kServed &&
@@ -168,10 +168,10 @@
 }
 
 std::size_t FramesFrontend::pending_check_count() const {
-  const auto tickets = pending_requests_.keys();
-  return static_cast<std::size_t>(std::count_if(tickets.begin(), tickets.end(), [this](SlotKey ticket) {
-    return pending_requests_.find(ticket)->check != 0;
-  }));
+  const auto correlation_ids = pending_requests_.keys();
+  return static_cast<std::size_t>(std::count_if(
+      correlation_ids.begin(), correlation_ids.end(),
+      [this](SlotKey correlation_id) { return pending_requests_.find(correlation_id)->check != 0; }));
 }
 
 bool FramesFrontend::is_flushed() const { return pending_check_count() == 0 && connections_.is_flushed(); }
--- a/src/frontend/frames_frontend.h
+++ b/src/frontend/frames_frontend.h
@@ -52,7 +52,7 @@
   FramesFrontend(const FramesFrontend&) = delete;
   FramesFrontend& operator=(const FramesFrontend&) = delete;
 
-  ResponseStatus on_response(std::uint64_t ticket, Response response) override;
+  ResponseStatus on_response(std::uint64_t correlation_id, Response response) override;
   /// Tells every client that this process is no longer ready; requests that still arrive are served.
   void drain();
   /// Takes new TLS settings for new connections, and checks the certificates of open ones anew.
@@ -75,7 +75,7 @@
 
  private:
   class Connection;
-  /// A request that has no response yet, by the ticket that the dispatcher knows it by.
+  /// A request that has no response yet, by the correlation id that the dispatcher knows it by.
   struct PendingRequest {
     SlotKey connection = 0;
     std::uint32_t stream_id = 0;
@@ -94,8 +94,8 @@
   [[nodiscard]] bool is_full() const;
   void evict_idle_connection();
   void client_disconnected(SlotKey key);
-  std::optional<PendingRequest> take_pending_request(SlotKey ticket);
-  void cancel_request(SlotKey ticket);
+  std::optional<PendingRequest> take_pending_request(SlotKey correlation_id);
+  void cancel_request(SlotKey correlation_id);
   void finish_check(PendingRequest& request);
   [[nodiscard]] std::size_t pending_check_count() const;
 
--- a/src/frontend/mysql_frontend.cpp
+++ b/src/frontend/mysql_frontend.cpp
@@ -90,9 +90,10 @@
   connections_.remove(key);
 }
 
-ResponseStatus MysqlFrontend::on_response(std::uint64_t ticket, Response response) {
+ResponseStatus MysqlFrontend::on_response(std::uint64_t correlation_id, Response response) {
   const ResponseStatus status = response.status;
-  if (Connection* connection = connections_.find(ticket)) connection->handle_response(std::move(response));
+  if (Connection* connection = connections_.find(correlation_id))
+    connection->handle_response(std::move(response));
   return status;
 }
 
--- a/src/frontend/mysql_frontend.h
+++ b/src/frontend/mysql_frontend.h
@@ -32,7 +32,7 @@
   MysqlFrontend(const MysqlFrontend&) = delete;
   MysqlFrontend& operator=(const MysqlFrontend&) = delete;
 
-  ResponseStatus on_response(std::uint64_t ticket, Response response) override;
+  ResponseStatus on_response(std::uint64_t correlation_id, Response response) override;
   /// Takes users, classes, timeouts and the limit of connections of a new configuration; the address stays.
   void reload(MysqlFrontConfig config);
   /// Takes new TLS settings for new connections, and checks the certificates of open ones anew.
--- a/tests/integration/dispatcher_fixture.h
+++ b/tests/integration/dispatcher_fixture.h
@@ -190,8 +190,8 @@
     run_until([] { return false; }, duration);
   }
 
-  ResponseStatus on_response(std::uint64_t ticket, Response response) override {
-    responses[ticket - 1] = response;
+  ResponseStatus on_response(std::uint64_t correlation_id, Response response) override {
+    responses[correlation_id - 1] = response;
     return response.status;
   }
 
@@ -202,7 +202,7 @@
   Dispatcher dispatcher;
   LineProtocolPool pool;
   std::uint64_t submitted = 0;
-  std::vector<std::optional<Response>> responses;  // by ticket, from 1
+  std::vector<std::optional<Response>> responses;  // by correlation id, from 1
 };
 
 }  // namespace rookproxy::test
