--- a/src/app/app.cpp
+++ b/src/app/app.cpp
@@ -202,7 +202,7 @@
   } else {
     discovery_ = std::make_unique<DnsDiscoveryClient>(
         loop_, log_, metrics_.discovery, *config.nameserver, config.service, config.discovery_poll_interval,
-        KnownEndpoints{config.initial_endpoints_version, config.initial_endpoints}, config.seed,
+        EndpointList{config.initial_endpoints_version, config.initial_endpoints}, config.seed,
         [this](const std::vector<EngineEndpoint>& endpoints) {
           dispatcher_.update_endpoints(endpoints, false, discovery_->list_effective_since());
         });
--- a/src/discovery/dns_discovery_client.cpp
+++ b/src/discovery/dns_discovery_client.cpp
@@ -28,8 +28,8 @@
 
 DnsDiscoveryClient::DnsDiscoveryClient(EventLoop& loop, Logger& log, DiscoveryMetrics& metrics,
                                        const SocketAddress& server, std::string service,
-                                       Duration poll_interval, const KnownEndpoints& known,
-                                       std::uint64_t seed, UpdateHandler on_update)
+                                       Duration poll_interval, const EndpointList& known, std::uint64_t seed,
+                                       UpdateHandler on_update)
     : loop_(loop),
       log_(log),
       metrics_(metrics),
--- a/src/discovery/dns_discovery_client.h
+++ b/src/discovery/dns_discovery_client.h
@@ -37,7 +37,7 @@
   /// Starts polling at once, then about every `poll_interval`. `known` is the list at the start, and only
   /// later ones are reported; `seed` is that of query ids and of the jitter between polls.
   DnsDiscoveryClient(EventLoop& loop, Logger& log, DiscoveryMetrics& metrics, const SocketAddress& server,
-                     std::string service, Duration poll_interval, const KnownEndpoints& known,
+                     std::string service, Duration poll_interval, const EndpointList& known,
                      std::uint64_t seed, UpdateHandler on_update);
   ~DnsDiscoveryClient();
   DnsDiscoveryClient(const DnsDiscoveryClient&) = delete;
--- a/src/discovery/endpoint_list_tracker.cpp
+++ b/src/discovery/endpoint_list_tracker.cpp
@@ -32,13 +32,13 @@
 
 }  // namespace
 
-EndpointListTracker::EndpointListTracker(const KnownEndpoints& known, Time now)
+EndpointListTracker::EndpointListTracker(const EndpointList& known, Time now)
     : list_version_(static_cast<std::uint32_t>(known.version), now),
       confirmation_(to_listing(known.endpoints), now),
       newest_endpoints_(known.endpoints),
       usable_endpoints_(known.endpoints) {}
 
-EndpointListTracker::Ordering EndpointListTracker::take(ReceivedEndpoints list) {
+EndpointListTracker::Ordering EndpointListTracker::take(ReceivedEndpointList list) {
   // Under the newest version an empty list contradicts nothing: its server has loaded no list yet.
   const bool has_newest_content =
       newest_endpoints_.empty() || list.endpoints.empty() || says_the_same(list.endpoints, newest_endpoints_);
--- a/src/discovery/endpoint_list_tracker.h
+++ b/src/discovery/endpoint_list_tracker.h
@@ -13,13 +13,13 @@
 namespace rookproxy {
 
 /// An endpoint list and its version.
-struct KnownEndpoints {
+struct EndpointList {
   std::uint64_t version = 0;
   std::vector<EngineEndpoint> endpoints;
 };
 
 /// A list as it was received.
-struct ReceivedEndpoints {
+struct ReceivedEndpointList {
   std::uint32_t version = 0;
   std::vector<EngineEndpoint> endpoints;
   Time polled_at;
@@ -32,10 +32,10 @@
   using Ordering = policy::EndpointListVersion::Ordering;
 
   /// `known` is the list that the process was started with, at `now`.
-  EndpointListTracker(const KnownEndpoints& known, Time now);
+  EndpointListTracker(const EndpointList& known, Time now);
 
   /// Takes a list, and says how it relates to the newest one known so far.
-  Ordering take(ReceivedEndpoints list);
+  Ordering take(ReceivedEndpointList list);
 
   /// The list to go by. Engines that the newest list has as serving, and that may get no new work for now
   /// since responses contradict each other about them, are draining in it or left out.
--- a/tests/discovery/dns_discovery_client_test.cpp
+++ b/tests/discovery/dns_discovery_client_test.cpp
@@ -81,7 +81,7 @@
   explicit DiscoveryBench(std::function<void(const Server::ReceivedQuery&)> on_query, Duration interval = 5ms)
       : poll(interval), server(loop, std::move(on_query)) {}
   void start(const SocketAddress& at) {
-    client.emplace(loop, log, metrics, at, "_app._tcp.cluster.lan", poll, KnownEndpoints{1, {}}, 7,
+    client.emplace(loop, log, metrics, at, "_app._tcp.cluster.lan", poll, EndpointList{1, {}}, 7,
                    [this](const std::vector<EngineEndpoint>& endpoints) {
                      reported.push_back(endpoints.at(0).address.port);
                      report_times.push_back({client->list_effective_since(), loop.now()});
--- a/tests/discovery/endpoint_list_tracker_test.cpp
+++ b/tests/discovery/endpoint_list_tracker_test.cpp
@@ -141,10 +141,10 @@
   }
 
   // One in ten is an old one, of this run or the former; one in ten is lost.
-  std::optional<ReceivedEndpoints> respond(Time polled_at) {
+  std::optional<ReceivedEndpointList> respond(Time polled_at) {
     const unsigned draw = random_() % 20;
     if (draw < 2) return std::nullopt;
-    ReceivedEndpoints response = current();
+    ReceivedEndpointList response = current();
     if (draw == 2) response = former_run_[random_() % former_run_.size()];
     if (draw == 3) response = history_[random_() % history_.size()];
     response.polled_at = polled_at;
@@ -154,15 +154,15 @@
   [[nodiscard]] bool chance(unsigned one_in) { return random_() % one_in == 0; }
 
  private:
-  [[nodiscard]] ReceivedEndpoints current() const { return {version_, endpoints_, {}, {}}; }
+  [[nodiscard]] ReceivedEndpointList current() const { return {version_, endpoints_, {}, {}}; }
   void add_engine() {
     endpoints_.push_back(endpoint("engine-" + std::to_string(++last_engine_), EngineState::kServing));
   }
 
   std::mt19937 random_;
   std::vector<EngineEndpoint> endpoints_;
-  std::vector<ReceivedEndpoints> history_;
-  std::vector<ReceivedEndpoints> former_run_;
+  std::vector<ReceivedEndpointList> history_;
+  std::vector<ReceivedEndpointList> former_run_;
   std::uint32_t version_ = 1;
   int last_engine_ = 0;
 };
