--- a/src/discovery/dns_discovery_client.cpp
+++ b/src/discovery/dns_discovery_client.cpp
@@ -67,7 +67,8 @@
   const int error = errno;
   socket.fd.reset();
   if (!std::exchange(socket_unavailable_, true)) {
-    log_.write(LogLevel::kWarning, "directory", "no socket to ask from; tried again with each question",
+    log_.write(LogLevel::kWarning, "directory",
+               "cannot open a UDP socket for service discovery; retrying at each poll",
                {{"error", std::strerror(error)}});
   }
   return false;
@@ -232,7 +233,7 @@
       return;
     case DiscoveryPath::Event::kServerUnresponsive:
       return log_.write(LogLevel::kWarning, "directory",
-                        "no answers on any socket: the server is silent; the last list stays in force", {});
+                        "service discovery does not respond on any socket; the last list stays in force", {});
     case DiscoveryPath::Event::kConnectionRefused:
       return log_.write(LogLevel::kWarning, "directory",
                         "refused: nobody listens there; the last list stays in force", {});
--- a/src/dispatcher/dispatcher.cpp
+++ b/src/dispatcher/dispatcher.cpp
@@ -47,7 +47,7 @@
     process_events();
     in_settings_transition_ = false;
     apply_settings(settings);
-    log_.write(LogLevel::kNotice, kLogId, "the new settings bind alone", {});
+    log_.write(LogLevel::kNotice, kLogId, "settings transition ended; only the new settings apply", {});
   });
 }
 
--- a/tests/discovery/dns_discovery_client_test.cpp
+++ b/tests/discovery/dns_discovery_client_test.cpp
@@ -143,7 +143,7 @@
   CHECK(bench.server.queries.size() <= 6);
   CHECK(bench.server.ports().size() == 2);
   CHECK(bench.lines("the path of a socket was silent, the server was not") == 1);
-  CHECK(bench.lines("no answers") == 0);
+  CHECK(bench.lines("service discovery does not respond") == 0);
   const Duration pause = bench.poll * 11 / 10;  // the longest
   CHECK((bench.report_times[0].since == std::min(bench.report_times[0].now, started_at + pause)));
   CHECK((bench.report_times[1].since <= first_dropped_at + pause));
@@ -231,7 +231,7 @@
   CHECK(bench.server.ports().size() == 5);   // after 2, 4, 8 and 16 queries more
   CHECK(bench.server.queries.size() <= 41);  // the first response is used, at most one poll later
   CHECK(ended - started_at >= 38 * bench.poll * 9 / 10);  // the schedule's pauses, but for the first of them
-  CHECK(bench.lines("the server is silent") == 1);
+  CHECK(bench.lines("service discovery does not respond") == 1);
   CHECK(bench.lines("the path of a socket") == 0);
   CHECK(bench.lines("answers again") == 1);
 }
@@ -253,7 +253,7 @@
     return !bench.reported.empty();
   });
   CHECK(bench.lines("refused: nobody listens there") == 1);
-  CHECK(bench.lines("the server is silent") == 0);
+  CHECK(bench.lines("service discovery does not respond") == 0);
 }
 
 TEST_CASE("discovery: a late response on the former socket counts only if it is newer") {
@@ -334,7 +334,7 @@
   });
   CHECK(none_available);
   CHECK((bench.reported == std::vector<std::uint16_t>{2, 3, 4}));
-  CHECK(bench.lines("no socket to ask from") == 0);
+  CHECK(bench.lines("cannot open a UDP socket") == 0);
 }
 
 }  // namespace
--- a/tests/integration/deployments_test.cpp
+++ b/tests/integration/deployments_test.cpp
@@ -148,7 +148,7 @@
     expect a REQ
     send a data parts=1 two\n
     expect c served 2 two\n
-    expect log the new settings bind alone
+    expect log settings transition ended; only the new settings apply
     send c fields 3 op=lookup,call=new,ttl=3000,org=new SELECT 3
     expect a REQ
     send a data parts=1 three\n
--- a/tests/integration/descriptor_limit_test.cpp
+++ b/tests/integration/descriptor_limit_test.cpp
@@ -40,7 +40,7 @@
     hold 4
     idlers 80
     expect idler0 closed
-    expect log the server is silent
+    expect log service discovery does not respond
     move directory
     configure
     signal HUP
@@ -53,7 +53,7 @@
     expect b REQ SELECT 1
     send b data parts=1 one\n
     expect c served 1 one\n
-    expect nolog no socket to ask from)");
+    expect nolog cannot open a UDP socket)");
   }
 }
 
--- a/tests/integration/scenarios_test.cpp
+++ b/tests/integration/scenarios_test.cpp
@@ -999,7 +999,7 @@
     expect a REQ queue=lookup
     send a data parts=1 one\n
     expect c served 1 one\n
-    expect log the new settings bind alone
+    expect log settings transition ended; only the new settings apply
     set /settings/grades [{"name":"marks","effect":"pure","value":1.0,"target":600000,"aim_stretch":1.5,"deadline":3000000,"late_worth":0.1}]
     configure
     signal HUP
