--- a/src/app/app.cpp
+++ b/src/app/app.cpp
@@ -204,7 +204,7 @@
         loop_, log_, metrics_.discovery, *config.nameserver, config.service, config.discovery_poll_interval,
         EndpointList{config.initial_endpoints_version, config.initial_endpoints}, config.seed,
         [this](const std::vector<EngineEndpoint>& endpoints) {
-          dispatcher_.update_endpoints(endpoints, false, discovery_->list_effective_since());
+          dispatcher_.update_endpoints(endpoints, false, discovery_->list_announced_at());
         });
   }
 }
--- a/src/discovery/dns_discovery_client.cpp
+++ b/src/discovery/dns_discovery_client.cpp
@@ -39,7 +39,7 @@
       lists_(known, loop.now()),
       random_(seed),
       on_update_(std::move(on_update)),
-      list_effective_since_(loop.now()) {
+      list_announced_at_(loop.now()) {
   open_socket(spare_socket());
   poll_server();
 }
@@ -161,7 +161,7 @@
   using Ordering = EndpointListTracker::Ordering;
   const std::uint32_t version = response.version;
   const std::size_t engine_count = response.endpoints.size();
-  list_effective_since_ = unanswered_polls_.announced_since(schedule_.max_pause(), loop_.now());
+  list_announced_at_ = unanswered_polls_.announced_since(schedule_.max_pause(), loop_.now());
   const bool was_contradicted = lists_.is_contradicted();
   const Ordering ordering = lists_.take({version, std::move(response.endpoints), query.sent_at, loop_.now()});
   log_list(ordering, version, engine_count, !was_contradicted && lists_.is_contradicted());
@@ -224,7 +224,7 @@
   log_.write(LogLevel::kInfo, "directory", "new list",
              {{"serial", serial},
               {"engines", engines},
-              {"announced_ms", milliseconds_field(loop_.now() - list_effective_since_)}});
+              {"announced_ms", milliseconds_field(loop_.now() - list_announced_at_)}});
 }
 
 void DnsDiscoveryClient::report_path_event(DiscoveryPath::Event event, std::string_view error) {
--- a/src/discovery/dns_discovery_client.h
+++ b/src/discovery/dns_discovery_client.h
@@ -47,7 +47,7 @@
   [[nodiscard]] bool has_endpoint_list() const { return has_endpoint_list_; }
   /// Within the update handler: since when the list counts as announced. Before now if polls went unanswered:
   /// a grace period that counts from a lost response has begun by then.
-  [[nodiscard]] Time list_effective_since() const { return list_effective_since_; }
+  [[nodiscard]] Time list_announced_at() const { return list_announced_at_; }
   /// Polls another server from now on, and at once. The list and its version carry over: it is the same
   /// service elsewhere.
   void change_server(const SocketAddress& server, std::string service, Duration poll_interval);
@@ -105,7 +105,7 @@
   // before it.
   std::vector<PendingQuery> pending_queries_;
   policy::UnansweredPolls unanswered_polls_;
-  Time list_effective_since_;
+  Time list_announced_at_;
   bool has_endpoint_list_ = false;
   TimerId poll_timer_{};
 };
--- a/tests/discovery/dns_discovery_client_test.cpp
+++ b/tests/discovery/dns_discovery_client_test.cpp
@@ -84,7 +84,7 @@
     client.emplace(loop, log, metrics, at, "_app._tcp.cluster.lan", poll, EndpointList{1, {}}, 7,
                    [this](const std::vector<EngineEndpoint>& endpoints) {
                      reported.push_back(endpoints.at(0).address.port);
-                     report_times.push_back({client->list_effective_since(), loop.now()});
+                     report_times.push_back({client->list_announced_at(), loop.now()});
                      reported_states.push_back(endpoints.at(0).state);
                    });
   }
