--- a/src/app/frontends.cpp
+++ b/src/app/frontends.cpp
@@ -58,8 +58,8 @@
 }
 
 void Frontends::change_credentials(const Config& config, const TlsContext& tls) {
-  if (platform_) platform_->credentials_changed(platform_tls(config, tls));
-  if (mysql_) mysql_->credentials_changed(mysql_tls(config, tls));
+  if (platform_) platform_->update_tls_context(platform_tls(config, tls));
+  if (mysql_) mysql_->update_tls_context(mysql_tls(config, tls));
 }
 
 void Frontends::reload(const Config& config) {
--- a/src/frontend/frames_frontend.cpp
+++ b/src/frontend/frames_frontend.cpp
@@ -137,7 +137,7 @@
   return response.status;
 }
 
-void FramesFrontend::credentials_changed(std::shared_ptr<const tls::ServerContext> tls) {
+void FramesFrontend::update_tls_context(std::shared_ptr<const tls::ServerContext> tls) {
   tls_ = std::move(tls);
   if (tls_) connections_.recheck_certificates();
 }
--- a/src/frontend/frames_frontend.h
+++ b/src/frontend/frames_frontend.h
@@ -56,7 +56,7 @@
   /// Tells every client that this process is no longer ready; requests that still arrive are served.
   void drain();
   /// Takes new TLS settings for new connections, and checks the certificates of open ones anew.
-  void credentials_changed(std::shared_ptr<const tls::ServerContext> tls);
+  void update_tls_context(std::shared_ptr<const tls::ServerContext> tls);
   /// Accepts nobody any more and closes each connection once its open requests have their responses. A
   /// request that arrives meanwhile is rejected, one that arrives behind our end is ignored. A client that
   /// does not close its side within `timeout` is closed.
--- a/src/frontend/mysql_frontend.cpp
+++ b/src/frontend/mysql_frontend.cpp
@@ -102,7 +102,7 @@
   config_ = std::move(config);
 }
 
-void MysqlFrontend::credentials_changed(std::shared_ptr<const tls::ServerContext> tls) {
+void MysqlFrontend::update_tls_context(std::shared_ptr<const tls::ServerContext> tls) {
   tls_ = std::move(tls);
   if (tls_) connections_.recheck_certificates();
 }
--- a/src/frontend/mysql_frontend.h
+++ b/src/frontend/mysql_frontend.h
@@ -36,7 +36,7 @@
   /// Takes users, classes, timeouts and the limit of connections of a new configuration; the address stays.
   void reload(MysqlFrontConfig config);
   /// Takes new TLS settings for new connections, and checks the certificates of open ones anew.
-  void credentials_changed(std::shared_ptr<const tls::ServerContext> tls);
+  void update_tls_context(std::shared_ptr<const tls::ServerContext> tls);
   void set_accepting(bool accepting);
   /// Closes the listening socket, so that new connections are refused; open ones are served until the process
   /// ends.
