--- a/src/config/config.h
+++ b/src/config/config.h
@@ -28,7 +28,7 @@
 enum class EngineProtocol { kLines, kMysql };
 
 // The frontend for clients that speak MySQL, [mysql].
-struct MysqlFrontConfig {
+struct MysqlFrontendConfig {
   SocketAddress listen;
   std::map<std::string, std::string> users;  // name to password
   std::string read_class;                    // of statements known to only read
@@ -119,7 +119,7 @@
   std::optional<ConfigError> peers_error;
   EngineProtocol engine_protocol = EngineProtocol::kLines;
   MysqlEnginesConfig mysql_engines;
-  std::optional<MysqlFrontConfig> mysql;
+  std::optional<MysqlFrontendConfig> mysql;
   std::optional<auth::AuthSettings> access;  // absent: callers are not identified
   std::optional<TlsConfig> tls;
   std::optional<ClusterOptions> cluster;  // absent: each dispatcher decides for itself
--- a/src/config/mysql_section.cpp
+++ b/src/config/mysql_section.cpp
@@ -33,7 +33,7 @@
   config.mysql_engines.schema = engines.text_or("schema", "");
 }
 
-MysqlFrontConfig read_mysql_frontend(const ConfigReader& document, const Config& config) {
+MysqlFrontendConfig read_mysql_frontend(const ConfigReader& document, const Config& config) {
   constexpr std::int64_t kMinDeadlineMs = 50;
   constexpr std::int64_t kMinIdleMs = 100;
   if (config.engine_protocol != EngineProtocol::kMysql) {
@@ -42,7 +42,7 @@
   const ConfigReader mysql = document.table("mysql");
   mysql.allow_only({"listen", "users", "read_class", "load_class", "read_deadline_ms", "load_deadline_ms",
                     "most_connections", "idle_ms", "passed_socket"});
-  MysqlFrontConfig frontend;
+  MysqlFrontendConfig frontend;
   frontend.listen = mysql.endpoint("listen");
   frontend.passed_socket = mysql.passed_socket();
   const ConfigReader users = mysql.table("users");
--- a/src/config/sections.h
+++ b/src/config/sections.h
@@ -24,7 +24,7 @@
 
 // [mysql]: the frontend for clients that speak MySQL. The settings and the engines'
 // protocol have to be in `config`.
-[[nodiscard]] MysqlFrontConfig read_mysql_frontend(const ConfigReader& document, const Config& config);
+[[nodiscard]] MysqlFrontendConfig read_mysql_frontend(const ConfigReader& document, const Config& config);
 
 // [log], which the agent's file has as well.
 [[nodiscard]] LogConfig read_log_config(const ConfigReader& log);
--- a/src/frontend/mysql_connection_commands.cpp
+++ b/src/frontend/mysql_connection_commands.cpp
@@ -191,7 +191,7 @@
   if (!authorize(kind, statement)) return;
   const bool runs = kind == Query::Kind::kStatement || kind == Query::Kind::kExecute;
   const bool writes = runs && !sql::is_read_only(statement);
-  const MysqlFrontConfig& config = frontend_.config_;
+  const MysqlFrontendConfig& config = frontend_.config_;
   const std::string& class_name = writes ? config.load_class : config.read_class;
   IncomingRequest incoming;
   // By name each time: a reload may have changed the index.
--- a/src/frontend/mysql_frontend.cpp
+++ b/src/frontend/mysql_frontend.cpp
@@ -20,7 +20,8 @@
 }  // namespace
 
 MysqlFrontend::MysqlFrontend(EventLoop& loop, Logger& log, Dispatcher& dispatcher, FileDescriptor listener,
-                             MysqlFrontConfig config, std::uint64_t seed, auth::Authenticator* authenticator,
+                             MysqlFrontendConfig config, std::uint64_t seed,
+                             auth::Authenticator* authenticator,
                              std::shared_ptr<const tls::ServerContext> tls, bool tls_required)
     : loop_(loop),
       log_(log),
@@ -97,7 +98,7 @@
   return status;
 }
 
-void MysqlFrontend::reload(MysqlFrontConfig config) {
+void MysqlFrontend::reload(MysqlFrontendConfig config) {
   config.listen = config_.listen;
   config_ = std::move(config);
 }
--- a/src/frontend/mysql_frontend.h
+++ b/src/frontend/mysql_frontend.h
@@ -26,7 +26,7 @@
   /// `tls` is offered to clients; with `tls_required` those that don't ask for it are rejected. `seed` is
   /// that of the requests' ids.
   MysqlFrontend(EventLoop& loop, Logger& log, Dispatcher& dispatcher, FileDescriptor listener,
-                MysqlFrontConfig config, std::uint64_t seed, auth::Authenticator* authenticator = nullptr,
+                MysqlFrontendConfig config, std::uint64_t seed, auth::Authenticator* authenticator = nullptr,
                 std::shared_ptr<const tls::ServerContext> tls = nullptr, bool tls_required = false);
   ~MysqlFrontend();
   MysqlFrontend(const MysqlFrontend&) = delete;
@@ -34,7 +34,7 @@
 
   ResponseStatus on_response(std::uint64_t correlation_id, Response response) override;
   /// Takes users, classes, timeouts and the limit of connections of a new configuration; the address stays.
-  void reload(MysqlFrontConfig config);
+  void reload(MysqlFrontendConfig config);
   /// Takes new TLS settings for new connections, and checks the certificates of open ones anew.
   void update_tls_context(std::shared_ptr<const tls::ServerContext> tls);
   void set_accepting(bool accepting);
@@ -72,7 +72,7 @@
   EventLoop& loop_;
   Logger& log_;
   Dispatcher& dispatcher_;
-  MysqlFrontConfig config_;
+  MysqlFrontendConfig config_;
   auth::Authenticator* authenticator_;  // null: callers are known by password alone
   std::shared_ptr<const tls::ServerContext> tls_;
   bool tls_required_;
--- a/tests/integration/connection_close_test.cpp
+++ b/tests/integration/connection_close_test.cpp
@@ -52,7 +52,7 @@
       core.process_events();
       frames = std::make_unique<FramesFrontend>(host.loop, log, core, listen_on_free_port(), limits);
       frames->set_accepting(true);
-      MysqlFrontConfig config;
+      MysqlFrontendConfig config;
       config.users = {{"school", "secret"}};
       config.read_class = "lookup";
       config.load_class = "load";
