--- a/src/dispatcher/engine_registry.cpp
+++ b/src/dispatcher/engine_registry.cpp
@@ -105,7 +105,7 @@
 }
 
 void EngineRegistry::log_state_change(const Engine& engine, routing::EngineState former, Time announced_at) {
-  if (!state_log_budget_.take(loop_.now())) return;
+  if (!state_log_budget_.allow(loop_.now())) return;
   const std::uint64_t suppressed = state_log_budget_.take_suppressed();
   log_.write(LogLevel::kInfo, "dispatcher", "engine state changed",
              {{"engine", engine.endpoint.id},
--- a/src/dispatcher/engine_registry.h
+++ b/src/dispatcher/engine_registry.h
@@ -13,7 +13,7 @@
 #include "dispatcher/engine_transport.h"
 #include "dispatcher/limits.h"
 #include "log/log.h"
-#include "log/log_budget.h"
+#include "log/log_rate_limiter.h"
 #include "net/event_loop.h"
 
 namespace rookproxy {
@@ -91,7 +91,7 @@
   std::vector<std::string> zones_;
   std::unordered_map<std::string, EngineId> ids_;
   std::vector<Engine> engines_;
-  LogBudget state_log_budget_{kStateLinesPerSecond};
+  LogRateLimiter state_log_budget_{kStateLinesPerSecond};
 };
 
 }  // namespace rookproxy
--- a/src/dispatcher/request_log.cpp
+++ b/src/dispatcher/request_log.cpp
@@ -52,7 +52,7 @@
 }  // namespace
 
 bool RequestLog::take_line(Time now) {
-  if (!log_.is_enabled(LogLevel::kInfo) || !budget_.take(now)) return false;
+  if (!log_.is_enabled(LogLevel::kInfo) || !budget_.allow(now)) return false;
   const std::uint64_t suppressed = budget_.take_suppressed();
   if (suppressed > 0) {
     log_.write(LogLevel::kInfo, kLogId, "request lines left out", {{"count", std::to_string(suppressed)}});
--- a/src/dispatcher/request_log.h
+++ b/src/dispatcher/request_log.h
@@ -8,7 +8,7 @@
 #include "dispatcher/request.h"
 #include "dispatcher/request_table.h"
 #include "log/log.h"
-#include "log/log_budget.h"
+#include "log/log_rate_limiter.h"
 #include "policy/attempt_guard.h"
 
 namespace rookproxy {
@@ -40,7 +40,7 @@
   [[nodiscard]] bool take_line(Time now);
 
   Logger& log_;
-  LogBudget budget_{kLinesPerSecond};
+  LogRateLimiter budget_{kLinesPerSecond};
 };
 
 }  // namespace rookproxy
--- a/src/log/log_budget.h
+++ b/src/log/log_rate_limiter.h
@@ -11,12 +11,12 @@
 
 /// Allows a number of messages in each second, so that a burst of one kind does not use up the lines that the
 /// logger writes in a second.
-class LogBudget {
+class LogRateLimiter {
  public:
-  explicit constexpr LogBudget(int messages_per_second) : messages_per_second_(messages_per_second) {}
+  explicit constexpr LogRateLimiter(int messages_per_second) : messages_per_second_(messages_per_second) {}
 
   /// Whether one more message may be logged at `now`; one that may not is counted.
-  [[nodiscard]] bool take(Time now) {
+  [[nodiscard]] bool allow(Time now) {
     if (now - window_start_ >= kWindow) {
       window_start_ = now;
       taken_ = 0;
--- a/src/upstream/connection_pool.cpp
+++ b/src/upstream/connection_pool.cpp
@@ -265,7 +265,7 @@
 void ConnectionPool::log_command(const EngineConnection& connection, std::string_view command,
                                  std::string_view request) {
   const Engine& engine = engines_[connection.engine()];
-  if (!engine.takes_no_attempts || !late_command_log_budget_.take(loop_.now())) return;
+  if (!engine.takes_no_attempts || !late_command_log_budget_.allow(loop_.now())) return;
   log_.write(LogLevel::kInfo, "link", "command to an engine that takes no new attempts",
              {{"engine", engine.address.to_string()},
               {"command", std::string(command)},
--- a/src/upstream/connection_pool.h
+++ b/src/upstream/connection_pool.h
@@ -16,7 +16,7 @@
 #include "dispatcher/request.h"
 #include "dispatcher/routing_time.h"
 #include "log/log.h"
-#include "log/log_budget.h"
+#include "log/log_rate_limiter.h"
 #include "net/event_loop.h"
 #include "net/slot_map.h"
 #include "net/socket_address.h"
@@ -122,7 +122,7 @@
   std::deque<AttemptRequest> waiting_;
   Timer waiting_timer_;
   static constexpr int kLateCommandLinesPerSecond = 10;
-  LogBudget late_command_log_budget_{kLateCommandLinesPerSecond};
+  LogRateLimiter late_command_log_budget_{kLateCommandLinesPerSecond};
 };
 
 }  // namespace rookproxy
