--- a/include/rookproxy/routing/router.h
+++ b/include/rookproxy/routing/router.h
@@ -1,9 +1,9 @@
-// The public interface of the decision module, whose decisions live in src/routing.
+// Public interface of the routing module, which is implemented in src/routing.
 //
-// A host creates one Router per dispatcher process and feeds it batches of events; the router appends the
-// actions to carry out, in order. An instance is used by one thread at a time, and instances share nothing.
-// All text and vectors are owned by value; nothing handed in needs to outlive the call. Times and durations
-// are microseconds on the host's clock, which only moves forward.
+// A host creates one Router per dispatcher process and passes it batches of events; the router appends the
+// actions to carry out, in order. A Router may be used by one thread at a time, and Routers share no state.
+// Text and vectors are owned by value; nothing passed in has to outlive the call. Times and durations are in
+// microseconds on the host's clock, which must be monotonic.
 #pragma once
 
 #include <cstddef>
@@ -19,65 +19,66 @@
 
 // A point in time, or a duration, in microseconds.
 using Time = std::int64_t;
-// Chosen by the host, and never reused in an instance's life.
+// Identifies a request. Chosen by the host and never reused during the lifetime of a Router.
 using RequestId = std::uint64_t;
-// Chosen by the host, dense from 0; the same engine keeps its id.
+// Identifies an engine. Chosen by the host, dense from 0, and stable for the same engine.
 using EngineId = std::uint32_t;
 // The index of a class in Settings::classes.
 using ClassIndex = std::uint32_t;
 
-// Whether a request that may have run may be sent again: always, within its scope and window, or never.
+// Whether a request that may have run can be retried: always (kIdempotent), only within its scope and window
+// (kKeyed), or never (kNonIdempotent).
 enum class Idempotency { kIdempotent, kKeyed, kNonIdempotent };
 
-// For keyed requests: which engines drop a repeat. All of them, those of the same zone, or those of the same
-// cell.
+// For keyed requests: the engines that detect a duplicate. All engines, those of the same zone, or those of
+// the same cell.
 enum class IdempotencyScope { kAll, kZone, kCell };
 
-// Whether the engine list comes by itself, or has to be subscribed to.
+// How the router receives the engine list: without asking for it, or after a subscription.
 enum class EngineListMode { kPushed, kSubscribed };
 
-// What an engine does when memory grants exceed its memory: queries wait, get less than granted, or all slow
-// down.
+// What an engine does when memory grants exceed its memory: queries wait (kWait), get less than granted
+// (kShrink), or all run slower because the engine pages (kPage).
 enum class MemoryPressure { kWait, kShrink, kPage };
 
 // A class of requests.
 struct ClassSettings {
   std::string name;
-  // What a response in time is worth against those of other classes.
+  // Value of a response within the latency objective, relative to other classes.
   double priority_weight = 1;
-  // A response within this, plus the next, has the full weight.
+  // Base of the latency objective; responses within the objective earn the full weight.
   Time latency_objective = 0;
-  // The objective grows by this times the request's work over its threads.
+  // Microseconds added to the objective per microsecond of the request's work divided by its threads.
   double latency_objective_per_work = 0;
   Time timeout = 0;
-  // Share of the weight that a response has after the objective and before the deadline.
+  // Fraction of the weight that a response earns between its objective and its deadline.
   double late_weight = 0;
   Idempotency idempotency = Idempotency::kIdempotent;
-  // Keyed classes only. Absent: cell.
+  // For keyed classes only. Absent: kCell.
   std::optional<IdempotencyScope> idempotency_scope;
-  // Keyed classes only: how long engines drop repeats. Absent: not at all.
+  // For keyed classes only: how long engines remember a request to detect duplicates. Absent: they do not.
   std::optional<Time> idempotency_window;
-  // Requests of one key run one at a time.
+  // Requests with the same key run one at a time.
   bool ordered = false;
   // Absent: all.
   std::optional<std::vector<std::uint32_t>> allowed_zones;
   // Indices of Settings::machine_types. Absent: all.
   std::optional<std::vector<std::uint32_t>> allowed_machine_types;
-  // Threads that a request runs with on its engine.
+  // Number of threads that a request uses on its engine.
   int threads = 1;
-  // Its requests load the tables of a group, and hold the group on their engine while they run.
+  // Requests of this class load the tables of a group and lock the group on their engine while they run.
   bool is_load = false;
-  // Its requests stand still while a load holds their group.
+  // Requests of this class are blocked while a load locks their group.
   bool waits_for_loads = false;
-  // Absent: as Settings::max_attempts has it.
+  // Absent: Settings::max_attempts applies.
   std::optional<std::uint32_t> max_attempts;
   bool operator==(const ClassSettings&) const = default;
 };
 
-// A tenant, whose quota holds for all instances together.
+// A tenant. Its quota applies to all instances together.
 struct TenantSettings {
   std::string name;
-  // Requests per second; 0: without limit.
+  // Requests per second. 0: unlimited.
   double quota_per_second = 0;
   double share = 0;
 };
@@ -89,19 +90,19 @@
   std::optional<double> memory_mb;
 };
 
-// How engines that have just started must be spared.
+// Limits on the load of engines that have just started.
 struct SlowStart {
-  // Share of its capacity that an engine starts with at least, above 0 and up to 1.
+  // Minimum fraction of its capacity that an engine has when it starts, above 0 and up to 1.
   double initial_share = 1;
-  // By then at the latest it has its full capacity.
+  // Time after its start by which an engine has its full capacity.
   Time warm_up_period = 0;
-  // Sent more than this many times its present capacity ...
+  // An engine fails if it is sent more than this multiple of its current capacity within overload_window.
   double overload_factor = 1;
-  // ... during this time, it fails.
+  // Period over which overload_factor applies.
   Time overload_window = 0;
 };
 
-// How many retries are allowed: a constant number and a share of the requests, both within the window.
+// Number of retries allowed per window: a constant plus a fraction of the requests in that window.
 struct RetryBudget {
   double min_retries = 0;
   double retry_ratio = 0;
@@ -111,46 +112,46 @@
 // All settings of a Router.
 struct Settings {
   std::uint64_t seed = 0;
-  // Dispatcher instances before the same engines, and the place of this one among them, from 0.
+  // Number of dispatcher instances that use the same engines, and the index of this one, from 0.
   std::uint32_t instance_count = 1;
   std::uint32_t instance_index = 0;
-  // The zone of this instance, and the number of zones.
+  // Index of this instance's zone, and the number of zones.
   std::uint32_t zone = 0;
   std::uint32_t zones = 1;
   std::vector<ClassSettings> classes;
   std::vector<TenantSettings> tenants;
   std::vector<MachineTypeSettings> machine_types;
   EngineListMode engine_list_mode = EngineListMode::kPushed;
-  // Whether attempts can be cancelled, and engines probed.
+  // Whether engines support cancelling attempts and answering probes.
   bool may_cancel = false;
   bool may_probe = false;
-  // Whether engines report their load at all, in responses or to probes.
+  // Whether engines report their load, in responses or to probes.
   bool reports_load = true;
-  // Whether a second attempt may be sent while the first one runs.
+  // Whether a second attempt may be sent while the first one is in flight.
   bool hedging = false;
-  // Attempts of one request, the first included.
+  // Maximum number of attempts of a request, including the first.
   std::uint32_t max_attempts = 1;
-  // The longest advice that clients heed. Absent: none is passed on.
+  // Longest retry-after time that clients honour. Absent: none is sent to them.
   std::optional<Time> max_retry_after;
   Time response_grace_period = 0;
   Time drain_grace_period = 0;
   std::optional<SlowStart> slow_start;
-  // How long a key of an ordered class rests after an attempt that may still run.
+  // How long the next request of a key of an ordered class is held back after an attempt that may still run.
   std::optional<Time> ordered_key_cooldown;
   std::optional<RetryBudget> retry_budget;
-  // Whether engines heed the memory and the priority of SetExecutionOptions.
+  // Whether engines support the memory grant and the priority of SetExecutionOptions.
   bool memory_grants_supported = false;
   bool priorities_supported = false;
-  // Share of an engine's memory that one query gets at most.
+  // Maximum fraction of an engine's memory that one query is granted.
   std::optional<double> max_memory_grant_share;
   MemoryPressure memory_pressure = MemoryPressure::kWait;
-  // How often engines send updates of an attempt. Absent: they send none.
+  // Interval at which engines send progress updates of an attempt. Absent: they send none.
   std::optional<Time> progress_interval;
-  // Whether responses tell what the request cost.
+  // Whether responses report the work that the request took.
   bool reports_cost = false;
-  // Share of its weight that a request has beyond its tenant's quota.
+  // Fraction of its weight that a request beyond its tenant's quota keeps.
   double over_quota_weight = 1;
-  // Points of the goal that attempts outside the own zone, and probes, cost, each as a share of first
+  // Costs of attempts outside this instance's zone and of probes, each relative to the number of first
   // attempts.
   double cross_zone_cost = 0;
   double probe_cost = 0;
@@ -158,15 +159,16 @@
 
 // ---- events ----
 
-// Whether an engine takes new requests: yes, no more, or it is not there.
+// Whether an engine accepts new requests (kServing), accepts none (kDraining), or no longer exists
+// (kRemoved).
 enum class EngineState { kServing, kDraining, kRemoved };
 
-// An engine of the list.
+// One engine of an engine list.
 struct EngineEntry {
   EngineId id = 0;
-  // Hashed for ties, so that instances agree; has no other meaning.
+  // Hashed for choices that all instances have to make alike. Has no other meaning.
   std::string name;
-  // 0: long ago.
+  // Start time of the engine's process. 0: long ago.
   Time started_at = 0;
   EngineState state = EngineState::kServing;
   std::uint32_t zone = 0;
@@ -176,11 +178,11 @@
   std::uint32_t machine_type = 0;
 };
 
-// What an engine list is: remembered from before the start, all engines, those that changed, or a rejected
-// subscription.
+// What an engine list contains: the engines stored before a restart (kCached), all engines (kSnapshot), only
+// those that changed (kDelta), or none because the subscription was rejected (kRejected).
 enum class EngineListKind { kCached, kSnapshot, kDelta, kRejected };
 
-// The engine list, or changes of it.
+// The engine list, or changes to it.
 struct EngineList {
   EngineListKind kind = EngineListKind::kSnapshot;
   std::vector<EngineEntry> entries;
@@ -190,91 +192,91 @@
 struct RequestArrived {
   RequestId id = 0;
   ClassIndex class_index = 0;
-  // For ordered and keyed classes. 0: none.
+  // Key for ordered and keyed classes. 0: none.
   std::uint64_t key = 0;
-  // The client does not wait any longer.
+  // Time after which the client no longer waits.
   Time deadline = 0;
-  // The group of tables that it reads or loads.
+  // Group of tables that the request reads or loads.
   std::uint64_t group = 0;
-  // Estimate, in microseconds of one thread.
+  // Estimated work, in microseconds of one thread.
   std::optional<double> work;
-  // Estimate, in MB.
+  // Estimated memory, in MB.
   std::optional<double> memory_mb;
   // Index of Settings::tenants.
   std::optional<std::uint32_t> tenant;
-  // The client marked it as its own further try.
+  // Whether the client marked it as a retry of its own.
   bool is_client_retry = false;
 };
 
-// What an engine tells of its load.
+// Load that an engine reports.
 struct LoadReport {
-  // Queries that it has, running or not.
+  // Queries on the engine, running or waiting.
   std::optional<double> active_queries;
   std::optional<double> queries_waiting_for_memory;
-  // Shares of what there is; granted memory may exceed 1.
+  // Utilization as a fraction of the resource; granted memory may exceed 1.
   std::optional<double> cpu_utilization;
   std::optional<double> memory_utilization;
   std::optional<double> disk_utilization;
 };
 
-// How an attempt or a probe ended, and whether it may have run.
+// How an attempt or a probe ended, and whether the engine may have run it.
 enum class Outcome {
   kServed,
-  kError,           // may have run
-  kRejected,        // never ran
-  kNoResponse,      // may have run, may still run
-  kConnectFailed,   // never ran
-  kConnectionLost,  // may have run
-  kCancelled,       // may have run
-  kNotSent,         // never ran
+  kError,           // May have run.
+  kRejected,        // Never ran.
+  kNoResponse,      // May have run and may still be running.
+  kConnectFailed,   // Never ran.
+  kConnectionLost,  // May have run.
+  kCancelled,       // May have run.
+  kNotSent,         // Never ran.
 };
 
-// An attempt has ended.
+// The end of an attempt.
 struct AttemptEnded {
   RequestId request = 0;
   std::uint32_t attempt = 0;
   EngineId engine = 0;
   Outcome outcome = Outcome::kServed;
   Time latency = 0;
-  // The request has had its final response.
+  // Whether the client has received its final response.
   bool completed = false;
-  // What it cost, in microseconds of one thread.
+  // Work that the attempt took, in microseconds of one thread.
   std::optional<double> work;
-  // What it needed, in MB.
+  // Memory that the attempt needed, in MB.
   std::optional<double> memory_mb;
   std::optional<LoadReport> report;
 };
 
-// A streamed response has begun: the attempt belongs to the client from now on.
+// The first part of a streamed response has reached the client; the attempt must no longer be cancelled.
 struct ResponseStarted {
   RequestId request = 0;
   std::uint32_t attempt = 0;
 };
 
-// What an update of an attempt is about.
+// The content of an attempt's update.
 enum class AttemptUpdateKind { kProgress, kSpilling, kWaitingForMemory, kWaitingForLoad };
 
-// An engine tells of an attempt that it runs.
+// An engine's update about an attempt that it runs.
 struct AttemptUpdate {
   RequestId request = 0;
   std::uint32_t attempt = 0;
   EngineId engine = 0;
   AttemptUpdateKind kind = AttemptUpdateKind::kProgress;
-  // Progress: share done. Spilling: MB missing.
+  // For kProgress, the fraction done. For kSpilling, the missing memory in MB.
   double amount = 0;
 };
 
-// The request's client has left.
+// The request's client has disconnected.
 struct ClientDisconnected {
   RequestId request = 0;
 };
 
-// A timer set by SetTimer is due.
+// A timer set by SetTimer has expired.
 struct TimerFired {
   std::uint64_t token = 0;
 };
 
-// A probe has ended.
+// The end of a probe.
 struct ProbeEnded {
   EngineId engine = 0;
   Outcome outcome = Outcome::kServed;
@@ -282,13 +284,14 @@
   std::optional<LoadReport> report;
 };
 
-// Something that happened.
+// Any input to the router.
 using Event = std::variant<EngineList, RequestArrived, AttemptEnded, ResponseStarted, AttemptUpdate,
                            ClientDisconnected, TimerFired, ProbeEnded>;
 
 // ---- actions ----
 
-// Send the request to the engine. Attempts of a request are numbered 0, 1, 2 ... in the order of their sends.
+// Send the request to the engine. The attempts of a request are numbered 0, 1, 2 ... in the order in which
+// they are sent.
 struct Send {
   RequestId request = 0;
   EngineId engine = 0;
@@ -296,7 +299,7 @@
   std::optional<Time> timeout;
 };
 
-// Use these for the request's next sends; the priority holds at once for its attempts in flight.
+// Options for the request's next attempts. The priority also applies immediately to its attempts in flight.
 struct SetExecutionOptions {
   RequestId request = 0;
   // Absent: the engine chooses.
@@ -304,35 +307,35 @@
   int priority = 1;
 };
 
-// Cancel an attempt in flight.
+// Cancel an attempt that is in flight.
 struct Cancel {
   RequestId request = 0;
   std::uint32_t attempt = 0;
 };
 
-// Final response: trying again is harmless.
+// Send a final response that tells the client that it is safe to retry.
 struct Reject {
   RequestId request = 0;
   std::optional<Time> retry_after;
 };
 
-// Final response: promises nothing.
+// Send a final response that does not tell whether the request ran.
 struct Fail {
   RequestId request = 0;
 };
 
-// Fire a timer with this token at this time.
+// Start a timer that expires at this time with this token.
 struct SetTimer {
   Time at = 0;
   std::uint64_t token = 0;
 };
 
-// Ask the engine for its load.
+// Request a load report from the engine.
 struct Probe {
   EngineId engine = 0;
 };
 
-// Ask for the engine list and its changes from now on.
+// Subscribe to the engine list and its changes.
 struct SubscribeEngineList {};
 
 // Write a line to the log.
@@ -340,32 +343,32 @@
   std::string text;
 };
 
-// Something to do.
+// Any output of the router.
 using Action =
     std::variant<Send, SetExecutionOptions, Cancel, Reject, Fail, SetTimer, Probe, SubscribeEngineList, Log>;
 
-// Settings that contradict themselves; the message names the setting.
+// Thrown for invalid or contradictory settings. The message names the setting.
 struct InvalidSettings : std::invalid_argument {
   using std::invalid_argument::invalid_argument;
 };
 
-// Decides which engine runs which request, and when. Used by one thread at a time.
+// Decides which engine runs which request, and when. May be used by one thread at a time.
 class Router {
  public:
-  // Throws InvalidSettings.
+  // Throws InvalidSettings if the settings are invalid.
   explicit Router(Settings settings);
   ~Router();
   Router(Router&&) noexcept;
   Router& operator=(Router&&) noexcept;
-  // Takes all that happened at `now` and appends what to do, in order.
+  // Processes the events that happened at `now` and appends the resulting actions, in order.
   void handle(Time now, const std::vector<Event>& events, std::vector<Action>& actions);
-  // Uses other settings from now on. Indices of classes go on meaning the same classes; a class whose
-  // settings differ takes over what is known of the class of its name. Averages, limits, health and open
-  // requests are kept. Throws InvalidSettings, and then nothing has changed. An engine list should follow
-  // where machine types or zones changed.
+  // Replaces the settings. A class index must keep denoting the same class; a class whose settings differ
+  // takes over the learned state of the class with the same name. Averages, limits, engine health and open
+  // requests are kept. Throws InvalidSettings and changes nothing if the settings are invalid. An engine list
+  // should follow if machine types or zones changed.
   void update_settings(Settings settings);
-  // How many of the listed engines get no new requests now, or one at a time: draining, failing or
-  // unreachable.
+  // Number of listed engines that get no new requests at `now`, or only one at a time, because they are
+  // draining, failing or unreachable.
   [[nodiscard]] std::size_t avoided_engines(Time now) const;
 
  private:
--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -4,25 +4,34 @@
 #include <cmath>
 
 namespace rookproxy::routing {
-constexpr double kMixWeight = 0.05;          // of one request in the figures of the present mix
-constexpr double kMaxRunTimeWeight = 4;      // mean run times by which one request counts in them at most
-constexpr double kWithheldShare = 0.6;       // of the aggregate limit, from work of the least weight
-constexpr double kWithholdingSteepness = 2;  // of the way from none to all of that, in spreads of the mix
-constexpr double kMinSpread = 0.1;           // of weights, binary logarithm: all alike is not all different
-constexpr double kMinWork = 1000;            // us of one thread: less is not told apart
-constexpr double kRunTimeMargin = 1.2;   // times its estimated run that a request needs until its objective
-constexpr double kMaxAging = 3;          // times its weight that a request gains by waiting
-constexpr double kMinLateWeight = 0.15;  // late responses of less weight are not worth an engine's time
+// Weight of one request in the statistics of the current mix.
+constexpr double kMixSampleWeight = 0.05;
+// Run time, in multiples of the mean, at which the weight of a request in these statistics is capped.
+constexpr double kMaxRunTimeWeight = 4;
+// Fraction of the aggregate limit that is withheld from work with the least weight.
+constexpr double kWithheldShare = 0.6;
+// Steepness of the transition between withholding nothing and all of it, per deviation of the mix.
+constexpr double kWithholdingSteepness = 2;
+// Smallest deviation of binary logarithms that is assumed.
+constexpr double kMinSpread = 0.1;
+// Smallest work that is distinguished, in microseconds of one thread.
+constexpr double kMinWorkUs = 1000;
+// Multiple of its estimated run time that a request needs before its objective.
+constexpr double kRunTimeMargin = 1.2;
+// Largest increase of a request's rank by waiting, as a multiple of its weight.
+constexpr double kMaxAging = 3;
+// Classes with a lower late weight are not served late.
+constexpr double kMinLateWeight = 0.15;
 
 static double log_rate(double weight_rate) { return std::log2(std::max(1e-6, weight_rate * 1e6)); }
 
 void Admission::record_request(Request& request) {
   const double run_time = state_.run_time(request);
-  state_.mean_run_time.add(run_time, kMixWeight);
+  state_.mean_run_time.add(run_time, kMixSampleWeight);
   const double relative = std::min(kMaxRunTimeWeight, run_time / std::max(1.0, state_.mean_run_time.value()));
-  state_.mean_threads.add(state_.settings_of(request).threads, kMixWeight * relative);
-  request.log_weight_rate = log_rate(request.priority_weight / std::max(kMinWork, request.work));
-  const double weight = kMixWeight * relative / kMaxRunTimeWeight;
+  state_.mean_threads.add(state_.settings_of(request).threads, kMixSampleWeight * relative);
+  request.log_weight_rate = log_rate(request.priority_weight / std::max(kMinWorkUs, request.work));
+  const double weight = kMixSampleWeight * relative / kMaxRunTimeWeight;
   log_weight_rate_.add(request.log_weight_rate, weight);
   log_weight_rate_spread_.add(std::abs(request.log_weight_rate - log_weight_rate_.value()), weight);
 }
@@ -44,8 +53,9 @@
 }
 
 double Admission::weight_rate(const Request& request) const {
-  const double lateness = state_.now <= latest_start(request) ? 1 : state_.settings_of(request).late_weight;
-  return request.priority_weight * lateness / std::max(kMinWork, request.work);
+  const double weight_factor =
+      state_.now <= latest_start(request) ? 1 : state_.settings_of(request).late_weight;
+  return request.priority_weight * weight_factor / std::max(kMinWorkUs, request.work);
 }
 
 double Admission::rank(const Request& request) const {
@@ -67,12 +77,14 @@
 }
 
 bool Admission::may_start(Engine& engine, const Request& request) const {
-  const int level = priority(request);
+  const int request_priority = priority(request);
   const int threads = state_.settings_of(request).threads;
-  const bool fits = limit_.engine_has_capacity(engine, level) && limit_.memory_has_capacity(engine, request);
+  const bool fits =
+      limit_.engine_has_capacity(engine, request_priority) && limit_.memory_has_capacity(engine, request);
   if (!fits) return false;
   const bool is_warm = !slow_start_.warming_up(engine);
-  if (is_warm && !limit_.aggregate_has_capacity(level, limit_share(request), threads)) return false;
+  if (is_warm && !limit_.aggregate_has_capacity(request_priority, limit_share(request), threads))
+    return false;
   return retries_.attempt_allowed(request, request.attempts_in_flight) &&
          retries_.engine_allowed(engine, request) && key_allows(request) &&
          slow_start_.allows(engine, request);
@@ -81,7 +93,7 @@
 bool Admission::should_shed(const Request& request) const {
   if (request.completed || request.attempts_in_flight > 0) return false;
   const bool late_is_wanted = state_.settings_of(request).late_weight >= kMinLateWeight;
-  return (state_.now > latest_start(request) && !late_is_wanted) || !retries_.time_left(request);
+  return (state_.now > latest_start(request) && !late_is_wanted) || !retries_.has_time_left(request);
 }
 
 }  // namespace rookproxy::routing
--- a/src/routing/admission.h
+++ b/src/routing/admission.h
@@ -1,4 +1,4 @@
-// Admission: which request may start now, and which is worth more.
+// Admission: which requests may start now, and in which order.
 #pragma once
 
 #include "routing/concurrency_limit.h"
@@ -12,43 +12,42 @@
 
 namespace rookproxy::routing {
 
-// Priorities and the check that every send passes. A priority goes from 0 to 3, the highest.
-// Used by the Router's thread alone; the arguments of the constructor have to outlive it.
+// Computes priorities, from 0 to 3 (highest), and performs the check that every send has to pass. Used only
+// by the Router's thread; the constructor's arguments must outlive it.
 class Admission {
  public:
   Admission(RoutingState& state, ConcurrencyLimit& limit, const SlowStartLimiter& slow_start,
             const RetryPolicy& retries, const OrderedKeys& keys)
       : state_(state), limit_(limit), slow_start_(slow_start), retries_(retries), keys_(keys) {}
 
-  // Sets the weight per unit of work of a new request, and counts it in the mix of present work: weighed by
-  // its run time, as it is on an engine at any moment.
+  // Sets the weight per unit of work of a new request and adds it to the statistics of the current mix of
+  // requests, weighted by its run time, since longer requests are present for longer.
   void record_request(Request& request);
-  // The request's priority: short work of a high weight first; it is done before the heavy notices.
-  //
-  // While responses are late, what has the most weight for its work instead, against the present mix: by
-  // class, a crowd of light queries took every engine from all reports, the small ones too. Should also guard
-  // where a class turns heavy or worthless. Could harm where estimates say nothing of the work.
+  // Returns the request's priority. While responses come in time it depends on the class: requests with one
+  // thread first, then loads, then the others. While responses are late it depends on the request's weight
+  // per unit of work relative to the current mix; otherwise many light queries could displace all heavy ones,
+  // including small ones.
   [[nodiscard]] int priority(const Request& request) const;
-  // The order in which queued requests start: weight per unit of work, aged by the share of the slack that is
-  // used up.
+  // Returns the rank of a queued request; the highest starts first. It is the weight per unit of work,
+  // increased with the fraction of the slack that has passed.
   [[nodiscard]] double rank(const Request& request) const;
-  // Whether the request may be sent to the engine now. No send goes out but through here.
+  // Returns whether the request may be sent to the engine now. Every send has to pass this check.
   [[nodiscard]] bool may_start(Engine& engine, const Request& request) const;
-  // Whether a queued request can no longer be served in time: late work only crowds out other.
+  // Returns whether a queued request should be rejected because it can no longer be served in time and would
+  // only delay others.
   [[nodiscard]] bool should_shed(const Request& request) const;
-  // The last time at which the request can start and still meet its latency objective.
+  // Returns the latest time at which the request can start and still meet its latency objective.
   [[nodiscard]] Time latest_start(const Request& request) const;
 
  private:
-  // Whether the request's key lets it start: the first of its key, once the key's cooldown is over. A retry
-  // of the first does not wait for the cooldown that its own attempt began.
+  // Returns whether the request's key permits a start: the request is the first of its key, and the key's
+  // cooldown is over. A retry of the first request does not wait for the cooldown after its own attempt.
   [[nodiscard]] bool key_allows(const Request& request) const;
-  // The weight that a response still has per unit of work: work past its objective takes no room from work
-  // that can meet it, whatever made it late. Could harm where late responses are wanted after all: their late
-  // weight says how much.
+  // Returns the weight per unit of work that a response still earns. Work that can no longer meet its
+  // objective has only its late weight, so that it does not displace work that can.
   [[nodiscard]] double weight_rate(const Request& request) const;
-  // The share of the aggregate limit that the request may fill: work of little weight for what it takes waits
-  // at a fuller limit, by so much of the present work that has more.
+  // Returns the fraction of the aggregate limit that the request may fill. It is lower for work with less
+  // weight per unit of work than most of the current mix.
   [[nodiscard]] double limit_share(const Request& request) const;
 
   RoutingState& state_;
@@ -56,8 +55,10 @@
   const SlowStartLimiter& slow_start_;
   const RetryPolicy& retries_;
   const OrderedKeys& keys_;
-  ExponentialAverage log_weight_rate_{0};         // of present work, binary logarithm of weight per second
-  ExponentialAverage log_weight_rate_spread_{1};  // mean deviation from it
+  // Mean binary logarithm of weight per second of work over the current mix.
+  ExponentialAverage log_weight_rate_{0};
+  // Mean absolute deviation from log_weight_rate_.
+  ExponentialAverage log_weight_rate_spread_{1};
 };
 
 }  // namespace rookproxy::routing
--- a/src/routing/affinity.cpp
+++ b/src/routing/affinity.cpp
@@ -7,26 +7,30 @@
 #include "routing/hash.h"
 
 namespace rookproxy::routing {
-constexpr double kCentroidRetained = 0.5;   // the paper's alpha: how much of a centroid a send keeps
-constexpr double kOwnWeightExponent = 0.4;  // of n instances, what we saw counts n to the minus this
-constexpr double kAgreedNormSquared = 0.3;  // squared length of the rest, on which all agree by hash
-constexpr double kMinCentroid = 1e-3;       // a group's part below is forgotten
+// Fraction of a centroid that is kept at each send (alpha in the paper).
+constexpr double kCentroidRetained = 0.5;
+// The weight of own sends is the number of instances to the power of minus this.
+constexpr double kOwnWeightExponent = 0.4;
+// Squared norm of the planned part of a centroid.
+constexpr double kPlannedNormSquared = 0.3;
+// Components of groups below this are dropped.
+constexpr double kMinCentroid = 1e-3;
 
 void Affinity::configure() { own_weight_ = std::pow(state_.settings.instance_count, -kOwnWeightExponent); }
 
 double Affinity::distance(const Engine& engine, const Request& request, double centroid) const {
   const bool preferred = engine.entry.id == request.preferred_engine;
-  const double agreed = preferred ? 1 : placement_.planned_share(engine.entry.id, request.group) / 2;
-  const double mean = own_weight_ * centroid + (1 - own_weight_) * agreed;
+  const double planned = preferred ? 1 : placement_.planned_share(engine.entry.id, request.group) / 2;
+  const double mean = own_weight_ * centroid + (1 - own_weight_) * planned;
   const double norm_squared =
-      own_weight_ * engine.centroid_norm_squared + (1 - own_weight_) * kAgreedNormSquared;
+      own_weight_ * engine.centroid_norm_squared + (1 - own_weight_) * kPlannedNormSquared;
   return std::sqrt(std::max(0.0, norm_squared - 2 * mean + 1));
 }
 
 void Affinity::record_send(Engine& engine, std::uint64_t group) const {
   engine.move_centroid(group,
                        std::min(kCentroidRetained, engine.centroid_sends / (engine.centroid_sends + 1.0)));
-  engine.forget_groups_below(kMinCentroid, state_.now);
+  engine.drop_groups_below(kMinCentroid, state_.now);
 }
 
 void Affinity::record_request(Request& request) {
@@ -34,14 +38,14 @@
   if (placement_.needs_plan(request.group, state_.now)) plan_placement();
   const bool is_load = state_.settings_of(request).is_load;
   request.preferred_engine =
-      is_load ? kNoPreferredEngine : placement_.select_engine(request.group, placement_draw(request));
+      is_load ? kNoPreferredEngine : placement_.select_engine(request.group, placement_fraction(request));
 }
 
-double Affinity::placement_draw(const Request& request) const {
+double Affinity::placement_fraction(const Request& request) const {
   const std::uint64_t instance = mix(state_.settings.instance_index);
-  const double stays = unit_interval(mix(instance ^ request.group));
-  const double dealt = unit_interval(mix(instance ^ mix(request.id)));
-  const double sum = stays + (1 - own_weight_) * dealt;
+  const double by_instance = unit_interval(mix(instance ^ request.group));
+  const double by_request = unit_interval(mix(instance ^ mix(request.id)));
+  const double sum = by_instance + (1 - own_weight_) * by_request;
   return sum - std::floor(sum);
 }
 
--- a/src/routing/affinity.h
+++ b/src/routing/affinity.h
@@ -1,4 +1,4 @@
-// Affinity: requests of a table group go to engines that have its tables in memory.
+// Affinity: sends the requests of a table group to engines that hold its tables in memory.
 #pragma once
 
 #include <cstdint>
@@ -11,43 +11,42 @@
 
 namespace rookproxy::routing {
 
-// The load-balanced distance of "On Smart Query Routing" (3.4.2): each engine has a centroid, the weighted
-// mean of the groups that it was sent, and a request prefers engines whose centroid is near to its own group.
-// Used by the Router's thread alone; the arguments of the constructor have to outlive it.
+// Computes the load-balanced distance of "On Smart Query Routing" (section 3.4.2): each engine has a
+// centroid, the weighted mean of the groups that it was sent, and a request prefers engines whose centroid is
+// close to its group. Used only by the Router's thread; the constructor's arguments must outlive it.
 class Affinity {
  public:
   Affinity(const RoutingState& state, const SlowStartLimiter& slow_start)
       : state_(state), slow_start_(slow_start) {}
 
-  // Reads the number of instances from the settings. To be called when settings have changed.
+  // Applies the number of instances in the settings. Call after the settings have changed.
   void configure();
-  // Counts a request in its group's demand, and sets its preferred engine.
+  // Adds the request to its group's demand and sets its preferred engine.
   void record_request(Request& request);
   // Moves the engine's centroid toward the group that it has just been sent. The first sends are averaged
-  // evenly: an engine's first group is its whole centroid, not a sliver of it.
+  // evenly, so that the first group makes up the whole centroid.
   void record_send(Engine& engine, std::uint64_t group) const;
-  // Plans which engines are preferred for which groups.
+  // Recomputes the preferred engines of all groups.
   void plan_placement();
-  // Does so if the last plan is old.
+  // Recomputes the preferred engines if the plan has expired.
   void refresh_placement() {
     if (placement_.plan_expired(state_.now)) plan_placement();
   }
-  // The distance of the request's group from the engine's centroid, where `centroid` is the group's part of
-  // it.
+  // Returns the distance between the request's group and the engine's centroid. `centroid` is the component
+  // of the group in it.
   //
-  // The centroid is over all instances' sends, of which we see a few. The unseen part is a guess that all
-  // agree on: the engines planned for the group, of which a query draws one, as if the group were cut in
-  // parts that have one engine each.
+  // The centroid covers the sends of all instances, of which this instance knows only its own. The rest is
+  // approximated by the placement plan, on which all instances agree.
   [[nodiscard]] double distance(const Engine& engine, const Request& request, double centroid) const;
-  // The weight of what we saw of a centroid, against what all instances agree on by hash: 1 for a lone
+  // Returns the weight of this instance's own sends against the placement plan: 1 if there is only one
   // instance.
   [[nodiscard]] double own_weight() const { return own_weight_; }
 
  private:
-  // A number from 0 to 1 by which the request's preferred engine is drawn. Few instances each stay with one
-  // engine, and their own load tells when another is due; of many, nobody's load tells, so their queries are
-  // dealt out over all.
-  [[nodiscard]] double placement_draw(const Request& request) const;
+  // Returns a number from 0 to 1 that selects the request's preferred engine. With few instances it depends
+  // mostly on the instance, so that each stays with one engine and its own load shows when to use another.
+  // With many, where no instance sees the load, the requests are spread over all engines of the group.
+  [[nodiscard]] double placement_fraction(const Request& request) const;
 
   const RoutingState& state_;
   const SlowStartLimiter& slow_start_;
--- a/src/routing/class_state.h
+++ b/src/routing/class_state.h
@@ -1,4 +1,4 @@
-// What the router has learnt of each class of requests.
+// The learned state of each request class.
 #pragma once
 
 #include <algorithm>
@@ -10,28 +10,36 @@
 
 namespace rookproxy::routing {
 
-// Learnt from the responses of one class.
+// Statistics learned from the responses of one class.
 struct ClassState {
-  ExponentialAverage mean_work;           // of one request, microseconds of one thread
-  double estimate_bias = 1;               // true work over the estimate
-  ExponentialAverage latency_ratio{1.5};  // latency over work per thread
-  double grant_factor = 1;                // memory granted over the estimate
-  double progress_rate = 1;               // median of progress over expected progress
-  double latency_samples = 0;             // responses that tell of work by their latency alone ...
-  ExponentialAverage work_by_latency;     // ... and the mean of the work that they tell
-  Time longest_timeout = 0;               // of its requests, as they arrived
+  // Mean work of a request, in microseconds of one thread.
+  ExponentialAverage mean_work;
+  // Ratio of actual to estimated work.
+  double estimate_bias = 1;
+  // Ratio of latency to run time.
+  ExponentialAverage latency_ratio{1.5};
+  // Ratio of granted to estimated memory.
+  double grant_factor = 1;
+  // Median ratio of actual to expected progress.
+  double progress_rate = 1;
+  // Number of responses whose work is known only from their latency.
+  double latency_samples = 0;
+  // Mean work of those responses, in microseconds of one thread.
+  ExponentialAverage work_by_latency;
+  // Longest time from arrival to deadline among the class's requests.
+  Time longest_timeout = 0;
 
-  // The mean work, or more while that mean may still be a guess.
+  // Returns the mean work, or a larger value while the mean may still be inaccurate.
   [[nodiscard]] double conservative_work() const {
     return std::max(mean_work.value(), work_by_latency.value());
   }
 };
 
-// The states for other settings: a class whose settings are the same keeps its state, one whose settings
-// differ takes over that of the old class of its name, and a new one begins with `initial_state`. `known`
-// belongs to `before`.
+// Returns the class states after a change of settings: a class with unchanged settings keeps its state, one
+// with changed settings takes over the state of the previous class with the same name, and a new one gets
+// `initial_state`. `previous_states` holds the states of the classes in `before`.
 [[nodiscard]] std::vector<ClassState> carry_over(
-    const std::vector<ClassSettings>& before, const std::vector<ClassState>& known,
+    const std::vector<ClassSettings>& before, const std::vector<ClassState>& previous_states,
     const std::vector<ClassSettings>& after,
     const std::function<ClassState(const ClassSettings&)>& initial_state);
 
--- a/src/routing/decaying_counter.h
+++ b/src/routing/decaying_counter.h
@@ -1,4 +1,4 @@
-// A sum whose entries lose their weight exponentially with age.
+// A sum whose entries decay exponentially with age.
 #pragma once
 
 #include <cmath>
@@ -7,18 +7,18 @@
 
 namespace rookproxy::routing {
 
-// Counts amounts over about one time constant. Without entries for a while it approaches zero.
+// Counts amounts over roughly the last time constant. Decays to zero when nothing is added.
 class DecayingCounter {
  public:
   DecayingCounter() = default;
   DecayingCounter(double amount, Time now) : amount_(amount), updated_at_(now) {}
 
-  // Adds `amount` at the time `now`; `time_constant` in microseconds.
+  // Adds `amount` at `now`. `time_constant` is in microseconds.
   void add(double amount, Time now, double time_constant) {
     amount_ = value(now, time_constant) + amount;
     updated_at_ = now;
   }
-  // The sum at the time `now`, each entry multiplied by exp(-age / time_constant).
+  // Returns the sum at `now`, with each entry multiplied by exp(-age / time_constant).
   [[nodiscard]] double value(Time now, double time_constant) const {
     return amount_ * std::exp(-static_cast<double>(now - updated_at_) / time_constant);
   }
--- a/src/routing/dispatch.cpp
+++ b/src/routing/dispatch.cpp
@@ -23,7 +23,8 @@
     if (!request || request->completed || request->queued_on) continue;
     selection_.is_probing(*request) ? unplaced_.push_back(id) : place(*request);
   }
-  while (dispatch_best()) continue;  // own queues first; what still waits is there to steal
+  // Requests in an engine's own queue come first; the rest can be stolen.
+  while (dispatch_best()) continue;
   while (steal_work()) continue;
 }
 
@@ -82,7 +83,7 @@
 
 void Router::Impl::finish(Request& request, FinalResponse response) {
   if (request.completed) return;
-  const bool may_reject = response == FinalResponse::kReject && retries_.harmless_to_repeat(request);
+  const bool may_reject = response == FinalResponse::kReject && retries_.safe_to_retry(request);
   lifecycle_.respond(request, may_reject ? FinalResponse::kReject : FinalResponse::kFail);
   close(request);
 }
@@ -92,9 +93,9 @@
   lifecycle_.complete(request, is_idempotent);
 }
 
-void Router::Impl::cancel_for_another(Request& request, std::size_t attempt) {
+void Router::Impl::cancel_for_retry(Request& request, std::size_t attempt) {
   if (state_.settings_of(request).idempotency != Idempotency::kIdempotent) return;
-  const bool may_replace = retries_.attempt_allowed(request, 0) && retries_.time_left(request);
+  const bool may_replace = retries_.attempt_allowed(request, 0) && retries_.has_time_left(request);
   if (may_replace) lifecycle_.cancel(request, attempt);
 }
 
--- a/src/routing/engine.cpp
+++ b/src/routing/engine.cpp
@@ -28,14 +28,14 @@
   moved.centroid += 1 - retained;
 }
 
-void Engine::forget_groups_below(double least, Time now) {
+void Engine::drop_groups_below(double least, Time now) {
   std::erase_if(groups, [&](const GroupAffinity& one) {
     return one.centroid < least && one.active_readers == 0 && one.active_loads == 0 &&
            one.load_seen_until <= now;
   });
 }
 
-void Engine::forget_affinity() {
+void Engine::reset_affinity() {
   groups.clear();
   centroid_norm_squared = 0;
   centroid_sends = 0;
--- a/src/routing/engine_selection.h
+++ b/src/routing/engine_selection.h
@@ -1,4 +1,4 @@
-// Engine selection: which engine a request is queued on.
+// Engine selection: the engine in whose queue a request waits.
 #pragma once
 
 #include <algorithm>
@@ -16,14 +16,15 @@
 
 namespace rookproxy::routing {
 
-// An engine and how well it fits a request: the least score is the best.
+// An engine and its score for a request. The lowest score is the best.
 struct ScoredEngine {
   double score = 0;
-  Engine* engine = nullptr;  // not owned, valid until the next engine list
+  // Not owned. Valid until the next engine list.
+  Engine* engine = nullptr;
 };
 
-// Scores engines by affinity, load and health, and probes the best where little is known of them.
-// Used by the Router's thread alone; the arguments of the constructor have to outlive it.
+// Scores engines by affinity, load and health, and probes the best ones if their load is not known well. Used
+// only by the Router's thread; the constructor's arguments must outlive it.
 class EngineSelection {
  public:
   EngineSelection(RoutingState& state, const Affinity& affinity, const LoadReports& reports,
@@ -37,31 +38,32 @@
         retries_(retries),
         slow_start_(slow_start) {}
 
-  // How well the engine fits the request, in units of distance: 1 is as far as an engine that has nothing of
-  // its group.
+  // Returns the score of the engine for the request, in units of affinity distance: 1 is the distance to an
+  // engine that holds none of the group's tables.
   //
-  // A load goes where its group's readers are not, so its distance counts the other way round; of the many
-  // engines that are none's preferred one each load draws another, or all instances' loads of a group would
-  // meet at one. An unhealthy engine is tried with one idempotent query at a time, or it would never be known
-  // to be well again.
+  // For a load the distance counts negatively, since it should run where its group's readers are not. A hash
+  // per request spreads the loads of a group over the other engines, so that all instances do not send them
+  // to the same one. An unhealthy engine is tried with one idempotent query at a time to find out when it has
+  // recovered.
   [[nodiscard]] double score(const Engine& engine, const Request& request) const;
-  // The few best engines that the request may run on, the best first. Valid until the next call.
+  // Returns the best engines that the request may run on, in ascending order of score. Valid until the next
+  // call.
   [[nodiscard]] const std::vector<ScoredEngine>& best_engines(const Request& request);
-  // Sends probes to the best engines where our own sends say little of them, at most once for a request.
-  // Returns whether the request has to wait for their responses.
+  // Probes the best engines, at most once per request, if this instance's own sends tell too little about
+  // them. Returns whether the request has to wait for the responses.
   [[nodiscard]] bool probe(Request& request, const std::vector<ScoredEngine>& best);
-  // Whether the request still waits for probes.
+  // Returns whether the request still waits for probes.
   [[nodiscard]] bool is_probing(const Request& request) const {
     return probes_in_flight_ > 0 && state_.now < request.probing_until;
   }
-  // A probe has ended, whatever its outcome.
+  // Records the end of a probe, whatever its outcome.
   void record_probe_end() { probes_in_flight_ = std::max(0, probes_in_flight_ - 1); }
 
  private:
-  // Whether probes would tell more than they cost now.
-  [[nodiscard]] bool probes_pay() const;
-  // The score with what meeting a load of the request's group on the engine adds to it: readers stand still,
-  // keeping memory, behind a load of their group; a load behind its own kind.
+  // Returns whether probing is worth its cost at present.
+  [[nodiscard]] bool probes_useful() const;
+  // Returns `score` plus the penalties for meeting a load of the request's group on the engine: readers are
+  // blocked, and keep their memory, behind a load of their group, and loads of a group behind each other.
   [[nodiscard]] double add_load_conflicts(double score, const Request& request,
                                           const GroupAffinity& group) const;
 
@@ -72,7 +74,8 @@
   const OutlierDetection& outliers_;
   const RetryPolicy& retries_;
   const SlowStartLimiter& slow_start_;
-  std::vector<ScoredEngine> best_;  // kept between calls for its memory
+  // Reused between calls to avoid allocations.
+  std::vector<ScoredEngine> best_;
   int probes_in_flight_ = 0;
 };
 
--- a/src/routing/fleet_summary.h
+++ b/src/routing/fleet_summary.h
@@ -1,4 +1,4 @@
-// Figures of all serving engines together.
+// Statistics over all serving engines.
 #pragma once
 
 #include <cstddef>
@@ -11,16 +11,18 @@
 
 namespace rookproxy::routing {
 
-// Sums over the engines that take requests.
+// Sums over the engines that accept requests.
 struct FleetSummary {
-  std::vector<double> relative_latencies;  // one of each engine
+  // Relative latency of each engine.
+  std::vector<double> relative_latencies;
   double cores = 0;
-  double warm_cores = 0;  // of engines that are not warming up
+  // Cores of the engines that are not warming up.
+  double warm_cores = 0;
   double own_queries = 0;
   std::size_t failing_engines = 0;
 };
 
-// Adds up the serving engines, as the units tell which of them are warm or failing.
+// Summarizes the serving engines. `slow_start` and `outliers` tell which of them are warming up or failing.
 [[nodiscard]] FleetSummary summarize_fleet(const std::map<EngineId, Engine>& engines,
                                            const SlowStartLimiter& slow_start,
                                            const OutlierDetection& outliers);
--- a/src/routing/hash.h
+++ b/src/routing/hash.h
@@ -1,5 +1,4 @@
-// Stable hashes, the same in every process: what instances agree on without talking to each other rests on
-// them.
+// Stable hashes, identical in every process: instances rely on them to agree without communicating.
 #pragma once
 
 #include <cstdint>
@@ -15,12 +14,12 @@
   return value ^ (value >> 31);
 }
 
-// Maps a hash to a number from 0 up to, but not including, 1.
+// Maps a hash to a number in [0, 1).
 [[nodiscard]] constexpr double unit_interval(std::uint64_t hash) {
   return static_cast<double>(hash >> 11) * 0x1p-53;
 }
 
-// Hashes a text (FNV-1a, then mixed).
+// Returns a hash of `text` (FNV-1a, then mix()).
 [[nodiscard]] constexpr std::uint64_t hash_text(std::string_view text) {
   std::uint64_t hash = 0xcbf29ce484222325ULL;
   for (const char character : text) hash = (hash ^ static_cast<unsigned char>(character)) * 0x100000001b3ULL;
--- a/src/routing/load_reports.cpp
+++ b/src/routing/load_reports.cpp
@@ -6,28 +6,39 @@
 #include "routing/concurrency_limit.h"
 
 namespace rookproxy::routing {
-constexpr double kFreshConfidence = 0.9;       // in a report just in
-constexpr double kReportHalfLife = 1'000'000;  // us, of that confidence
-constexpr double kConfidenceRetained = 0.3;    // share kept when an engine that was shown with room was full
-constexpr double kDistrustHalfLife = 20'000'000;  // us, of what was lost so
-constexpr double kMinProbeConfidence = 0.5;       // no probes below: their answers would not be believed
-constexpr Time kMinProbeInterval = 300'000;       // us; younger reports are not asked for again
-constexpr double kMaxMemoryOvercommit = 1.2;      // by its report; an engine beyond takes nothing now
-constexpr double kOthersSample = 4;  // queries; how firmly load is taken to be even, against own sends
+// Confidence in a report that has just arrived.
+constexpr double kFreshConfidence = 0.9;
+// Half-life of the confidence in a report.
+constexpr double kReportHalfLifeUs = 1'000'000;
+// Fraction of the confidence in all reports that is kept when an engine that was reported with free capacity
+// rejects a request.
+constexpr double kConfidenceRetained = 0.3;
+// Half-life of the loss of confidence after such a rejection.
+constexpr double kConfidenceLossHalfLifeUs = 20'000'000;
+// Below this confidence in reports, no probes are sent.
+constexpr double kMinProbeConfidence = 0.5;
+// Minimum interval between probes of one engine.
+constexpr Time kMinProbeInterval = 300'000;
+// An engine that reports a higher ratio of granted to installed memory is full.
+constexpr double kMaxMemoryOvercommit = 1.2;
+// Weight of the assumption of an even spread against own attempts, in queries.
+constexpr double kEvenSpreadQueries = 4;
 
 double LoadReports::confidence() const {
-  if (distrust_ == 0) return 1;  // asked for each engine of each query
-  return 1 - distrust_ * std::exp2(-static_cast<double>(state_.now - distrusted_at_) / kDistrustHalfLife);
+  // Avoids computing the exponential for every engine of every query.
+  if (confidence_loss_ == 0) return 1;
+  return 1 - confidence_loss_ * std::exp2(-static_cast<double>(state_.now - confidence_lost_at_) /
+                                          kConfidenceLossHalfLifeUs);
 }
 
 double LoadReports::confidence(const Engine& engine) const {
   if (engine.reported_at == kNever) return 0;
   return confidence() * kFreshConfidence *
          std::exp2(-static_cast<double>(state_.now - engine.reported_at) /
-                   (kReportHalfLife * engine.memory_overcommit));
+                   (kReportHalfLifeUs * engine.memory_overcommit));
 }
 
-bool LoadReports::probes_pay() const { return confidence() >= kMinProbeConfidence; }
+bool LoadReports::probes_useful() const { return confidence() >= kMinProbeConfidence; }
 
 bool LoadReports::may_probe(const Engine& engine) const {
   return state_.now - engine.probed_at >= kMinProbeInterval;
@@ -53,10 +64,10 @@
 
 void LoadReports::record_rejection(const Engine& engine) {
   if (engine.reported_at == kNever) return;
-  if (static_cast<double>(state_.now - engine.reported_at) > 2 * kReportHalfLife) return;
+  if (static_cast<double>(state_.now - engine.reported_at) > 2 * kReportHalfLifeUs) return;
   if (engine.reported_queries * state_.mean_threads.value() >= full_load_threads(engine.cores)) return;
-  distrust_ = 1 - kConfidenceRetained * confidence();
-  distrusted_at_ = state_.now;
+  confidence_loss_ = 1 - kConfidenceRetained * confidence();
+  confidence_lost_at_ = state_.now;
 }
 
 double LoadReports::estimated_load(const Engine& engine) const {
@@ -64,11 +75,12 @@
   const auto queued = static_cast<double>(engine.queue.size());
   const double even_share = std::max(state_.own_queries_per_engine.value(), 0.01);
   const double others =
-      (state_.effective_instances - 1) * (kOthersSample + own) / (kOthersSample / even_share + 1);
-  const double guess = own + queued + others;
+      (state_.effective_instances - 1) * (kEvenSpreadQueries + own) / (kEvenSpreadQueries / even_share + 1);
+  const double extrapolated = own + queued + others;
   const double reported = engine.reported_queries + engine.sent_since_report;
-  const double trust = confidence(engine);
-  return (trust * reported + (1 - trust) * guess) * state_.mean_cores / engine.cores;
+  const double report_confidence = confidence(engine);
+  return (report_confidence * reported + (1 - report_confidence) * extrapolated) * state_.mean_cores /
+         engine.cores;
 }
 
 double LoadReports::queue_depth(const Engine& engine) const {
--- a/src/routing/median.h
+++ b/src/routing/median.h
@@ -1,4 +1,4 @@
-// The median of some numbers.
+// The median of a list of numbers.
 #pragma once
 
 #include <algorithm>
@@ -7,7 +7,7 @@
 
 namespace rookproxy::routing {
 
-// The upper median of `values`, which must not be empty.
+// Returns the upper median of `values`, which must not be empty.
 [[nodiscard]] inline double median(std::vector<double> values) {
   const auto middle = values.begin() + static_cast<std::ptrdiff_t>(values.size() / 2);
   std::nth_element(values.begin(), middle, values.end());
--- a/src/routing/ordered_keys.cpp
+++ b/src/routing/ordered_keys.cpp
@@ -29,13 +29,13 @@
   if (cooldown && is_ordered(request)) keys_[request.key].cooldown_until = state_.now + *cooldown;
 }
 
-void OrderedKeys::leave_if_done(Request& request) {
+void OrderedKeys::remove_if_done(Request& request) {
   if (!is_ordered(request) || !request.completed || request.attempts_in_flight > 0) return;
   auto& waiting = keys_[request.key].waiting;
   waiting.erase(std::remove(waiting.begin(), waiting.end(), &request), waiting.end());
 }
 
-void OrderedKeys::forget_idle() {
+void OrderedKeys::drop_idle() {
   std::erase_if(keys_, [this](const auto& entry) {
     return entry.second.waiting.empty() && entry.second.cooldown_until <= state_.now;
   });
--- a/src/routing/ordered_keys.h
+++ b/src/routing/ordered_keys.h
@@ -1,4 +1,4 @@
-// Requests of classes that run one at a time for each key.
+// Ordering of requests that have the same key.
 #pragma once
 
 #include <cstdint>
@@ -10,29 +10,29 @@
 
 namespace rookproxy::routing {
 
-// Keeps the requests of each key in the order of their arrival. Requests without a key, and classes without
-// order, pass freely. Used by the Router's thread alone; `state` and the requests entered have to outlive
-// their entries.
+// Queues the requests of each key in order of arrival. Requests without a key and classes without ordering
+// are not queued. Used only by the Router's thread; `state` and the queued requests must outlive their
+// entries.
 class OrderedKeys {
  public:
   explicit OrderedKeys(const RoutingState& state) : state_(state) {}
 
   void enter(Request& request);
-  // Whether the request has a key, and a class whose requests run one at a time for each key.
+  // Returns whether the request has a key and its class runs the requests of a key one at a time.
   [[nodiscard]] bool is_ordered(const Request& request) const;
-  // Whether an ordered request is the first of those that entered with its key.
+  // Returns whether an ordered request is the first in the queue of its key.
   [[nodiscard]] bool is_first(const Request& request) const;
-  // Whether the key of an ordered request rests after an attempt that may still run.
+  // Returns whether the key of an ordered request is in its cooldown after an attempt that may still run.
   [[nodiscard]] bool in_cooldown(const Request& request) const;
-  // An attempt ended that may still run: the key's next request waits for the settings' cooldown.
+  // Starts the key's cooldown from the settings, after an attempt that may still run on its engine.
   void start_cooldown(const Request& request);
-  // Removes a request that is completed and has no attempt in flight.
-  void leave_if_done(Request& request);
-  // Drops keys that nothing waits for.
-  void forget_idle();
+  // Removes the request from its queue if it is completed and has no attempt in flight.
+  void remove_if_done(Request& request);
+  // Drops keys without queued requests whose cooldown is over.
+  void drop_idle();
 
  private:
-  // The requests of one key.
+  // The queue and cooldown of one key.
   struct Key {
     std::deque<Request*> waiting;
     Time cooldown_until = 0;
--- a/src/routing/outcome.h
+++ b/src/routing/outcome.h
@@ -1,22 +1,22 @@
-// What the outcome of an attempt says of it.
+// Classification of attempt outcomes.
 #pragma once
 
 #include "rookproxy/routing/router.h"
 
 namespace rookproxy::routing {
 
-// Whether an attempt that ended so has certainly done nothing.
+// Returns whether the outcome proves that the attempt never ran.
 [[nodiscard]] constexpr bool never_ran(Outcome outcome) {
   return outcome == Outcome::kRejected || outcome == Outcome::kConnectFailed || outcome == Outcome::kNotSent;
 }
 
-// Whether an attempt that ended so may still be running on its engine.
+// Returns whether an attempt with this outcome may still be running on its engine.
 [[nodiscard]] constexpr bool may_still_run(Outcome outcome) {
   return outcome == Outcome::kNoResponse || outcome == Outcome::kConnectionLost ||
          outcome == Outcome::kCancelled;
 }
 
-// Whether the outcome is a failure of the engine or of the way to it, other than a response with an error.
+// Returns whether the outcome is a failure of the engine or the connection, other than an error response.
 [[nodiscard]] constexpr bool is_engine_failure(Outcome outcome) {
   return outcome == Outcome::kRejected || outcome == Outcome::kConnectFailed ||
          outcome == Outcome::kConnectionLost;
--- a/src/routing/outlier_detection.cpp
+++ b/src/routing/outlier_detection.cpp
@@ -6,15 +6,23 @@
 #include "routing/median.h"
 
 namespace rookproxy::routing {
-constexpr double kErrorWeight = 0.3;            // of an error in an engine's error rate
-constexpr double kLostConnectionWeight = 0.15;  // of a broken connection in it, which may be its peer's fault
-constexpr double kErrorRateRetained = 0.7;      // share of the error rate kept at a success
-constexpr double kMaxErrorRate = 0.45;          // beyond, one request at a time: two errors in a row
-constexpr double kMinMedianLatency = 0.2;       // of relative latencies, that slowness is measured by
-constexpr Time kEjection = 400'000;             // us, doubled with each failed connect in a row ...
-constexpr int kMaxDoublings = 4;
-constexpr Time kMaxEjection = 3'000'000;  // ... up to this
-constexpr Time kSuccessWindow = 500'000;  // us; a success this late outweighs an error
+// Weight of an error in an engine's error rate.
+constexpr double kErrorWeight = 0.3;
+// Weight of a lost connection in the error rate.
+constexpr double kLostConnectionWeight = 0.15;
+// Fraction of the error rate that is kept at a success.
+constexpr double kErrorRateRetained = 0.7;
+// Error rate above which an engine fails often, reached by two errors in a row.
+constexpr double kMaxErrorRate = 0.45;
+// Smallest median latency that slowness is computed with.
+constexpr double kMinMedianLatency = 0.2;
+// Ejection time after the first failed connect; doubled with each further one in a row.
+constexpr Time kBaseEjectionTime = 400'000;
+constexpr int kMaxEjectionDoublings = 4;
+// Maximum ejection time.
+constexpr Time kMaxEjectionTime = 3'000'000;
+// An error is attributed to the request if the engine's last success is more recent than this.
+constexpr Time kSuccessWindow = 500'000;
 
 bool OutlierDetection::fails_often(const Engine& engine) { return engine.error_rate.value() > kMaxErrorRate; }
 
@@ -41,17 +49,20 @@
   const bool connection_lost = outcome == Outcome::kConnectionLost;
   if (unreachable || connection_lost) {
     const bool is_same_event = std::exchange(engine.connection_lost_at, state_.now) == state_.now;
-    if (is_same_event) return false;  // it ended many attempts
+    // One lost connection ends all its attempts, but counts once.
+    if (is_same_event) return false;
   }
   if (unreachable) {
     ++engine.connect_failures;
-    engine.warming_since = std::max(engine.warming_since, state_.now);  // it may have just started
+    // The engine may have just started.
+    engine.warming_since = std::max(engine.warming_since, state_.now);
   } else {
     engine.error_rate.add(1, connection_lost ? kLostConnectionWeight : kErrorWeight);
     if (!unhealthy(engine)) return false;
   }
-  const Time ejection = kEjection << std::clamp(engine.connect_failures - 1, 0, kMaxDoublings);
-  engine.ejected_until = state_.now + std::min(kMaxEjection, ejection);
+  const Time ejection = kBaseEjectionTime
+                        << std::clamp(engine.connect_failures - 1, 0, kMaxEjectionDoublings);
+  engine.ejected_until = state_.now + std::min(kMaxEjectionTime, ejection);
   return true;
 }
 
--- a/src/routing/outlier_detection.h
+++ b/src/routing/outlier_detection.h
@@ -1,4 +1,4 @@
-// Outlier detection: engines that fail or lag behind the others.
+// Outlier detection: engines that fail or are slower than the others.
 #pragma once
 
 #include <vector>
@@ -8,41 +8,42 @@
 
 namespace rookproxy::routing {
 
-// Ejects engines that fail for a while and weighs down slow ones.
-// Used by the Router's thread alone; `state` has to outlive it.
+// Ejects failing engines temporarily and detects slow ones. Used only by the Router's thread; `state` must
+// outlive it.
 class OutlierDetection {
  public:
   explicit OutlierDetection(const RoutingState& state) : state_(state) {}
 
-  // Whether the engine fails so often that it gets one request at a time at most.
+  // Returns whether the engine fails so often that it gets at most one request at a time.
   //
-  // Responses with an error are as good as none: an engine that fails at once would otherwise look idle and
-  // draw all requests. Where most engines look so the fault is ours or everyone's: ejecting them all would
-  // only add to it.
+  // Error responses count as failures: an engine that fails immediately would otherwise look idle and attract
+  // all requests. If most engines fail, none is unhealthy for that reason, since the cause lies elsewhere and
+  // ejecting them would not help.
   [[nodiscard]] bool unhealthy(const Engine& engine) const;
-  // How many times slower than the median of engines it is.
+  // Returns the engine's latency as a multiple of the median of all engines.
   [[nodiscard]] double slowness(const Engine& engine) const;
-  // Counts an engine toward the check of whether most of them fail.
+  // Returns whether the engine's error rate is too high, regardless of the other engines.
   [[nodiscard]] static bool fails_often(const Engine& engine);
-  // Recomputes the median and whether most fail. `latencies` holds the relative latency of each serving
-  // engine.
+  // Updates the median latency and whether most engines fail. `latencies` holds the relative latency of each
+  // serving engine.
   void update_fleet(std::vector<double> latencies, std::size_t failing_engines);
 
   void record_success(Engine& engine) const;
-  // Ends an ejection unless the engine is still unhealthy.
+  // Ends the ejection of an engine that is no longer unhealthy.
   void readmit_if_healthy(Engine& engine) const {
     if (!unhealthy(engine)) engine.ejected_until = 0;
   }
-  // Counts a failure of the engine. Returns whether it is ejected now: its queue has to be placed anew.
+  // Records a failure of the engine. Returns whether the engine is ejected, in which case its queued requests
+  // have to be placed again.
   //
-  // A connection that broke says little of its engine: peers spoil one response and all that is open there
-  // ends. Whether the engine is unreachable shows at the next connection. Taken for unreachable, 11 attempts
-  // on one connection ejected an engine for 3 s and counted it as just started for 15 more.
+  // A lost connection does not prove that the engine is unreachable: one malformed response ends all attempts
+  // on the connection. The next connect shows whether it is reachable.
   [[nodiscard]] bool record_failure(Engine& engine, Outcome outcome) const;
-  // Whether an error is blamed on the request for now, since the engine has just served others.
+  // Returns whether an error is attributed to the request for now, because the engine has recently served
+  // other requests.
   [[nodiscard]] bool recently_successful(const Engine& engine) const;
-  // Forgets the failures of an engine that has started anew.
-  void reset(Engine& engine) const { engine.forget_health(median_latency_); }
+  // Resets the failure state of an engine that has restarted.
+  void reset(Engine& engine) const { engine.reset_health(median_latency_); }
 
  private:
   const RoutingState& state_;
--- a/src/routing/placement.h
+++ b/src/routing/placement.h
@@ -1,5 +1,5 @@
-// Placement: which engines are preferred for which group of tables, in a fleet of many instances that share
-// nothing.
+// Placement: which engines each instance prefers for which table group, without communication between
+// instances.
 #pragma once
 
 #include <cstddef>
@@ -15,49 +15,53 @@
 
 namespace rookproxy::routing {
 
-// Stands for: no engine is preferred.
+// Means that no engine is preferred.
 constexpr EngineId kNoPreferredEngine = std::numeric_limits<EngineId>::max();
 
 // Plans preferred engines for table groups.
 //
-// A group that many read needs several engines, and few instances see enough to find that out: all of them
-// sent it to the one engine that they agree on by hash. So each instance plans engines for its own traffic
-// such that every engine gets as much of it as its capacity says. Then the sum over all instances is even as
-// well, however far their pictures of the traffic lie apart; and as pairs of group and engine are taken in
-// the order of their hash, the same everywhere, the plans agree on nearly all engines. Used by one thread at
-// a time.
+// Each instance plans engines for its own traffic, such that every engine gets a part of it in proportion to
+// its capacity. The sum over all instances is then even as well, however much their views of the traffic
+// differ. Pairs of group and engine are assigned in the order of their hash, which is the same everywhere, so
+// the plans agree on nearly all engines. A single engine chosen by hash would be overloaded by a popular
+// group. Used by one thread at a time.
 class Placement {
  public:
-  // What the plan has to know of an engine.
+  // An engine as an input of the plan.
   struct EngineCapacity {
     EngineId engine = 0;
-    std::uint64_t hash = 0;  // of the engine's name
-    double capacity = 0;     // against the other engines, from 0 up
+    // Hash of the engine's name.
+    std::uint64_t hash = 0;
+    // Capacity relative to the other engines, at least 0.
+    double capacity = 0;
   };
-  // Counts the work that a query of the group takes; older queries count less and less.
+  // Adds the work of a query to the demand of its group, which decays with time.
   void record_demand(std::uint64_t group, double work, Time now);
-  // Whether the group is in the plan.
+  // Returns whether the group is in the plan.
   [[nodiscard]] bool is_planned(std::uint64_t group) const { return assignments_.contains(group); }
-  // Whether the plan is so old that it is to be made anew.
+  // Returns whether the plan is due to be recomputed.
   [[nodiscard]] bool plan_expired(Time now) const;
-  // Whether the group is not in the plan, and the plan may be made anew for it: names that clients invent
-  // must not cost a plan each.
+  // Returns whether the group is missing in the plan and the plan may be recomputed for it. The rate is
+  // limited, since clients can invent group names.
   [[nodiscard]] bool needs_plan(std::uint64_t group, Time now) const;
-  // Makes the plan anew.
+  // Recomputes the plan.
   void plan(const std::vector<EngineCapacity>& engines, Time now);
-  // The preferred engine of one of the group's queries: engines by their planned shares, `draw` from 0 to 1.
-  [[nodiscard]] EngineId select_engine(std::uint64_t group, double draw) const;
-  // The share of the engine's planned work that is the group's.
+  // Returns the preferred engine for a query of the group. `fraction`, from 0 to 1, selects among the group's
+  // engines in proportion to their planned shares.
+  [[nodiscard]] EngineId select_engine(std::uint64_t group, double fraction) const;
+  // Returns the fraction of the engine's planned work that belongs to the group.
   [[nodiscard]] double planned_share(EngineId engine, std::uint64_t group) const;
 
  private:
-  // A group's part of an engine.
+  // The part of an engine that is assigned to a group.
   struct Assignment {
     EngineId engine = 0;
-    double share_of_engine = 0;  // of its planned work
-    double share_of_group = 0;   // of the group's work
+    // Fraction of the engine's planned work.
+    double share_of_engine = 0;
+    // Fraction of the group's work.
+    double share_of_group = 0;
   };
-  // A group and its recent work.
+  // A group and the work of its recent queries.
   struct GroupDemand {
     double work = 0;
     std::uint64_t group = 0;
@@ -65,7 +69,7 @@
       return std::tie(work, group) < std::tie(other.work, other.group);
     }
   };
-  // A group and an engine, by their place in the lists that are planned.
+  // A group and an engine, as indices into the lists being planned.
   struct Pair {
     std::uint64_t hash = 0;
     std::size_t group = 0;
@@ -74,7 +78,7 @@
       return std::tie(hash, group, engine) < std::tie(other.hash, other.group, other.engine);
     }
   };
-  // The groups with most demand, the most first. Forgets the demand of the others.
+  // Returns the groups with the highest demand in descending order, and drops the demand of all others.
   [[nodiscard]] std::vector<GroupDemand> groups_to_plan(Time now);
 
   Time planned_at_ = kLongAgo;
--- a/src/routing/quota.h
+++ b/src/routing/quota.h
@@ -1,4 +1,4 @@
-// Tenants' quotas, and what they tell of this instance's part of all traffic.
+// Tenants' quotas and this instance's share of the traffic.
 #pragma once
 
 #include <cstdint>
@@ -11,27 +11,29 @@
 
 namespace rookproxy::routing {
 
-// Divides the tenants' quotas, which hold for all instances together, by this instance's part of the traffic.
-// Used by the Router's thread alone; `state` has to outlive it.
+// Applies this instance's share of the tenants' quotas, which are limits for all instances together. Used
+// only by the Router's thread; `state` must outlive it.
 class Quota {
  public:
   explicit Quota(const RoutingState& state) : state_(state) {}
 
-  // Forgets all tenants and assumes that traffic is spread evenly. To be called when settings have changed.
+  // Drops the state of all tenants and assumes that traffic is spread evenly. Call after the settings have
+  // changed.
   void reset();
-  // Counts a request of the tenant at `index` of the settings. Returns whether it is within our part of the
-  // tenant's quota, of which a few seconds may be saved up. Requests without tenant or quota always are.
+  // Counts a request of the tenant with this index in the settings. Returns whether it is within this
+  // instance's share of the tenant's quota, including a few seconds' worth of unused quota. Requests without
+  // a tenant or quota always are.
   [[nodiscard]] bool admit(const std::optional<std::uint32_t>& index);
-  // Updates this instance's part from the tenants' recent traffic. Returns how many instances with our
-  // traffic would carry all of it.
+  // Updates this instance's share from the tenants' recent traffic. Returns the total traffic divided by this
+  // instance's traffic.
   //
-  // Where some instances carry far more than others, ours is told by the quotas, which are all instances'.
-  // The limits go by all traffic; a tenant's quota by the tenant that sends least of its own, so that one
-  // tenant's burst does not raise its own part.
+  // Where traffic is uneven, the ratio of this instance's traffic to the quotas of all tenants shows its
+  // share. A tenant's quota is divided by the smallest such ratio of any tenant, so that a burst of one
+  // tenant does not raise its own share.
   [[nodiscard]] double update_traffic_share();
 
  private:
-  // What is known of one tenant.
+  // The state of one tenant.
   struct Tenant {
     TokenBucket tokens;
     DecayingCounter requests;
@@ -39,7 +41,8 @@
   Tenant& tenant(std::uint32_t index);
 
   const RoutingState& state_;
-  double quota_share_ = 1;  // our part of each tenant's quota
+  // Fraction of each tenant's quota that this instance grants.
+  double quota_share_ = 1;
   std::map<std::uint32_t, Tenant> tenants_;
 };
 
--- a/src/routing/range.h
+++ b/src/routing/range.h
@@ -5,12 +5,12 @@
 
 namespace rookproxy::routing {
 
-// The least and the most that a number may be.
+// The bounds of a number.
 struct Range {
-  double least = 0;
-  double most = 0;
-  // The number in the range that is nearest to `value`.
-  [[nodiscard]] constexpr double clamp(double value) const { return std::clamp(value, least, most); }
+  double lower = 0;
+  double upper = 0;
+  // Returns the number in the range that is closest to `value`.
+  [[nodiscard]] constexpr double clamp(double value) const { return std::clamp(value, lower, upper); }
 };
 
 }  // namespace rookproxy::routing
--- a/src/routing/request_lifecycle.cpp
+++ b/src/routing/request_lifecycle.cpp
@@ -85,8 +85,8 @@
     if (request.attempts[i].in_flight && cancel_attempts) cancel(request, i);
   }
   leave_queue(request);
-  keys_.leave_if_done(request);
-  requests_.note_completed(request);
+  keys_.remove_if_done(request);
+  requests_.mark_completed(request);
 }
 
 }  // namespace rookproxy::routing
--- a/src/routing/request_lifecycle.h
+++ b/src/routing/request_lifecycle.h
@@ -1,4 +1,4 @@
-// Carries out what has been decided for a request.
+// Execution of the decisions about requests.
 #pragma once
 
 #include <cstddef>
@@ -13,11 +13,11 @@
 
 namespace rookproxy::routing {
 
-// The final response that the router itself gives to a request.
+// The final response that the router gives to a request itself.
 enum class FinalResponse { kReject, kFail };
 
-// Writes the actions for a request and keeps the counts of its attempts with request, engine and limits.
-// Decides nothing. Used by the Router's thread alone; the arguments of the constructor have to outlive it.
+// Emits the actions for requests and maintains the counts of attempts in requests, engines and limits. Makes
+// no decisions. Used only by the Router's thread; the constructor's arguments must outlive it.
 class RequestLifecycle {
  public:
   RequestLifecycle(RoutingState& state, RequestTable& requests, OrderedKeys& keys, ConcurrencyLimit& limit,
@@ -28,17 +28,18 @@
   static void join_queue(Request& request, Engine& engine);
   // Removes the request from the queue that it is in, if any.
   static void leave_queue(Request& request);
-  // Sends the request to the engine at this priority, with its grant of memory.
+  // Sends the request to the engine with this priority and its memory grant.
   void send(Request& request, Engine& engine, int priority);
-  // Takes an attempt that has ended out of all counts.
+  // Removes an attempt that has ended from all counts.
   void end_attempt(Request& request, Attempt& attempt);
-  // Takes an attempt that is presumed lost out of the limits.
+  // Marks an attempt as presumed lost and removes it from the limits.
   void presume_lost(Request& request, Attempt& attempt);
-  // Cancels the attempt, unless it has been or engines can't.
+  // Cancels the attempt, unless it has been cancelled already or engines do not support it.
   void cancel(Request& request, std::size_t attempt);
-  // Gives the final response. The request has to be completed then.
+  // Emits the final response. The caller then has to complete the request.
   void respond(const Request& request, FinalResponse response);
-  // Ends the request, whoever has responded, and cancels its attempts in flight if `cancel_attempts`.
+  // Completes the request, whoever has responded, and cancels its attempts in flight if `cancel_attempts` is
+  // set.
   void complete(Request& request, bool cancel_attempts);
 
  private:
--- a/src/routing/request_table.cpp
+++ b/src/routing/request_table.cpp
@@ -18,7 +18,7 @@
   return request;
 }
 
-void RequestTable::forget_completed() {
+void RequestTable::remove_completed() {
   for (const RequestId id : completed_) {
     const Request* const request = find(id);
     if (request && request->completed && request->attempts_in_flight == 0) requests_.erase(id);
--- a/src/routing/request_table.h
+++ b/src/routing/request_table.h
@@ -1,4 +1,4 @@
-// The requests that a router knows.
+// The router's open requests.
 #pragma once
 
 #include <map>
@@ -10,23 +10,23 @@
 namespace rookproxy::routing {
 
 // Owns the requests from their arrival until they are completed and have no attempt in flight. Pointers to a
-// request stay valid until it is forgotten. Decides nothing.
+// request stay valid until it is removed.
 class RequestTable {
  public:
   using Map = std::map<RequestId, Request>;
 
-  // The request of this id, or null.
+  // Returns the request with this id, or null.
   [[nodiscard]] Request* find(RequestId id);
   [[nodiscard]] bool contains(RequestId id) const { return requests_.contains(id); }
   [[nodiscard]] bool empty() const { return requests_.empty(); }
-  // Creates a request with what its arrival says. Its id must be new.
+  // Creates a request from its arrival event. The id must be new.
   Request& add(const RequestArrived& arrived);
-  // Marks a request as one that may be forgotten soon.
-  void note_completed(const Request& request) { completed_.push_back(request.id); }
-  // Forgets the marked requests, except those with an attempt in flight, which will be marked once more.
-  void forget_completed();
+  // Marks a completed request for removal.
+  void mark_completed(const Request& request) { completed_.push_back(request.id); }
+  // Removes the marked requests, except those with an attempt in flight, which have to be marked again.
+  void remove_completed();
 
-  // All requests in the order of their ids.
+  // Iterate over all requests in order of their ids.
   [[nodiscard]] Map::iterator begin() { return requests_.begin(); }
   [[nodiscard]] Map::iterator end() { return requests_.end(); }
 
--- a/src/routing/retry_budget_counter.h
+++ b/src/routing/retry_budget_counter.h
@@ -1,4 +1,4 @@
-// Counts what a retry budget is measured by.
+// The counts that a retry budget is checked against.
 #pragma once
 
 #include <cmath>
@@ -8,17 +8,17 @@
 
 namespace rookproxy::routing {
 
-// Requests and retries within the budget's window.
+// Counts requests and retries within the budget's window.
 class RetryBudgetCounter {
  public:
-  // Counts a request, and drops what is older than the window.
+  // Counts a request and drops entries older than the window.
   void record_request(const RetryBudget& budget, Time now) {
     requests_.add(now);
-    requests_.forget_before(now - budget.window);
-    retries_.forget_before(now - budget.window);
+    requests_.drop_before(now - budget.window);
+    retries_.drop_before(now - budget.window);
   }
   void record_retry(Time now) { retries_.add(now); }
-  // Whether one more retry stays within the budget.
+  // Returns whether one more retry is within the budget.
   [[nodiscard]] bool allows_retry(const RetryBudget& budget, Time now) const {
     const Time window_start = now - budget.window;
     return retries_.count_since(window_start) + 1 <=
--- a/src/routing/retry_policy.cpp
+++ b/src/routing/retry_policy.cpp
@@ -3,7 +3,8 @@
 #include <algorithm>
 
 namespace rookproxy::routing {
-constexpr int kSuspectedAttempts = 2;  // on healthy engines; then the fault is the request's own
+// After this many errors from healthy engines, the request itself is considered faulty.
+constexpr int kMaxSuspectedAttempts = 2;
 
 static bool includes(const std::optional<std::vector<std::uint32_t>>& allowed, std::uint32_t item) {
   return !allowed || std::find(allowed->begin(), allowed->end(), item) != allowed->end();
@@ -20,7 +21,8 @@
     if (!attempt.may_have_run) return false;
     if (c.idempotency == Idempotency::kNonIdempotent || !c.idempotency_window) return true;
     if (state_.now - attempt.sent_at >= *c.idempotency_window) return true;
-    return !attempt.shares_scope(engine.entry, scope);  // out of scope nobody drops the repeat
+    // Outside the scope, no engine detects the duplicate.
+    return !attempt.shares_scope(engine.entry, scope);
   });
 }
 
@@ -33,24 +35,24 @@
 }
 
 bool RetryPolicy::may_continue(const Request& request) const {
-  if (request.attempts.size() >= max_attempts(request) || !time_left(request)) return false;
-  if (request_at_fault(request)) return false;
+  if (request.attempts.size() >= max_attempts(request) || !has_time_left(request)) return false;
+  if (request_faulty(request)) return false;
   const bool is_idempotent = state_.settings_of(request).idempotency == Idempotency::kIdempotent;
   return is_idempotent || !request.may_have_run() ||
          std::any_of(state_.engines.begin(), state_.engines.end(),
                      [&](const auto& entry) { return engine_allowed(entry.second, request); });
 }
 
-bool RetryPolicy::request_at_fault(const Request& request) {
-  return request.suspected_attempts() >= kSuspectedAttempts;
+bool RetryPolicy::request_faulty(const Request& request) {
+  return request.suspected_attempts() >= kMaxSuspectedAttempts;
 }
 
-bool RetryPolicy::time_left(const Request& request) const {
+bool RetryPolicy::has_time_left(const Request& request) const {
   const double latency_ratio = std::max(1.0, state_.class_of(request).latency_ratio.value());
   return state_.now + static_cast<Time>(latency_ratio * state_.run_time(request)) <= request.deadline;
 }
 
-bool RetryPolicy::harmless_to_repeat(const Request& request) const {
+bool RetryPolicy::safe_to_retry(const Request& request) const {
   const ClassSettings& c = state_.settings_of(request);
   return c.idempotency == Idempotency::kIdempotent || !request.may_have_run() ||
          (c.idempotency == Idempotency::kKeyed && c.idempotency_scope == IdempotencyScope::kAll);
--- a/src/routing/retry_policy.h
+++ b/src/routing/retry_policy.h
@@ -1,4 +1,4 @@
-// Retry policy: whether and where a request may be sent once more.
+// Retry policy: whether and where a request may be sent again.
 #pragma once
 
 #include <cstddef>
@@ -10,33 +10,33 @@
 
 namespace rookproxy::routing {
 
-// Guards that every send passes, the first one included.
-// Used by the Router's thread alone; `state` has to outlive it.
+// Checks that apply to every attempt, including the first. Used only by the Router's thread; `state` must
+// outlive it.
 class RetryPolicy {
  public:
   explicit RetryPolicy(const RoutingState& state) : state_(state) {}
 
-  // Whether the request may run on this engine at all: it takes requests, its zone and machine type are
-  // allowed, and an earlier attempt that may have run does not forbid it.
+  // Returns whether the request may run on this engine: the engine accepts requests, its zone and machine
+  // type are allowed, and no earlier attempt that may have run forbids it.
   [[nodiscard]] bool engine_allowed(const Engine& engine, const Request& request) const;
-  // Whether one more attempt is allowed beside `in_flight` others: request open, attempts, hedging, retry
-  // budget.
+  // Returns whether another attempt is allowed beside `in_flight` others. Checks that the request is open,
+  // the number of attempts, hedging and the retry budget.
   [[nodiscard]] bool attempt_allowed(const Request& request, int in_flight) const;
-  // Whether the request may be placed once more. A spent budget only holds it back for a while.
+  // Returns whether the request may be queued again. Ignores the retry budget, which only delays it.
   [[nodiscard]] bool may_continue(const Request& request) const;
-  // Whether so many healthy engines failed the request that the fault is taken to be its own.
-  [[nodiscard]] static bool request_at_fault(const Request& request);
-  // Whether a usual latency of the request's class fits into the time until its deadline.
-  [[nodiscard]] bool time_left(const Request& request) const;
-  // Whether a client may safely send the request once more after it has been rejected.
-  [[nodiscard]] bool harmless_to_repeat(const Request& request) const;
+  // Returns whether so many healthy engines failed the request that the request itself is considered faulty.
+  [[nodiscard]] static bool request_faulty(const Request& request);
+  // Returns whether the typical latency of the request's class fits into the time until its deadline.
+  [[nodiscard]] bool has_time_left(const Request& request) const;
+  // Returns whether a client may safely repeat the request after it has been rejected.
+  [[nodiscard]] bool safe_to_retry(const Request& request) const;
 
   // Counts a request toward the retry budget.
   void record_request() {
     const auto& budget = state_.settings.retry_budget;
     if (budget) budget_counter_.record_request(*budget, state_.now);
   }
-  // Counts a further attempt against it.
+  // Counts a retry against the retry budget.
   void record_retry() { budget_counter_.record_retry(state_.now); }
 
  private:
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -7,22 +7,28 @@
 #include "routing/router_impl.h"
 
 namespace rookproxy::routing {
-constexpr Time kTickInterval = 20'000;     // us, between looks at open requests
-constexpr Time kFleetInterval = 200'000;   // us, between looks at the figures of the fleet
-constexpr Time kStall = 150'000;           // us; a tick this late: this process stood still, not the engines
-constexpr Time kListRetryDelay = 300'000;  // us, before a rejected subscription is made again
-constexpr Time kTableLoadWindow = 1'000'000;  // us that a load seen to hold a group is reckoned with
-constexpr double kOwnQueriesWeight = 0.1;     // of one look in the mean of own queries per engine
+// Interval between checks of open requests.
+constexpr Time kTickInterval = 20'000;
+// Interval between updates of the fleet statistics.
+constexpr Time kFleetInterval = 200'000;
+// A periodic timer that is later than this shows that this process was stalled.
+constexpr Time kMinStall = 150'000;
+// Delay before a rejected subscription is repeated.
+constexpr Time kListRetryDelay = 300'000;
+// Time for which a load that was seen is assumed to lock its group.
+constexpr Time kTableLoadLockTime = 1'000'000;
+// Weight of one update in the mean number of own queries per engine.
+constexpr double kOwnQueriesWeight = 0.1;
 
 void Router::Impl::handle(Time now, const std::vector<Event>& events, std::vector<Action>& actions) {
   const bool is_first = state_.begin_batch(now, actions);
   const bool subscribes = state_.settings.engine_list_mode == EngineListMode::kSubscribed;
   if (is_first && subscribes) state_.emit(SubscribeEngineList{});
-  state_.set_stalled(tick_.lateness(now) > kStall);
+  state_.set_stalled(tick_.lateness(now) > kMinStall);
   limit_.update_usage();
   for (const auto& event : events) std::visit([this](const auto& one) { on(one); }, event);
   dispatch_queued();
-  requests_.forget_completed();
+  requests_.remove_completed();
   const bool needs_tick = !tick_.is_armed() && !requests_.empty();
   if (needs_tick) state_.emit(SetTimer{tick_.arm(now + kTickInterval), kTickToken});
 }
@@ -40,22 +46,23 @@
     if (missing) engine.entry.state = EngineState::kRemoved;
     if (!engine.is_serving()) requeue(engine);
   }
-  std::erase_if(state_.engines, [this](const auto& entry) {  // the budget of one that warms up is remembered
+  // Engines that warm up are kept for the state of their slow-start budget.
+  std::erase_if(state_.engines, [this](const auto& entry) {
     return entry.second.is_removed_and_idle() && !slow_start_.warming_up(entry.second);
   });
   affinity_.plan_placement();
-  update_fleet_figures();
+  update_fleet_statistics();
 }
 
 void Router::Impl::restart_engine(Engine& engine) {
   engine.warming_since = engine.entry.started_at;
   engine.reported_at = kNever;
-  engine.forget_affinity();
+  engine.reset_affinity();
   outliers_.reset(engine);
   slow_start_.record_restart(engine);
 }
 
-void Router::Impl::update_fleet_figures() {
+void Router::Impl::update_fleet_statistics() {
   affinity_.refresh_placement();
   FleetSummary summary = summarize_fleet(state_.engines, slow_start_, outliers_);
   fleet_updated_at_ = state_.now;
@@ -85,7 +92,8 @@
   keys_.enter(request);
   state_.emit(SetTimer{request.deadline, kFirstRequestToken + request.id});
   affinity_.record_request(request);
-  shed_if_late(request);  // a client's late retry may have no time left
+  // A late retry of a client may have no time left.
+  shed_if_late(request);
   if (!request.completed) place(request);
 }
 
@@ -102,22 +110,22 @@
   if (outcome == Outcome::kRejected) reports_.record_rejection(engine);
   record_report(engine, ended.report);
   if (ended.report) reports_.record_report_in_response();
-  learn_from_end(request, attempt, outcome);
+  record_attempt_end(request, attempt, outcome);
   if (outcome == Outcome::kServed) record_success(request, engine, ended);
   if (outcome == Outcome::kError) record_error(attempt, engine);
   if (is_engine_failure(outcome)) record_failure(engine, outcome);
   if (ended.completed || outcome == Outcome::kServed) close(request);
   if (request.completed) {
-    keys_.leave_if_done(request);
-    requests_.note_completed(request);
+    keys_.remove_if_done(request);
+    requests_.mark_completed(request);
   } else if (request.attempts_in_flight == 0) {
-    continue_or_finish(request);
+    requeue_or_finish(request);
   }
 }
 
-void Router::Impl::continue_or_finish(Request& request) {
+void Router::Impl::requeue_or_finish(Request& request) {
   if (retries_.may_continue(request)) return place(request);
-  const bool may_retry = state_.now < request.deadline && !retries_.request_at_fault(request);
+  const bool may_retry = state_.now < request.deadline && !retries_.request_faulty(request);
   finish(request, may_retry ? FinalResponse::kReject : FinalResponse::kFail);
 }
 
@@ -125,14 +133,14 @@
   if (report && reports_.record(engine, *report) && !state_.stalled) limit_.record_memory_pressure();
 }
 
-void Router::Impl::learn_from_end(const Request& request, const Attempt& attempt, Outcome outcome) {
+void Router::Impl::record_attempt_end(const Request& request, const Attempt& attempt, Outcome outcome) {
   const bool has_updates = attempt.last_update_at > attempt.sent_at;
   const bool unanswered = outcome == Outcome::kNoResponse;
-  const bool given_up = outcome == Outcome::kCancelled && (attempt.presumed_lost || has_updates);
+  const bool abandoned = outcome == Outcome::kCancelled && (attempt.presumed_lost || has_updates);
   if (unanswered && !has_updates) monitor_.record_loss(true);
   if (state_.stalled) return;
   const Time elapsed = state_.now - attempt.sent_at;
-  if (unanswered || given_up) estimates_.record_latency(request, *attempt.target, elapsed);
+  if (unanswered || abandoned) estimates_.record_latency(request, *attempt.target, elapsed);
   if (unanswered || outcome == Outcome::kRejected) limit_.record_unanswered();
 }
 
@@ -182,24 +190,25 @@
   }
   if (update.kind == AttemptUpdateKind::kWaitingForLoad) avoid_table_load(request, update.attempt);
   if (update.kind != AttemptUpdateKind::kProgress) return;
-  if (monitor_.runs_badly(request, attempt, update.amount)) cancel_for_another(request, update.attempt);
+  if (monitor_.runs_too_slowly(request, attempt, update.amount)) cancel_for_retry(request, update.attempt);
 }
 
 void Router::Impl::avoid_table_load(Request& request, std::size_t attempt) {
-  Engine& stopped_at = *request.attempts[attempt].target;
-  stopped_at.affinity_record(request.group).load_seen_until = state_.now + kTableLoadWindow;
+  Engine& blocked_engine = *request.attempts[attempt].target;
+  blocked_engine.affinity_record(request.group).load_seen_until = state_.now + kTableLoadLockTime;
   for (const auto& [id, engine] : state_.engines) {
     if (!retries_.engine_allowed(engine, request) || outliers_.unhealthy(engine)) continue;
     const GroupAffinity group = engine.affinity(request.group);
     if (state_.now < group.load_seen_until || group.active_loads > 0) continue;
-    return cancel_for_another(request, attempt);
+    return cancel_for_retry(request, attempt);
   }
 }
 
 void Router::Impl::on(const ResponseStarted& started) {
   Request* const request = requests_.find(started.request);
   if (!request || started.attempt >= request->attempts.size()) return;
-  request->attempts[started.attempt].cancelled = true;  // a stream is not to be cancelled
+  // A streamed response must not be cancelled.
+  request->attempts[started.attempt].cancelled = true;
   close(*request);
 }
 
@@ -224,16 +233,16 @@
 
 void Router::Impl::tick() {
   tick_.disarm();
-  if (state_.now - fleet_updated_at_ >= kFleetInterval) update_fleet_figures();
+  if (state_.now - fleet_updated_at_ >= kFleetInterval) update_fleet_statistics();
   for (auto& [id, request] : requests_) {
     shed_if_late(request);
-    check_silence(request);
+    check_missing_updates(request);
   }
-  keys_.forget_idle();
+  keys_.drop_idle();
 }
 
-void Router::Impl::check_silence(Request& request) {
-  if (!monitor_.is_watched(request)) return;
+void Router::Impl::check_missing_updates(Request& request) {
+  if (!monitor_.is_monitored(request)) return;
   Attempt& attempt = request.attempts.back();
   const bool silent = monitor_.is_silent(attempt);
   const bool overdue = monitor_.is_overdue(request, attempt);
@@ -241,7 +250,7 @@
     lifecycle_.presume_lost(request, attempt);
     monitor_.record_loss(true);
   }
-  if (silent || overdue) cancel_for_another(request, request.attempts.size() - 1);
+  if (silent || overdue) cancel_for_retry(request, request.attempts.size() - 1);
 }
 
 }  // namespace rookproxy::routing
--- a/src/routing/router_impl.h
+++ b/src/routing/router_impl.h
@@ -1,5 +1,4 @@
-// The router behind the public interface: hands events to the decision units and carries out what they
-// decide.
+// The implementation of Router: passes events to the decision components and carries out their decisions.
 #pragma once
 
 #include <cstddef>
@@ -28,12 +27,13 @@
 
 namespace rookproxy::routing {
 
-// What the tokens of the router's timers mean.
+// Tokens of the router's timers.
 constexpr std::uint64_t kTickToken = 1;
 constexpr std::uint64_t kListRetryToken = 2;
-constexpr std::uint64_t kFirstRequestToken = 8;  // plus the request's id: its deadline
+// Added to a request's id for the timer of its deadline.
+constexpr std::uint64_t kFirstRequestToken = 8;
 
-// Owns the requests, the engines and the decision units. Used by one thread at a time.
+// Owns the requests, the engines and the decision components. Used by one thread at a time.
 class Router::Impl {
  public:
   explicit Impl(Settings settings);
@@ -45,73 +45,79 @@
  private:
   // ---- events (router.cpp) ----
   void on(const EngineList& list);
-  // A request that came while this process stood still has waited already: as long as the longest timeout of
-  // its class tells.
+  // Registers and queues a new request. A request that arrived during a stall of this process has waited
+  // already; its arrival time is derived from the longest timeout of its class.
   void on(const RequestArrived& arrived);
   void on(const AttemptEnded& ended);
   void on(const ResponseStarted& started);
-  // A wait for memory lowers the aggregate limit. Should also catch a fleet that has lost engines. Could harm
-  // where a few engines alone are short. Where grants are ours they are what helps.
+  // Handles an update of an attempt. A wait for memory lowers the aggregate limit unless engines support
+  // memory grants, which are adjusted instead. A few engines that are short of memory can lower it for the
+  // whole fleet.
   void on(const AttemptUpdate& update);
   void on(const ClientDisconnected& disconnected);
   void on(const TimerFired& timer);
   void on(const ProbeEnded& probe);
 
-  // Brings the units in line with settings that have changed.
+  // Applies changed settings to the components.
   void apply_settings();
-  // Forgets what the engine had and did before it started anew.
+  // Resets the state of an engine that has restarted.
   void restart_engine(Engine& engine);
-  // Recomputes the figures of the whole fleet.
-  void update_fleet_figures();
-  // What happens at intervals while requests are open.
+  // Recomputes the statistics of the whole fleet.
+  void update_fleet_statistics();
+  // Performs the periodic work while requests are open.
   void tick();
   void record_report(Engine& engine, const std::optional<LoadReport>& report);
-  // Learns from the end of an attempt that was not served. Should catch whatever makes engines give no
-  // responses at all; could harm where a few are out of reach, until responses in time raise the limit again.
-  void learn_from_end(const Request& request, const Attempt& attempt, Outcome outcome);
-  // Learns from a response. What was sent too late for its objective tells of our own queue: narrowing for it
-  // kept the queue long, the next late as well, and the aggregate limit at a third for good while a third of
-  // the cores stood idle.
+  // Updates estimates and limits after the end of an attempt. A missing response or a rejection lowers the
+  // aggregate limit, also when only a few engines are unreachable; responses in time raise it again.
+  void record_attempt_end(const Request& request, const Attempt& attempt, Outcome outcome);
+  // Updates estimates and limits after a response. A late response to a request that was sent too late for
+  // its objective does not lower the limits: the delay arose in this instance's queue, and lower limits would
+  // keep the queue long.
   void record_success(Request& request, Engine& engine, const AttemptEnded& ended);
   void record_failure(Engine& engine, Outcome outcome);
-  // Places a request with no attempt in flight once more, or gives its final response.
-  void continue_or_finish(Request& request);
-  // Engines answer with an error also to what they can't use, from whoever sends it. One that has just served
-  // others is blamed only once the request is served elsewhere; where two such engines fail it, it is not
-  // sent again. Could harm where an engine fails some requests only, and those fail everywhere: then it is
-  // not found out.
+  // Queues a request without attempts in flight again, or gives its final response.
+  void requeue_or_finish(Request& request);
+  // Records an error response. Engines also respond with an error to invalid requests. If the engine has
+  // recently served others, the error is attributed to it only once another engine serves the request, and a
+  // request that two such engines fail is not sent again. An engine that fails only requests which fail
+  // everywhere is not detected.
   void record_error(Attempt& attempt, Engine& engine);
-  // The request was served: engines that failed it before were at fault.
+  // Attributes earlier errors of the request, which has now been served, to the engines that returned them.
   void attribute_earlier_errors(Request& request);
-  // A table load stops the attempt before it has done anything, while it keeps memory.
+  // Handles an attempt that is blocked by a table load, while it keeps memory: cancels it if another engine
+  // may run it.
   void avoid_table_load(Request& request, std::size_t attempt);
-  void check_silence(Request& request);
+  // Cancels the last attempt of the request, to retry it, if its updates stopped or it is overdue.
+  void check_missing_updates(Request& request);
 
   // ---- queues and sends (dispatch.cpp) ----
-  // Puts the request into the queue of the best engine, or among the unplaced.
+  // Adds the request to the queue of the best engine, or to the unplaced requests if there is none or it
+  // waits for probes.
   void place(Request& request);
-  // Sends what may start, until nothing more may.
+  // Sends requests until no more may start.
   void dispatch_queued();
-  // Sends the best request over all queues, wherever an engine has room; returns whether there was one. Where
-  // the aggregate limit is what binds, engine by engine would give its room to the engine with the lowest id.
+  // Sends the request with the highest rank among all queues whose engine has capacity. Returns whether there
+  // was one. Going through the engines one by one would give the capacity of the aggregate limit to the
+  // engine with the lowest id.
   bool dispatch_best();
-  // Work stealing: sends the oldest request of the longest queue that an engine with room and no queue may
-  // take, to the best such engine; returns whether there was one.
+  // Steals work: sends the oldest request of the longest queue that some engine with capacity and an empty
+  // queue may take to the best such engine. Returns whether there was one.
   bool steal_work();
-  // A load's engine is not preferred for its readers, so it does not move the engine's affinity.
+  // Sends the request to the engine. A load does not change the engine's affinity, since its readers should
+  // run elsewhere.
   void send(Request& request, Engine& engine);
-  // Places anew what waits for the engine.
+  // Queues again all requests that wait for the engine.
   void requeue(Engine& engine);
   // Rejects the request if it can no longer be served in time.
   void shed_if_late(Request& request);
-  // Gives the final response; the one place that does.
+  // Gives the final response and completes the request. All final responses of the router are given here.
   void finish(Request& request, FinalResponse response);
-  // Ends the request, whoever has responded. Nobody waits for what is still in flight, also when the client
-  // left by itself: it only slows others. A non-idempotent attempt is let run to its end, since half an
-  // effect may be worse than a whole one.
+  // Completes the request, whoever has responded, and cancels its attempts in flight, whose results nobody
+  // needs. Attempts of non-idempotent requests run to their end, since a partial effect may be worse than a
+  // complete one.
   void close(Request& request);
-  // Cancels the attempt if another one may be sent in its place.
-  void cancel_for_another(Request& request, std::size_t attempt);
+  // Cancels the attempt if another one may be sent instead.
+  void cancel_for_retry(Request& request, std::size_t attempt);
 
   RoutingState state_;
   SlowStartLimiter slow_start_{state_};
@@ -128,7 +134,8 @@
   Affinity affinity_{state_, slow_start_};
   Admission admission_{state_, limit_, slow_start_, retries_, keys_};
   EngineSelection selection_{state_, affinity_, reports_, limit_, outliers_, retries_, slow_start_};
-  std::vector<RequestId> unplaced_;  // wait for an engine or for probes
+  // Requests that wait for an engine or for probes.
+  std::vector<RequestId> unplaced_;
   std::uint64_t list_version_ = 0;
   Time fleet_updated_at_ = 0;
   TickTimer tick_;
--- a/src/routing/router_interface.cpp
+++ b/src/routing/router_interface.cpp
@@ -1,4 +1,4 @@
-// Construction, other settings, and the public interface, which hands all else to the implementation.
+// Construction, changes of settings, and the public interface, which delegates to Router::Impl.
 #include <algorithm>
 #include <cstddef>
 #include <memory>
--- a/src/routing/routing_state.h
+++ b/src/routing/routing_state.h
@@ -1,4 +1,4 @@
-// The state that the decision units share: settings, engines, classes and figures of the whole fleet.
+// State shared by the routing components: settings, engines, classes and statistics of the fleet.
 #pragma once
 
 #include <cstddef>
@@ -14,25 +14,34 @@
 
 namespace rookproxy::routing {
 
-// Shared by all units of one Router, which owns it and changes it between their calls.
+// Shared by all components of one Router, which owns it and changes it between their calls.
 struct RoutingState {
   Settings settings;
-  Time now = 0;  // of the batch of events being handled
+  // Time of the batch of events being handled.
+  Time now = 0;
   Time first_event_at = kNever;
-  bool stalled = false;                    // the process was not scheduled before this batch
-  Time stalled_at = -1;                    // the last batch of which that was so
-  std::vector<Action>* actions = nullptr;  // where the batch's actions go, not owned
+  // Whether the process was not scheduled for a while before this batch.
+  bool stalled = false;
+  // Time of the last batch that followed such a stall.
+  Time stalled_at = -1;
+  // Receives the batch's actions. Not owned.
+  std::vector<Action>* actions = nullptr;
   std::map<EngineId, Engine> engines;
-  std::vector<ClassState> classes;  // by ClassIndex
-  double effective_instances = 1;   // instances with our traffic that would carry all of it
+  // Indexed by ClassIndex.
+  std::vector<ClassState> classes;
+  // Total traffic divided by this instance's traffic.
+  double effective_instances = 1;
   double serving_engines = 1;
-  double mean_cores = 1;  // of serving engines
+  // Mean number of cores of the serving engines.
+  double mean_cores = 1;
   ExponentialAverage own_queries_per_engine{0.1};
-  ExponentialAverage mean_threads{1};   // of a query, weighed by run time
-  ExponentialAverage mean_run_time{0};  // microseconds
+  // Mean threads of a query, weighted by run time.
+  ExponentialAverage mean_threads{1};
+  // Mean run time of a query, in microseconds.
+  ExponentialAverage mean_run_time{0};
 
-  // Begins a batch of events at the time `batch_time`, whose actions go to `batch_actions`. Returns whether
-  // it is the first.
+  // Begins a batch of events at `batch_time`, whose actions are appended to `batch_actions`. Returns whether
+  // it is the first batch.
   [[nodiscard]] bool begin_batch(Time batch_time, std::vector<Action>& batch_actions) {
     now = batch_time;
     actions = &batch_actions;
@@ -40,18 +49,18 @@
     first_event_at = batch_time;
     return true;
   }
-  // Notes whether the process was not scheduled before this batch; nothing is learnt from what came
-  // meanwhile.
+  // Records whether the process was stalled before this batch. Nothing is learned from events that were
+  // delayed by a stall.
   void set_stalled(bool process_stalled) {
     stalled = process_stalled;
     if (stalled) stalled_at = now;
   }
-  // Takes over the number of serving engines, and the cores of all of them.
+  // Records the number of serving engines and their total cores.
   void record_fleet(std::size_t engine_count, double cores) {
     serving_engines = static_cast<double>(engine_count);
     mean_cores = cores / serving_engines;
   }
-  // Appends an action to those of the batch.
+  // Appends an action to those of the batch being handled.
   template <class OneAction>
   void emit(OneAction action) const {
     actions->emplace_back(std::move(action));
@@ -63,11 +72,11 @@
     return classes[request.class_index];
   }
   [[nodiscard]] ClassState& class_of(const Request& request) { return classes[request.class_index]; }
-  // The estimated time in microseconds that the request runs on an idle engine.
+  // Returns the estimated run time of the request on an idle engine, in microseconds.
   [[nodiscard]] double run_time(const Request& request) const {
     return request.work / settings_of(request).threads;
   }
-  // The memory in MB that the request is granted by its estimate; 0 where it has none and the engine chooses.
+  // Returns the memory grant of the request in MB, or 0 if it has no estimate and the engine chooses.
   [[nodiscard]] double memory_grant(const Request& request) const {
     return request.memory_mb ? *request.memory_mb * class_of(request).grant_factor : 0;
   }
--- a/src/routing/settings_validation.cpp
+++ b/src/routing/settings_validation.cpp
@@ -5,7 +5,8 @@
 namespace rookproxy::routing {
 namespace {
 
-[[noreturn]] void reject(const char* fault) { throw InvalidSettings(std::string("setting ") + fault); }
+// Throws InvalidSettings. The simulator adapter sends the message on its wire, so the texts must not change.
+[[noreturn]] void reject(const char* problem) { throw InvalidSettings(std::string("setting ") + problem); }
 
 void validate_class(const ClassSettings& settings) {
   if (settings.threads < 1) reject("class.threads: none");
--- a/src/routing/slow_start.h
+++ b/src/routing/slow_start.h
@@ -7,46 +7,47 @@
 
 namespace rookproxy::routing {
 
-// Keeps this instance's part of the work that an engine may be sent while it warms up. Instances don't talk
-// to each other, so each part is computed such that their sum stays within the settings' slow_start. Used by
-// the Router's thread alone; `state` has to outlive it.
+// Limits the work that this instance sends to an engine that is warming up. Each instance computes its own
+// part such that the sum over all instances stays within the settings' slow_start without communication. Used
+// only by the Router's thread; `state` must outlive it.
 class SlowStartLimiter {
  public:
   explicit SlowStartLimiter(const RoutingState& state) : state_(state) {}
 
-  // Whether the engine started so recently that it has less than its full capacity.
+  // Returns whether the engine started so recently that it has less than its full capacity.
   [[nodiscard]] bool warming_up(const Engine& engine) const {
     const auto& slow_start = state_.settings.slow_start;
     if (!slow_start || engine.warming_since <= 0) return false;
     return state_.now - engine.warming_since < slow_start->warm_up_period;
   }
-  // A lower bound of the engine's present capacity as a share of the full one; it grows slowly at first.
+  // Returns a lower bound of the engine's current capacity as a fraction of its full capacity.
   [[nodiscard]] double capacity_share(const Engine& engine) const {
     return warming_up(engine) ? warming_capacity_share(engine) : 1;
   }
-  // Whether the request may be sent now. Forgets sends that are older than the overload window.
+  // Returns whether the request may be sent now. Drops sends that are older than the overload window.
   //
-  // Few instances split the engine's budget. Where a part is too small for a query they take time slots in
-  // turn: what may be sent since the start, which every instance knows from the list, is dealt out by class
-  // and instance index. A slot is for one query, lasts one overload window and is lost if unused, so that no
-  // instance catches up after a stall or a restart.
+  // Few instances divide the engine's budget. If a part is too small for a query, the instances take turns in
+  // time slots that are allotted, by class and instance index, from the total that may be sent since the
+  // engine's start, which every instance knows from the list. A slot allows one query, lasts one overload
+  // window and is lost if unused, so that no instance catches up after a stall or a restart.
   [[nodiscard]] bool allows(Engine& engine, const Request& request) const {
     return !warming_up(engine) || budget_allows(engine, request);
   }
-  // Counts a send against the budget.
+  // Counts a send against the engine's budget.
   void record_send(Engine& engine, const Request& request) const;
-  // Treats the budget as spent if the engine started before this process did: what the process before us sent
-  // in the window before is unknown, however late we learn of the start.
+  // Treats the budget as spent if the engine started before this process received its first event: it is
+  // unknown what the previous process sent in the preceding window.
   void record_restart(Engine& engine) const;
 
  private:
-  // The present capacity share of an engine that is warming up.
+  // Returns the capacity share of an engine that is warming up.
   [[nodiscard]] double warming_capacity_share(const Engine& engine) const;
-  // Whether the budget of an engine that is warming up has room for the request.
+  // Returns whether the budget of an engine that is warming up has room for the request.
   [[nodiscard]] bool budget_allows(Engine& engine, const Request& request) const;
-  // This instance's part of the work, in microseconds of one thread, that the engine may be sent in a window.
+  // Returns the work, in microseconds of one thread, that this instance may send to the engine per overload
+  // window.
   [[nodiscard]] double budget(const Engine& engine) const;
-  // Whether one of this instance's time slots for the request's class is due.
+  // Returns whether one of this instance's time slots for the request's class has begun.
   [[nodiscard]] bool has_time_slot(const Engine& engine, const Request& request, double work) const;
 
   const RoutingState& state_;
--- a/src/routing/streaming_median.h
+++ b/src/routing/streaming_median.h
@@ -1,11 +1,10 @@
-// A median that follows a stream of samples without storing them.
+// An approximate median of a stream of samples that are not stored.
 #pragma once
 
 namespace rookproxy::routing {
 
-// Returns `median` moved one step toward `sample`: up by the share `step` if the sample lies above it,
-// otherwise down by the same share. Repeated for every sample it settles where half of them lie on either
-// side.
+// Returns `median` moved one step toward `sample`: increased by the fraction `step` if the sample is larger,
+// otherwise decreased by it. Applied to every sample, it converges to the value that half of them exceed.
 [[nodiscard]] constexpr double step_median(double median, double sample, double step) {
   return median * (sample > median ? 1 + step : 1 - step);
 }
--- a/src/routing/tick_timer.h
+++ b/src/routing/tick_timer.h
@@ -1,22 +1,22 @@
-// A timer that is armed while there is something to look after.
+// The state of the router's periodic timer.
 #pragma once
 
 #include "rookproxy/routing/router.h"
 
 namespace rookproxy::routing {
 
-// Remembers whether the tick is armed, and for when. Times in microseconds.
+// Stores whether the timer is armed and when it is due. Times are in microseconds.
 class TickTimer {
  public:
   [[nodiscard]] bool is_armed() const { return armed_; }
-  // Arms the tick for the time `due_at`, and returns that time.
+  // Arms the timer for `due_at` and returns `due_at`.
   Time arm(Time due_at) {
     armed_ = true;
     due_at_ = due_at;
     return due_at;
   }
   void disarm() { armed_ = false; }
-  // How late the armed tick is at the time `now`; 0 if none is armed.
+  // Returns how long the armed timer is overdue at `now`, or 0 if it is not armed.
   [[nodiscard]] Time lateness(Time now) const { return armed_ ? now - due_at_ : 0; }
 
  private:
--- a/src/routing/token_bucket.h
+++ b/src/routing/token_bucket.h
@@ -7,14 +7,13 @@
 
 namespace rookproxy::routing {
 
-// Grants one token per request while any are saved. The caller sets rate and capacity; no decision is made
-// here.
+// Grants one token per call while tokens are available. The caller passes rate and capacity.
 class TokenBucket {
  public:
   TokenBucket(double tokens, Time now) : tokens_(tokens), filled_at_(now) {}
 
-  // Adds what came in since the last call, at most up to `capacity` tokens, and takes one token.
-  // Returns false, and takes nothing, if less than one token is there.
+  // Refills the bucket for the time since the last call, up to `capacity` tokens, and takes one token.
+  // Returns false, and takes nothing, if less than one token is available.
   [[nodiscard]] bool try_take(double tokens_per_second, double capacity, Time now) {
     const auto elapsed = static_cast<double>(now - filled_at_);
     filled_at_ = now;
--- a/src/routing/work_estimates.h
+++ b/src/routing/work_estimates.h
@@ -1,4 +1,4 @@
-// Estimates of what requests take, learnt from responses.
+// Estimates of the work, memory and latency of requests, learned from responses.
 #pragma once
 
 #include "routing/concurrency_limit.h"
@@ -8,25 +8,25 @@
 
 namespace rookproxy::routing {
 
-// Learns the work, memory and latency of classes and the latency of engines.
-// Used by the Router's thread alone; the arguments of the constructor have to outlive it.
+// Learns the work, memory and latency of classes and the latency of engines. Used only by the Router's
+// thread; the constructor's arguments must outlive it.
 class WorkEstimates {
  public:
   WorkEstimates(RoutingState& state, const ConcurrencyLimit& limit) : state_(state), limit_(limit) {}
 
-  // What is assumed of a class before its first response.
+  // Returns the state that a class has before its first response.
   [[nodiscard]] static ClassState initial_state(const ClassSettings& settings);
-  // Sets the work of a new request from its estimate, or from its class where it has none.
+  // Sets the work of a new request from its estimate or, without one, from its class.
   void estimate(Request& request, const RequestArrived& arrived);
-  // Learns from a response.
+  // Updates the estimates from a response.
   //
-  // Where nothing tells a class's work, the median of its latencies stands for the mean of its work: work is
-  // skewed, its median under its mean by about as much as sharing an engine takes.
+  // If neither estimates nor costs are known, the median latency of the class stands for its mean work: work
+  // is skewed, so its median lies below its mean by about as much as sharing an engine adds.
   void record_response(const Request& request, Engine& engine, const AttemptEnded& ended);
-  // Learns the engine's relative latency, in microseconds, from an attempt that ended or was given up.
-  // Returns the latency over the time that the request runs on an idle engine.
+  // Updates the engine's relative latency from the latency, in microseconds, of an attempt that ended or was
+  // abandoned. Returns the ratio of the latency to the run time on an idle engine.
   double record_latency(const Request& request, Engine& engine, Time latency);
-  // A grant of memory turned out too small.
+  // Records that a memory grant was too small.
   void record_spill(const Request& request);
 
  private:
--- a/tests/routing/records_test.cpp
+++ b/tests/routing/records_test.cpp
@@ -105,7 +105,7 @@
   EXPECT_EQ(engine.affinity(8).centroid, 0.5);
   EXPECT_EQ(engine.centroid_norm_squared, 0.5);  // 0.25 + 0.25
   EXPECT_EQ(engine.centroid_sends, 2);
-  engine.forget_affinity();
+  engine.reset_affinity();
   EXPECT_EQ(engine.affinity(7).centroid, 0);
   EXPECT_EQ(engine.centroid_sends, 0);
 }
@@ -117,7 +117,7 @@
   engine.affinity_record(3).active_loads = 1;
   engine.affinity_record(4).load_seen_until = 11;
   engine.affinity_record(5).load_seen_until = 10;
-  engine.forget_groups_below(0.1, 10);
+  engine.drop_groups_below(0.1, 10);
   ASSERT_EQ(engine.groups.size(), 4u);
   EXPECT_EQ(engine.groups.back().group, 4u);
 }
@@ -170,14 +170,14 @@
   EXPECT_EQ(table.find(5), nullptr);
   request.completed = true;
   request.attempts_in_flight = 1;
-  table.note_completed(request);
-  table.forget_completed();
+  table.mark_completed(request);
+  table.remove_completed();
   EXPECT_TRUE(table.contains(4)) << "an attempt is in flight";
   request.attempts_in_flight = 0;
-  table.forget_completed();
+  table.remove_completed();
   EXPECT_TRUE(table.contains(4)) << "nothing has noted its end";
-  table.note_completed(request);
-  table.forget_completed();
+  table.mark_completed(request);
+  table.remove_completed();
   EXPECT_TRUE(table.empty());
 }
 
@@ -205,21 +205,21 @@
 TEST_F(OrderedKeysTest, OneRequestOfAKeyAtATime) {
   EXPECT_TRUE(may_start(first));
   EXPECT_FALSE(may_start(second));
-  keys.leave_if_done(first);
+  keys.remove_if_done(first);
   EXPECT_FALSE(may_start(second)) << "the first is not completed";
   first.completed = true;
   first.attempts_in_flight = 1;
-  keys.leave_if_done(first);
+  keys.remove_if_done(first);
   EXPECT_FALSE(may_start(second)) << "it may still run";
   first.attempts_in_flight = 0;
-  keys.leave_if_done(first);
+  keys.remove_if_done(first);
   EXPECT_TRUE(may_start(second));
 }
 
 TEST_F(OrderedKeysTest, AKeyRestsDuringItsCooldown) {
   first.completed = true;
   keys.start_cooldown(first);
-  keys.leave_if_done(first);
+  keys.remove_if_done(first);
   EXPECT_FALSE(may_start(second));
   state.now = 50;
   EXPECT_TRUE(may_start(second));
--- a/tests/routing/statistics_test.cpp
+++ b/tests/routing/statistics_test.cpp
@@ -71,7 +71,7 @@
   for (const Time at : {10, 20, 20, 30}) window.add(at);
   EXPECT_EQ(window.count_since(20), 3);
   EXPECT_EQ(window.count_since(31), 0);
-  window.forget_before(20);
+  window.drop_before(20);
   EXPECT_EQ(window.count_since(0), 3);
 }
 
@@ -81,9 +81,9 @@
   window.add(10, 1);
   window.add(20, 2);
   EXPECT_EQ(window.total_with(4), 7);
-  window.forget_until(10);
+  window.drop_until(10);
   EXPECT_EQ(window.total_with(4), 6);
-  window.forget_until(20);
+  window.drop_until(20);
   EXPECT_TRUE(window.empty());
 }
 
