--- a/tests/routing/affinity_test.cpp
+++ b/tests/routing/affinity_test.cpp
@@ -1,5 +1,4 @@
-// Which engine a request goes to by its table group, and how loads of tables keep apart. Each guard has a
-// test that fails when the guard is taken out.
+// Tests of the choice of engines by table group, and of the separation of loads and readers.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -14,13 +13,13 @@
 namespace rookproxy::routing {
 namespace {
 
-TEST(Affinity, GroupReturnsToTheEngineThatHeldIt) {
+TEST(Affinity, GroupReturnsToTheEngineThatServedIt) {
   Script s(basic_settings());
   s.list(0, {engine(0), engine(1), engine(2)});
   s.at(1, {query(1, 7)});
   ASSERT_EQ(s.sends().size(), 1u);
   const auto preferred = s.sends()[0].engine;
-  // Distance 0 + 1/20 at home against 1 elsewhere: even a tilt of 0.4 does not move it.
+  // The score of the preferred engine is 1/20, that of the others at least 1 - 0.4.
   for (RequestId id = 2; id < 8; ++id) {
     s.at(static_cast<Time>(id), {query(id, 7)});
     ASSERT_EQ(s.sends().size(), 1u);
@@ -28,12 +27,12 @@
   }
 }
 
-TEST(Affinity, OtherGroupsAvoidAnEngineThatIsFullOfOne) {
+TEST(Affinity, OtherGroupsAvoidAnEngineThatServesOneGroup) {
   Script s(basic_settings());
   s.list(0, {engine(0), engine(1)});
   s.at(1, {query(1, 7)});
   const auto preferred = s.sends()[0].engine;
-  // sqrt(2) + 1/20 at the other group's engine against at most 1 + 0.4 at the empty one.
+  // The engine of the other group scores sqrt(2) + 1/20, the empty one at most 1 + 0.4.
   for (std::uint64_t group = 20; group < 26; ++group) {
     Script t(basic_settings());
     t.list(0, {engine(0), engine(1)});
@@ -43,7 +42,7 @@
   }
 }
 
-TEST(Affinity, LoadOverTheFactorOutweighsDistance) {
+TEST(Affinity, HighLoadOutweighsAffinity) {
   auto settings = basic_settings();
   settings.machine_types[0].cores = 100;
   Script s(settings);
@@ -53,7 +52,8 @@
     s.at(static_cast<Time>(id), {query(id, 7)});
     where.push_back(s.sends()[0].engine);
   }
-  // The distance to an empty engine is 1 and the tilt at most 0.4: 28 queries at 1/20 each outweigh both.
+  // The distance to an empty engine is 1 and the hash-based score at most 0.4: 28 queries at 1/20 each
+  // outweigh both.
   EXPECT_EQ(where[5], where[0]);
   const auto moved = std::find_if(where.begin(), where.end(), [&](auto e) { return e != where[0]; });
   ASSERT_NE(moved, where.end());
@@ -73,7 +73,7 @@
   EXPECT_EQ(name(a.sends()[0].engine, false), name(b.sends()[0].engine, true));
 }
 
-TEST(TableLoads, AReaderThatWaitsBehindOneIsRetriedElsewhere) {
+TEST(TableLoads, ReaderBlockedByALoadIsRetriedOnAnotherEngine) {
   auto settings = basic_settings();
   settings.classes[0].waits_for_loads = true;
   Script s(settings);
@@ -85,11 +85,11 @@
   s.at(3, {ended(1, 0, preferred, Outcome::kCancelled)});
   ASSERT_EQ(s.sends().size(), 1u);
   EXPECT_NE(s.sends()[0].engine, preferred);
-  s.at(4, {query(2, 7)});  // the held group is remembered
+  s.at(4, {query(2, 7)});  // The locked group is remembered.
   EXPECT_NE(s.sends()[0].engine, preferred);
 }
 
-TEST(TableLoads, GoWhereTheirGroupsReadersAreNot) {
+TEST(TableLoads, RunOnEnginesWithoutReadersOfTheirGroup) {
   for (std::uint64_t group = 0; group < 12; ++group) {
     auto settings = basic_settings();
     settings.classes.push_back(settings.classes[0]);
@@ -106,30 +106,32 @@
   }
 }
 
-TEST(Affinity, InstancesAgreeOnPreferredEnginesWithoutTalking) {
+TEST(Affinity, InstancesAgreeOnPreferredEnginesWithoutCommunication) {
   std::map<EngineId, int> preferred_engines;
   for (std::uint32_t i = 0; i < 60; ++i) {
-    Script s(one_of_many(100, i));
+    Script s(instance_settings(100, i));
     s.at(0, {EngineList{EngineListKind::kSnapshot, fleet(20)}});
-    for (RequestId id = 1; id <= 4; ++id) {  // each has another past
+    // Each instance has served other groups before.
+    for (RequestId id = 1; id <= 4; ++id) {
       s.at(static_cast<Time>(id), {query(id, 1000 + 7 * i + id)});
       s.at(static_cast<Time>(id), {ended(id, 0, s.sends().at(0).engine, Outcome::kServed)});
     }
     s.at(10, {query(5, 7)});
     ++preferred_engines[s.sends().at(0).engine];
   }
-  std::vector<int> most;  // a fifth of each gateway's traffic: four of twenty engines are its homes
+  // The group is a fifth of each instance's traffic: four of twenty engines are planned for it.
+  std::vector<int> most;
   for (const auto& [id, n] : preferred_engines) most.push_back(n);
   std::sort(most.rbegin(), most.rend());
   most.resize(6);
   EXPECT_GE(std::accumulate(most.begin(), most.end(), 0), 45);
 }
 
-// Sends of 100 gateways side by side, each with `each` queries that are answered at once, by engine.
+// Returns the sends per engine of 100 instances with `each` queries each, which get their responses at once.
 std::map<EngineId, int> first_sends_by_engine(bool loads, int each, std::uint64_t groups) {
   std::map<EngineId, int> at;
   for (std::uint32_t i = 0; i < 100; ++i) {
-    auto settings = one_of_many(100, i);
+    auto settings = instance_settings(100, i);
     settings.classes[0].is_load = loads;
     Script s(settings);
     s.at(0, {EngineList{EngineListKind::kSnapshot, fleet(30)}});
@@ -147,40 +149,41 @@
   return at;
 }
 
-TEST(Affinity, FewPopularGroupsStillFillAllEnginesEvenly) {
+TEST(Affinity, FewPopularGroupsAreSpreadEvenlyOverAllEngines) {
   const auto at = first_sends_by_engine(false, 60, 9);
-  ASSERT_EQ(at.size(), 30u);  // was 9, with up to 858 each
+  ASSERT_EQ(at.size(), 30u);
   for (const auto& [engine, n] : at) {
-    EXPECT_GT(n, 110) << engine;  // 200 each if all were even
+    EXPECT_GT(n, 110) << engine;  // An even spread is 200 each.
     EXPECT_LT(n, 300) << engine;
   }
 }
 
-TEST(Affinity, LoadsOfOneGroupDoNotAllMeetAtOneEngine) {
+TEST(Affinity, LoadsOfOneGroupAreSpreadOverEngines) {
   const auto at = first_sends_by_engine(true, 6, 1);
   ASSERT_GE(at.size(), 25u);
-  for (const auto& [engine, n] : at) EXPECT_LT(n, 60) << engine;  // 20 each if all were even
+  for (const auto& [engine, n] : at) EXPECT_LT(n, 60) << engine;  // An even spread is 20 each.
 }
 
-// Fills the sum of windows with unrelated groups; the requests that run.
+// Fills the aggregate limit with queries of unrelated groups, and returns those that run.
 std::vector<Send> fill_aggregate_limit(Script& s, Time now) {
   std::vector<Event> burst;
   for (RequestId id = 1000; id < 1100; ++id) burst.push_back(query(id, id));
   s.at(now, burst);
   auto running = s.sends();
-  std::vector<Event> gone;  // the rest leaves again: only what runs holds the sum
+  // The clients of all other queries disconnect.
+  std::vector<Event> disconnects;
   for (RequestId id = 1000; id < 1100; ++id) {
     const auto runs = [id](const Send& one) { return one.request == id; };
-    if (std::none_of(running.begin(), running.end(), runs)) gone.push_back(ClientDisconnected{id});
+    if (std::none_of(running.begin(), running.end(), runs)) disconnects.push_back(ClientDisconnected{id});
   }
-  s.at(now + 1, gone);
+  s.at(now + 1, disconnects);
   return running;
 }
 
-TEST(Affinity, WhatWaitsInOurQueueDoesNotDriveItsGroupElsewhere) {
-  int at_home = 0;
+TEST(Affinity, QueuedRequestsDoNotDriveTheirGroupToOtherEngines) {
+  int on_preferred = 0;
   for (std::uint64_t group = 1; group <= 8; ++group) {
-    Script s(one_of_many(147));
+    Script s(instance_settings(147));
     s.at(0, {EngineList{EngineListKind::kSnapshot, fleet(40)}});
     const auto running = fill_aggregate_limit(s, 1);
     s.at(200'003, {query(1, group), query(2, group), query(3, group)});
@@ -197,13 +200,13 @@
     }
     int most = 0;
     for (const auto& [id, n] : preferred_engines) most = std::max(most, n);
-    at_home += most;
+    on_preferred += most;
   }
-  EXPECT_GE(at_home, 20);  // of 24
+  EXPECT_GE(on_preferred, 20);  // Of 24.
 }
 
-TEST(Affinity, AZoneThatCostsIsUsedLess) {
-  auto settings = one_of_many(100);
+TEST(Affinity, CrossZoneCostKeepsRequestsInTheZone) {
+  auto settings = instance_settings(100);
   settings.cross_zone_cost = 1;
   Script s(settings);
   auto all = fleet(10);
--- a/tests/routing/attempt_monitor_test.cpp
+++ b/tests/routing/attempt_monitor_test.cpp
@@ -1,4 +1,4 @@
-// Attempts that run badly or have gone silent. Each guard has a test that fails when the guard is taken out.
+// Tests of the detection of slow attempts and attempts without updates.
 #include <gtest/gtest.h>
 
 #include <cstddef>
@@ -8,64 +8,64 @@
 namespace rookproxy::routing {
 namespace {
 
-TEST(AttemptMonitor, AnAttemptFarBehindItsEstimateIsCancelledAndRetried) {
-  for (const auto effect : {Idempotency::kIdempotent, Idempotency::kNonIdempotent}) {
+TEST(AttemptMonitor, SlowIdempotentAttemptIsCancelledAndRetried) {
+  for (const auto idempotency_kind : {Idempotency::kIdempotent, Idempotency::kNonIdempotent}) {
     auto settings = basic_settings();
-    settings.classes[0].idempotency = effect;
+    settings.classes[0].idempotency = idempotency_kind;
     Script s(settings);
     s.list(0, {engine(0), engine(1)});
     s.at(1, {query(1, 0, 600'000)});
     const auto first = s.sends()[0].engine;
     s.wait(20'001, 480'001);
     s.at(500'000, {AttemptUpdate{1, 0, first, AttemptUpdateKind::kProgress, 0.03}});
-    ASSERT_EQ(s.all<Cancel>().size(), effect == Idempotency::kIdempotent ? 1u : 0u);
-    if (effect == Idempotency::kNonIdempotent) continue;
+    ASSERT_EQ(s.all<Cancel>().size(), idempotency_kind == Idempotency::kIdempotent ? 1u : 0u);
+    if (idempotency_kind == Idempotency::kNonIdempotent) continue;
     s.at(500'001, {ended(1, 0, first, Outcome::kCancelled)});
     EXPECT_EQ(s.sends().size(), 1u);
   }
 }
 
-TEST(AttemptMonitor, ASilentAttemptIsRetriedAndNoLongerFillsTheLimit) {
+TEST(AttemptMonitor, AttemptWithoutUpdatesIsRetriedAndLeavesTheLimit) {
   auto settings = basic_settings();
   settings.progress_interval = 500'000;
-  settings.machine_types[0].cores = 0.5;  // a window of one query
+  settings.machine_types[0].cores = 0.5;  // One query fits.
   Script s(settings);
   s.list(0, {engine(0), engine(1)});
   s.at(1, {query(1), query(2)});
   ASSERT_EQ(s.sends().size(), 2u);
-  const auto lost_at = s.sends()[0].engine, well_at = s.sends()[1].engine;
-  const auto lost = s.sends()[0].request, well = s.sends()[1].request;
+  const auto lost_engine = s.sends()[0].engine, healthy_engine = s.sends()[1].engine;
+  const auto lost_request = s.sends()[0].request, healthy_request = s.sends()[1].request;
   for (Time t = 500'000; t <= 1'000'000; t += 500'000) {
     s.wait(t - 479'999, t);
-    s.at(t, {AttemptUpdate{well, 0, well_at, AttemptUpdateKind::kProgress, 0.9}});
+    s.at(t, {AttemptUpdate{healthy_request, 0, healthy_engine, AttemptUpdateKind::kProgress, 0.9}});
   }
   s.wait(1'020'000, 1'260'000);
   ASSERT_EQ(s.all<Cancel>().size(), 1u);
-  EXPECT_EQ(s.all<Cancel>()[0].request, lost);
+  EXPECT_EQ(s.all<Cancel>()[0].request, lost_request);
   s.at(1'400'001, {query(3)});
   ASSERT_EQ(s.sends().size(), 1u);
-  EXPECT_EQ(s.sends()[0].engine, lost_at);
+  EXPECT_EQ(s.sends()[0].engine, lost_engine);
 }
 
-TEST(AttemptMonitor, WhatWaitsForMemorySaysSoOnceAndIsNotLost) {
+TEST(AttemptMonitor, AttemptWaitingForMemoryIsNotPresumedLost) {
   auto settings = basic_settings();
   settings.progress_interval = 500'000;
   Script s(settings);
   s.list(0, {engine(0), engine(1)});
   s.at(1, {query(1), query(2)});
   ASSERT_EQ(s.sends().size(), 2u);
-  const auto waits = s.sends()[0], runs = s.sends()[1];
-  s.at(10'000, {AttemptUpdate{waits.request, 0, waits.engine, AttemptUpdateKind::kWaitingForMemory, 1}});
+  const auto waiting = s.sends()[0], running = s.sends()[1];
+  s.at(10'000, {AttemptUpdate{waiting.request, 0, waiting.engine, AttemptUpdateKind::kWaitingForMemory, 1}});
   std::size_t cancels = 0;
   for (Time t = 500'000; t <= 4 * kSecond; t += 500'000) {
     s.wait(t - 479'999, t);
     cancels += s.all<Cancel>().size();
-    s.at(t, {AttemptUpdate{runs.request, 0, runs.engine, AttemptUpdateKind::kProgress, 0.9}});
+    s.at(t, {AttemptUpdate{running.request, 0, running.engine, AttemptUpdateKind::kProgress, 0.9}});
   }
   EXPECT_EQ(cancels, 0u);
 }
 
-TEST(AttemptMonitor, WithoutUpdatesFromAnybodyNothingIsPresumedLost) {
+TEST(AttemptMonitor, WithoutAnyUpdatesNoAttemptIsPresumedLost) {
   auto settings = basic_settings();
   settings.progress_interval = 500'000;
   Script s(settings);
@@ -75,7 +75,7 @@
   EXPECT_EQ(s.all<Cancel>().size(), 0u);
 }
 
-TEST(AttemptMonitor, TheLastAllowedAttemptIsLeftToRun) {
+TEST(AttemptMonitor, LastAllowedAttemptIsNotCancelled) {
   auto settings = basic_settings();
   settings.max_attempts = 1;
   Script s(settings);
@@ -87,7 +87,7 @@
   EXPECT_EQ(s.all<Cancel>().size(), 0u);
 }
 
-TEST(AttemptMonitor, AClassThatIsSlowAltogetherIsLeftAlone) {
+TEST(AttemptMonitor, AttemptsOfUniformlySlowClassAreNotCancelled) {
   auto settings = basic_settings();
   settings.machine_types[0].cores = 100;
   Script s(settings);
--- a/tests/routing/concurrency_limit_test.cpp
+++ b/tests/routing/concurrency_limit_test.cpp
@@ -1,5 +1,4 @@
-// How many requests run on an engine, and on all of them together. Each guard has a test that fails when the
-// guard is taken out.
+// Tests of the concurrency limits of one engine and of all engines together.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -14,7 +13,7 @@
 namespace rookproxy::routing {
 namespace {
 
-TEST(ConcurrencyLimit, CountsThreadsOfOurShareOfAnEngine) {
+TEST(ConcurrencyLimit, EngineIsLimitedToTheInstancesShareOfThreads) {
   auto settings = basic_settings();
   settings.instance_count = 2;
   settings.instance_index = 0;
@@ -23,10 +22,10 @@
   std::vector<Event> burst;
   for (RequestId id = 1; id <= 30; ++id) burst.push_back(query(id));
   s.at(1, burst);
-  EXPECT_EQ(s.sends().size(), 8u);  // two threads a core, 8 cores, half of it ours
+  EXPECT_EQ(s.sends().size(), 8u);  // Two threads per core, 8 cores, half of them for this instance.
 }
 
-TEST(ConcurrencyLimit, HoldsAtLeastOneQuery) {
+TEST(ConcurrencyLimit, AllowsAtLeastOneQuery) {
   auto settings = basic_settings();
   settings.instance_count = 100;
   settings.classes[0].threads = 4;
@@ -36,7 +35,7 @@
   EXPECT_EQ(s.sends().size(), 1u);
 }
 
-TEST(ConcurrencyLimit, ThePreferredEngineIsUsedBeforeAnIdleOneSteals) {
+TEST(ConcurrencyLimit, PreferredEngineIsFilledBeforeIdleEnginesSteal) {
   Script s(basic_settings());
   s.list(0, {engine(0), engine(1), engine(2), engine(3)});
   s.at(1, {query(1, 3)});
@@ -47,8 +46,8 @@
   }
 }
 
-TEST(ConcurrencyLimit, MemoryGrantsStayWithinOurPartOfAnEnginesMemory) {
-  // Two gateways that are both told of room and both fill it push an engine into paging, which slows all on
+TEST(ConcurrencyLimit, MemoryGrantsStayWithinTheInstancesShareOfEngineMemory) {
+  // Two instances that both see free memory and fill it make an engine page, which slows down all queries on
   // it.
   auto settings = basic_settings();
   settings.instance_count = 2;
@@ -57,50 +56,50 @@
   settings.machine_types = {{"k0", 64.0, 16384.0}};
   Script s(settings);
   s.list(0, {engine(0)});
-  std::vector<Event> one_of_many;
+  std::vector<Event> queries;
   for (RequestId id = 1; id <= 20; ++id) {
     RequestArrived one = query(id);
     one.memory_mb = 1024;
-    one_of_many.push_back(one);
+    queries.push_back(one);
   }
-  s.at(1, one_of_many);
-  // 8,192 MB are ours; a grant is a quarter over the estimate at first.
+  s.at(1, queries);
+  // This instance has 8,192 MB; the initial grant is 1.25 times the estimate.
   EXPECT_EQ(s.sends().size(), 6u);
   s.at(2, {ended(1, 0, 0, Outcome::kServed)});
-  EXPECT_EQ(s.sends().size(), 1u);  // what it held is free again
-  // One that never fits is not held back for ever: it may have the engine to itself.
-  Script lone(settings);
-  lone.list(0, {engine(0)});
+  EXPECT_EQ(s.sends().size(), 1u);  // Its grant is free again.
+  // A query that never fits may run alone on the engine.
+  Script alone_on_engine(settings);
+  alone_on_engine.list(0, {engine(0)});
   RequestArrived large = query(1);
   large.memory_mb = 9000;
-  lone.at(1, {large});
-  EXPECT_EQ(lone.sends().size(), 1u);
+  alone_on_engine.at(1, {large});
+  EXPECT_EQ(alone_on_engine.sends().size(), 1u);
 }
 
-TEST(ConcurrencyLimit, TheAggregateBoundsWhereEachEnginesLimitIsLessThanAQuery) {
-  Script s(one_of_many(100));
+TEST(ConcurrencyLimit, AggregateLimitAppliesWhenEngineLimitsAreBelowOneQuery) {
+  Script s(instance_settings(100));
   s.at(0, {EngineList{EngineListKind::kSnapshot, fleet(30)}});
   std::vector<Event> burst;
   for (RequestId id = 1; id <= 60; ++id) burst.push_back(query(id, id));
   s.at(1, burst);
-  EXPECT_GE(s.sends().size(), 4u);  // 30 engines x 16 threads / 100 gateways, and room for chance
+  EXPECT_GE(s.sends().size(), 4u);  // 30 engines * 16 threads / 100 instances, and the burst allowance.
   EXPECT_LE(s.sends().size(), 14u);
 }
 
-// All gateways of a fleet side by side, each with more queries than it may send; every one ends after 400 ms
-// without a word of how the engines do, so the sum stays as it starts. What is out on `engines` a core, on
-// average from `from` on, all gateways together.
-double threads_per_core(std::uint32_t gateways, const std::vector<EngineEntry>& list,
+// Returns the mean number of threads per core on `engines` from `from` until `until`, over all instances of a
+// fleet. Each instance has more queries than it may send. A query ends after 400 ms with an outcome that does
+// not change the limits.
+double threads_per_core(std::uint32_t instances, const std::vector<EngineEntry>& list,
                         const std::vector<EngineEntry>& engines, Time from, Time until, int threads = 1) {
-  constexpr Time kStep = 100'000, kTakes = 400'000;
-  double held = 0, samples = 0;
-  for (std::uint32_t i = 0; i < gateways; ++i) {
-    auto settings = one_of_many(gateways, i);
+  constexpr Time kStep = 100'000, kRunTime = 400'000;
+  double usage = 0, samples = 0;
+  for (std::uint32_t i = 0; i < instances; ++i) {
+    auto settings = instance_settings(instances, i);
     settings.slow_start = SlowStart{0.3, 15 * kSecond, 3, 1'500'000};
     settings.classes[0].threads = threads;
     Script s(settings);
     s.at(0, {EngineList{EngineListKind::kSnapshot, list}});
-    std::map<RequestId, Send> out;
+    std::map<RequestId, Send> in_flight;
     std::map<RequestId, Time> since;
     RequestId id = 0;
     for (Time t = 1; t < until; t += kStep) {
@@ -111,59 +110,59 @@
         q.deadline = t + 20 * kSecond;
         events.push_back(q);
       }
-      for (const auto& [request, send] : out) {
-        if (t - since[request] < kTakes) continue;
-        auto gone = ended(request, 0, send.engine, Outcome::kCancelled);
-        gone.completed = true;
-        events.push_back(gone);
+      for (const auto& [request, send] : in_flight) {
+        if (t - since[request] < kRunTime) continue;
+        auto done = ended(request, 0, send.engine, Outcome::kCancelled);
+        done.completed = true;
+        events.push_back(done);
       }
       for (const auto& event : events) {
-        if (const auto* end = std::get_if<AttemptEnded>(&event)) out.erase(end->request);
+        if (const auto* end = std::get_if<AttemptEnded>(&event)) in_flight.erase(end->request);
       }
       s.at(t, events);
-      for (const auto& one : s.sends()) out[one.request] = one, since[one.request] = t;
+      for (const auto& one : s.sends()) in_flight[one.request] = one, since[one.request] = t;
       if (t < from) continue;
-      samples += 1.0 / gateways;
-      for (const auto& [request, send] : out) {
-        held += std::any_of(engines.begin(), engines.end(), [&](auto& e) { return e.id == send.engine; });
+      samples += 1.0 / instances;
+      for (const auto& [request, send] : in_flight) {
+        usage += std::any_of(engines.begin(), engines.end(), [&](auto& e) { return e.id == send.engine; });
       }
     }
   }
-  return threads * held / samples / (8 * static_cast<double>(engines.size()));
+  return threads * usage / samples / (8 * static_cast<double>(engines.size()));
 }
 
-TEST(ConcurrencyLimit, RoomForChanceDoesNotLastOrAllInstancesUseItAtOnce) {
+TEST(ConcurrencyLimit, BurstAllowanceIsNotAvailableUnderSustainedLoad) {
   const auto engines = fleet(12);
-  const double held = threads_per_core(100, engines, engines, 10 * kSecond, 14 * kSecond);
-  EXPECT_LT(held, 3);  // two threads a core, a little more while answers come in time; was 6
-  EXPECT_GT(held, 1.2);
+  const double usage = threads_per_core(100, engines, engines, 10 * kSecond, 14 * kSecond);
+  EXPECT_LT(usage, 3);  // Two threads per core, and little more.
+  EXPECT_GT(usage, 1.2);
 }
 
-TEST(ConcurrencyLimit, WideQueriesDoNotOvershootAnAggregateOfFewThreads) {
+TEST(ConcurrencyLimit, MultiThreadedQueriesDoNotOvershootSmallAggregateLimit) {
   const auto engines = fleet(12);
-  EXPECT_LT(threads_per_core(60, engines, engines, 10 * kSecond, 14 * kSecond, 2), 2);  // was 2.5, of two
+  EXPECT_LT(threads_per_core(60, engines, engines, 10 * kSecond, 14 * kSecond, 2), 2);
 }
 
-// One gateway of 100 that is asked for three times what its even part holds, half of it in light queries;
-// every `late`th answer is late. The threads that it has out after 20 s, on average.
+// Returns the mean number of threads used after 10 s by one of 100 instances that gets three times the
+// traffic of its even share, half of it light queries. Every `late`th response is late.
 double threads_of_a_busy_instance(int late) {
-  auto settings = one_of_many(100);
+  auto settings = instance_settings(100);
   settings.classes[0].latency_objective = kSecond;
   settings.classes.push_back(settings.classes[0]);
   settings.classes[1].name = "heavy", settings.classes[1].latency_objective = 15 * kSecond,
   settings.classes[1].priority_weight = 20;
   Script s(settings);
   s.at(0, {EngineList{EngineListKind::kSnapshot, fleet(30)}});
-  std::map<RequestId, std::pair<EngineId, Time>> out;  // where, and when it is done
-  double held = 0, samples = 0;
+  std::map<RequestId, std::pair<EngineId, Time>> in_flight;  // The engine, and the time of the response.
+  double usage = 0, samples = 0;
   RequestId id = 0;
   for (Time t = 1; t < 14 * kSecond; t += 50'000) {
     std::vector<Event> events = {TimerFired{1}};
-    for (const auto& [request, one] : out) {
+    for (const auto& [request, one] : in_flight) {
       if (t >= one.second) events.push_back(ended(request, 0, one.first, Outcome::kServed));
     }
     for (const auto& event : events) {
-      if (const auto* end = std::get_if<AttemptEnded>(&event)) out.erase(end->request);
+      if (const auto* end = std::get_if<AttemptEnded>(&event)) in_flight.erase(end->request);
     }
     for (const bool heavy : {false, true}) {
       ++id;
@@ -175,40 +174,43 @@
     s.at(t, events);
     for (const auto& one : s.sends()) {
       const bool is_late = late > 0 && one.request % static_cast<RequestId>(late) == 1;
-      out[one.request] = {one.engine, t + (is_late ? 1'200'000 : one.request % 2 == 1 ? 50'000 : 600'000)};
+      in_flight[one.request] = {one.engine, t + (is_late                ? 1'200'000
+                                                 : one.request % 2 == 1 ? 50'000
+                                                                        : 600'000)};
     }
-    if (t > 10 * kSecond) held += static_cast<double>(out.size()), ++samples;
+    if (t > 10 * kSecond) usage += static_cast<double>(in_flight.size()), ++samples;
   }
-  return held / samples;
+  return usage / samples;
 }
 
-TEST(ConcurrencyLimit, ABusyInstanceGrowsBeyondItsPartWhileResponsesComeInTime) {
-  EXPECT_GT(threads_of_a_busy_instance(0), 9);  // of 13 asked for; its even part is 4.8
-  EXPECT_LT(threads_of_a_busy_instance(6),
-            7);  // a third of the light answers is late: engines are at their end
+TEST(ConcurrencyLimit, BusyInstanceExceedsItsShareWhileResponsesAreInTime) {
+  EXPECT_GT(threads_of_a_busy_instance(0), 9);  // 13 are requested; an even share is 4.8.
+  // A third of the light responses is late.
+  EXPECT_LT(threads_of_a_busy_instance(6), 7);
 }
 
-TEST(ConcurrencyLimit, EnginesThatWarmUpStandOutsideTheAggregate) {
+TEST(ConcurrencyLimit, WarmingEnginesDoNotCountTowardTheAggregateLimit) {
   auto list = fleet(30);
   for (std::size_t i = 12; i < list.size(); ++i) list[i].started_at = 1;
   const std::vector<EngineEntry> warm(list.begin(), list.begin() + 12), cold(list.begin() + 12, list.end());
-  const double alone = threads_per_core(100, warm, warm, 8 * kSecond, 11 * kSecond);
-  const double beside = threads_per_core(100, list, warm, 8 * kSecond, 11 * kSecond);
-  EXPECT_LT(beside,
-            1.1 * alone);  // 18 that can hardly be sent to give the others no more to bear; was 1.9 times
+  const double without_warming = threads_per_core(100, warm, warm, 8 * kSecond, 11 * kSecond);
+  const double with_warming = threads_per_core(100, list, warm, 8 * kSecond, 11 * kSecond);
+  // The 18 warming engines add no load to the others.
+  EXPECT_LT(with_warming, 1.1 * without_warming);
   EXPECT_GT(threads_per_core(100, list, cold, 8 * kSecond, 11 * kSecond), 0.1);
 }
 
-TEST(ConcurrencyLimit, WhatWasSentTooLateLeavesTheAggregateAlone) {
+TEST(ConcurrencyLimit, LateResponsesToRequestsSentLateDoNotLowerTheAggregateLimit) {
   for (const bool late : {false, true}) {
-    auto settings = one_of_many(100);
+    auto settings = instance_settings(100);
     settings.classes[0].late_weight = 0.5;
     settings.progress_interval.reset();
     Script s(settings);
     s.at(0, {EngineList{EngineListKind::kSnapshot, fleet(30)}});
     Time now = 1;
     RequestId id = 0;
-    for (int i = 0; i < 30; ++i) {  // each answered past its aim of 10 s; sent after it where `late`
+    // Each response comes after the objective of 10 s; if `late`, the request is sent after it as well.
+    for (int i = 0; i < 30; ++i) {
       auto q = query(++id, 7);
       q.deadline = now + 20 * kSecond;
       if (late) s.at(now, {EngineList{EngineListKind::kSnapshot, {}}});
@@ -228,17 +230,18 @@
       burst.push_back(q);
     }
     s.at(now, burst);
-    const auto room = s.all_sends.size() - before;
+    const auto sent_in_burst = s.all_sends.size() - before;
     if (late) {
-      EXPECT_GE(room, 6u);
+      EXPECT_GE(sent_in_burst, 6u);
     } else {
-      EXPECT_LE(room, 4u);
+      EXPECT_LE(sent_in_burst, 4u);
     }
   }
 }
 
-// Queries that get no answer, one after another; then how many of a burst are sent.
-std::size_t room_after_unanswered(Script& s, int unanswered, Outcome outcome, Time now) {
+// Sends queries that get no successful response, one after another, and returns how many queries of a
+// subsequent burst are sent.
+std::size_t sends_after_unanswered(Script& s, int unanswered, Outcome outcome, Time now) {
   RequestId id = 0;
   for (int i = 0; i < unanswered; ++i, now += kSecond) {
     ++id;
@@ -263,61 +266,63 @@
   return s.all_sends.size() - before;
 }
 
-TEST(ConcurrencyLimit, TimeoutsAndRejectionsNarrowTheAggregate) {
+TEST(ConcurrencyLimit, TimeoutsAndRejectionsLowerTheAggregateLimit) {
   for (const auto outcome : {Outcome::kServed, Outcome::kNoResponse, Outcome::kRejected}) {
-    Script s(one_of_many(100));
+    Script s(instance_settings(100));
     s.at(0, {EngineList{EngineListKind::kSnapshot, fleet(30)}});
-    const auto room = room_after_unanswered(s, 25, outcome, 1);
-    EXPECT_EQ(room >= 6, outcome == Outcome::kServed) << room;
-    EXPECT_EQ(room <= 3, outcome != Outcome::kServed) << room;
+    const auto sent_in_burst = sends_after_unanswered(s, 25, outcome, 1);
+    EXPECT_EQ(sent_in_burst >= 6, outcome == Outcome::kServed) << sent_in_burst;
+    EXPECT_EQ(sent_in_burst <= 3, outcome != Outcome::kServed) << sent_in_burst;
   }
 }
 
-TEST(ConcurrencyLimit, UnderANarrowAggregateOneWideQueryDoesNotFollowAnother) {
-  auto settings = one_of_many(300);
+TEST(ConcurrencyLimit, LowAggregateLimitSeparatesMultiThreadedQueries) {
+  auto settings = instance_settings(300);
   settings.classes.push_back(settings.classes[0]);
   settings.classes[1].threads = 8;
   settings.classes[1].latency_objective = 60 * kSecond;
   Script s(settings);
   s.at(0, {EngineList{EngineListKind::kSnapshot, fleet(10)}});
-  room_after_unanswered(s, 40, Outcome::kNoResponse, 1);
-  std::vector<Event> gone;
-  for (RequestId id = 1; id <= 80; ++id) gone.push_back(ClientDisconnected{id});
+  sends_after_unanswered(s, 40, Outcome::kNoResponse, 1);
+  std::vector<Event> done;
+  for (RequestId id = 1; id <= 80; ++id) done.push_back(ClientDisconnected{id});
   Time now = 41 * kSecond;
-  s.at(now, gone);
+  s.at(now, done);
   std::vector<Event> ends;
   for (const auto& one : s.all_sends) ends.push_back(ended(one.request, 0, one.engine, Outcome::kCancelled));
   s.at(now, ends);
   now += 60 * kSecond;
-  const auto wide = [&](RequestId id) {
+  const auto send_wide = [&](RequestId id) {
     auto q = query(id, id);
     q.class_index = 1;
     q.deadline = now + 60 * kSecond;
     s.at(now, {q});
     return s.sends();
   };
-  const auto first = wide(1000);
+  const auto first = send_wide(1000);
   ASSERT_EQ(first.size(), 1u);
   now += 8 * kSecond;
   s.at(now, {ended(1000, 0, first[0].engine, Outcome::kError)});
   s.at(now, {ClientDisconnected{1000}});
-  EXPECT_EQ(wide(1001).size(), 0u);  // its threads are still in the mean of what we used
+  EXPECT_EQ(send_wide(1001).size(), 0u);  // Its threads still count in the mean usage.
   const auto before = s.all_sends.size();
   s.wait(now + 20'000, now + 40 * kSecond);
   EXPECT_GT(s.all_sends.size(), before);
 }
 
-TEST(ConcurrencyLimit, AnInstanceWithMuchOfTheTrafficHasItsPartOfTheLimits) {
-  std::size_t room[2];
+TEST(ConcurrencyLimit, InstanceWithMoreTrafficGetsHigherLimits) {
+  std::size_t sent_in_burst[2];
   for (const int busy : {0, 1}) {
-    auto settings = one_of_many(100);
-    settings.tenants = {{"a", 50, 0.5}, {"b", 50, 0.5}};  // 100 a second; one each, were they even
+    auto settings = instance_settings(100);
+    // 100 per second; one per instance if traffic were even.
+    settings.tenants = {{"a", 50, 0.5}, {"b", 50, 0.5}};
     settings.over_quota_weight = 0.1;
     Script s(settings);
     s.at(0, {EngineList{EngineListKind::kSnapshot, fleet(30)}});
     RequestId id = 0;
     Time now = 1;
-    for (; now < 20 * kSecond; now += busy ? 100'000 : 2 * kSecond) {  // ten a second or one in two
+    // Ten requests per second, or one every two seconds.
+    for (; now < 20 * kSecond; now += busy ? 100'000 : 2 * kSecond) {
       ++id;
       auto q = query(id, id);
       q.tenant = static_cast<std::uint32_t>(id % 2);
@@ -335,9 +340,9 @@
     }
     const auto before = s.all_sends.size();
     s.at(now, burst);
-    room[busy] = s.all_sends.size() - before;
+    sent_in_burst[busy] = s.all_sends.size() - before;
   }
-  EXPECT_GE(room[1], 3 * room[0]);
+  EXPECT_GE(sent_in_burst[1], 3 * sent_in_burst[0]);
 }
 
 }  // namespace
--- a/tests/routing/load_reports_test.cpp
+++ b/tests/routing/load_reports_test.cpp
@@ -1,4 +1,4 @@
-// Load reports and probes. Each guard has a test that fails when the guard is taken out.
+// Tests of load reports and probes.
 #include <gtest/gtest.h>
 
 #include "routing/router_script.h"
@@ -6,74 +6,74 @@
 namespace rookproxy::routing {
 namespace {
 
-TEST(LoadReports, TheBestFewAreProbedFirstAndAFullOneIsAvoided) {
-  auto settings = one_of_many(100);
+TEST(LoadReports, BestEnginesAreProbedAndAFullOneIsAvoided) {
+  auto settings = instance_settings(100);
   settings.may_probe = true;
   settings.probe_cost = 0.01;
   Script s(settings);
   s.at(0, {EngineList{EngineListKind::kSnapshot, fleet(10)}});
   s.at(1, {query(1, 7)});
   EXPECT_EQ(s.sends().size(), 0u);
-  const auto asked = s.all<Probe>();
-  ASSERT_EQ(asked.size(), 2u);
+  const auto probed = s.all<Probe>();
+  ASSERT_EQ(probed.size(), 2u);
   LoadReport full, idle;
   full.active_queries = 80;
   idle.active_queries = 0;
-  s.at(5'000, {ProbeEnded{asked[0].engine, Outcome::kServed, 900, full},
-               ProbeEnded{asked[1].engine, Outcome::kServed, 900, idle}});
+  s.at(5'000, {ProbeEnded{probed[0].engine, Outcome::kServed, 900, full},
+               ProbeEnded{probed[1].engine, Outcome::kServed, 900, idle}});
   ASSERT_EQ(s.sends().size(), 1u);
-  EXPECT_EQ(s.sends()[0].engine, asked[1].engine);
-  settings.probe_cost = 0.5;  // dearer than it is worth
-  Script dear(settings);
-  dear.at(0, {EngineList{EngineListKind::kSnapshot, fleet(10)}});
-  dear.at(1, {query(1, 7)});
-  EXPECT_EQ(dear.all<Probe>().size(), 0u);
-  EXPECT_EQ(dear.sends().size(), 1u);
+  EXPECT_EQ(s.sends()[0].engine, probed[1].engine);
+  settings.probe_cost = 0.5;  // More than a probe is worth.
+  Script expensive(settings);
+  expensive.at(0, {EngineList{EngineListKind::kSnapshot, fleet(10)}});
+  expensive.at(1, {query(1, 7)});
+  EXPECT_EQ(expensive.all<Probe>().size(), 0u);
+  EXPECT_EQ(expensive.sends().size(), 1u);
 }
 
-TEST(LoadReports, AFullEngineReportedWithRoomLowersConfidenceForAWhile) {
-  auto settings = one_of_many(100);
+TEST(LoadReports, RejectionDespiteReportedCapacityStopsProbesForAWhile) {
+  auto settings = instance_settings(100);
   settings.may_probe = true;
   Script s(settings);
   s.at(0, {EngineList{EngineListKind::kSnapshot, fleet(10)}});
-  const auto asks = [&](RequestId id, Time now) {
+  const auto send_query = [&](RequestId id, Time now) {
     auto q = query(id, id);
     q.deadline = now + 20 * kSecond;
     s.at(now, {q});
     return s.all<Probe>();
   };
-  const auto asked = asks(1, 1);
-  ASSERT_EQ(asked.size(), 2u);
+  const auto probed = send_query(1, 1);
+  ASSERT_EQ(probed.size(), 2u);
   LoadReport idle;
   idle.active_queries = 1;
-  s.at(5'000, {ProbeEnded{asked[0].engine, Outcome::kServed, 900, idle},
-               ProbeEnded{asked[1].engine, Outcome::kServed, 900, idle}});
+  s.at(5'000, {ProbeEnded{probed[0].engine, Outcome::kServed, 900, idle},
+               ProbeEnded{probed[1].engine, Outcome::kServed, 900, idle}});
   ASSERT_EQ(s.sends().size(), 1u);
   s.at(6'000, {ended(1, 0, s.sends()[0].engine, Outcome::kRejected)});
-  EXPECT_EQ(asks(2, 2 * kSecond).size(), 0u);
-  EXPECT_EQ(asks(3, 60 * kSecond).size(), 2u);  // unlearnt without an answer
+  EXPECT_EQ(send_query(2, 2 * kSecond).size(), 0u);
+  EXPECT_EQ(send_query(3, 60 * kSecond).size(), 2u);  // The confidence recovers without further responses.
 }
 
-// The lowest id from `from` on of a query of group 7 whose drawn home is `home`, that group being all the
-// traffic.
+// Returns the lowest id, starting with `from`, of a query of group 7 whose preferred engine is `preferred` if
+// that group is all the traffic.
 RequestId query_with_preferred_engine(EngineId preferred, EngineId engines, RequestId from) {
   for (RequestId id = from;; ++id) {
-    Script s(one_of_many(100));
+    Script s(instance_settings(100));
     s.at(0, {EngineList{EngineListKind::kSnapshot, fleet(engines)}});
     s.at(1, {query(id, 7)});
     if (s.sends().at(0).engine == preferred) return id;
   }
 }
 
-TEST(LoadReports, ReportsInResponsesCountAndOldOnesFade) {
-  Script s(one_of_many(100));
+TEST(LoadReports, ReportsInResponsesApplyUntilTheyAreOld) {
+  Script s(instance_settings(100));
   s.at(0, {EngineList{EngineListKind::kSnapshot, fleet(10)}});
   s.at(1, {query(1, 7)});
   const auto preferred = s.sends().at(0).engine;
-  auto answer = ended(1, 0, preferred, Outcome::kServed);
-  answer.report = LoadReport{};
-  answer.report->active_queries = 80;
-  s.at(2, {answer});
+  auto response = ended(1, 0, preferred, Outcome::kServed);
+  response.report = LoadReport{};
+  response.report->active_queries = 80;
+  s.at(2, {response});
   const auto second = query_with_preferred_engine(preferred, 10, 2),
              third = query_with_preferred_engine(preferred, 10, second + 1);
   s.at(3, {query(second, 7)});
@@ -86,17 +86,17 @@
   EXPECT_EQ(s.sends().at(0).engine, preferred);
 }
 
-TEST(LoadReports, ReportedQueriesEndAsTheUsualRunTimeTells) {
-  auto settings = one_of_many(3);
-  settings.classes[0].latency_objective = 300'000;  // the usual run, untold: 0.1 s
+TEST(LoadReports, ReportedQueriesDecayWithTheMeanRunTime) {
+  auto settings = instance_settings(3);
+  settings.classes[0].latency_objective = 300'000;  // The initial run time is 0.1 s.
   settings.classes[0].late_weight = 0.5;
   Script s(settings);
   s.list(0, {engine(0)});
   s.at(1, {query(1, 7)});
-  auto answer = ended(1, 0, 0, Outcome::kServed);
-  answer.report = LoadReport{};
-  answer.report->active_queries = 80;  // 80 threads on 8 cores, and 16 after 0.16 s
-  s.at(2, {answer, query(2, 7)});
+  auto response = ended(1, 0, 0, Outcome::kServed);
+  response.report = LoadReport{};
+  response.report->active_queries = 80;  // 80 threads on 8 cores, and 16 after 0.16 s.
+  s.at(2, {response, query(2, 7)});
   EXPECT_EQ(s.sends().size(), 0u);
   s.wait(20'000, 100'000);
   EXPECT_EQ(s.all_sends.size(), 1u);
@@ -104,44 +104,45 @@
   EXPECT_EQ(s.all_sends.size(), 2u);
 }
 
-TEST(LoadReports, AnEngineReportedWithMoreMemoryGrantedIsAvoidedForLonger) {
+TEST(LoadReports, EngineWithOvercommittedMemoryIsAvoidedForLonger) {
   for (const double granted : {0.5, 4.0}) {
-    auto settings = one_of_many(100);
+    auto settings = instance_settings(100);
     settings.may_probe = true;
     settings.memory_pressure = MemoryPressure::kPage;
     Script s(settings);
     s.at(0, {EngineList{EngineListKind::kSnapshot, fleet(2)}});
     s.at(1, {query(1, 7)});
-    const auto asked = s.all<Probe>();
-    ASSERT_EQ(asked.size(), 2u);
+    const auto probed = s.all<Probe>();
+    ASSERT_EQ(probed.size(), 2u);
     LoadReport preferred, other;
-    preferred.cpu_utilization = other.cpu_utilization = 0.2;  // one that pages does little
+    preferred.cpu_utilization = other.cpu_utilization = 0.2;  // A paging engine uses little CPU.
     preferred.memory_utilization = granted;
     other.memory_utilization = 0.5;
-    s.at(5'000, {ProbeEnded{asked[0].engine, Outcome::kServed, 900, preferred},
-                 ProbeEnded{asked[1].engine, Outcome::kServed, 900, other}});
+    s.at(5'000, {ProbeEnded{probed[0].engine, Outcome::kServed, 900, preferred},
+                 ProbeEnded{probed[1].engine, Outcome::kServed, 900, other}});
     ASSERT_EQ(s.sends().size(), 1u);
     const auto first = s.sends()[0].engine;
-    EXPECT_EQ(first == asked[0].engine, granted < 1);
+    EXPECT_EQ(first == probed[0].engine, granted < 1);
     s.at(10'000, {ended(1, 0, first, Outcome::kServed)});
     s.wait(20'000, 3 * kSecond - 20'000);
-    auto later = query(query_with_preferred_engine(asked[0].engine, 2, 2), 7);
+    auto later = query(query_with_preferred_engine(probed[0].engine, 2, 2), 7);
     later.deadline = 30 * kSecond;
-    s.at(3 * kSecond, {later});  // no answer to the probes: what is known is three seconds old
+    s.at(3 * kSecond, {later});  // The probes get no response; the reports are 3 s old.
     s.wait(3 * kSecond + 20'000, 3 * kSecond + 60'000);
     ASSERT_EQ(s.all_sends.size(), 2u);
-    EXPECT_EQ(s.all_sends[1].engine == asked[0].engine, granted < 1);
+    EXPECT_EQ(s.all_sends[1].engine == probed[0].engine, granted < 1);
   }
 }
 
-TEST(LoadReports, WhileAllIsInTimeEnginesAreProbedOnlyIfResponsesCarryNoReports) {
+TEST(LoadReports, WhileResponsesAreInTimeProbesAreSentOnlyIfResponsesCarryNoReports) {
   for (const bool reports : {false, true}) {
-    auto settings = one_of_many(100);
+    auto settings = instance_settings(100);
     settings.may_probe = true;
     settings.memory_pressure = MemoryPressure::kPage;
     Script s(settings);
     s.at(0, {EngineList{EngineListKind::kSnapshot, fleet(10)}});
-    for (RequestId id = 1; id <= 40; ++id) {  // the sum opens to its most
+    // The aggregate limit rises to its maximum.
+    for (RequestId id = 1; id <= 40; ++id) {
       s.at(static_cast<Time>(id) * 20'000, {query(id, id), TimerFired{1}});
       s.at(static_cast<Time>(id) * 20'000 + 18'000, {TimerFired{1}});
       auto end = ended(id, 0, s.all_sends.back().engine, Outcome::kServed);
@@ -154,8 +155,8 @@
   }
 }
 
-TEST(LoadReports, NothingIsProbedWhereNothingReports) {
-  auto settings = one_of_many(100);
+TEST(LoadReports, NoProbeIsSentIfEnginesReportNoLoad) {
+  auto settings = instance_settings(100);
   settings.may_probe = true;
   settings.reports_load = false;
   Script s(settings);
--- a/tests/routing/ordered_keys_test.cpp
+++ b/tests/routing/ordered_keys_test.cpp
@@ -1,4 +1,4 @@
-// Requests of one key, in their order. Each guard has a test that fails when the guard is taken out.
+// Tests of the ordering of requests that have the same key.
 #include <gtest/gtest.h>
 
 #include <cstdint>
@@ -21,7 +21,7 @@
   return q;
 }
 
-TEST(OrderedKeys, OneKeyOneAtATime) {
+TEST(OrderedKeys, RequestsOfOneKeyRunOneAtATime) {
   Script s(ordered());
   s.list(0, {engine(0), engine(1)});
   s.at(1, {keyed_query(1, 5), keyed_query(2, 5), keyed_query(3, 6), query(4)});
@@ -32,7 +32,7 @@
   EXPECT_EQ(s.sends()[0].request, 2u);
 }
 
-TEST(OrderedKeys, AKeyHasACooldownAfterAnAttemptThatMayStillRun) {
+TEST(OrderedKeys, KeyIsHeldBackAfterAttemptThatMayStillRun) {
   Script s(ordered());
   s.list(0, {engine(0), engine(1)});
   s.at(1, {keyed_query(1, 5), keyed_query(2, 5)});
--- a/tests/routing/outlier_detection_test.cpp
+++ b/tests/routing/outlier_detection_test.cpp
@@ -1,4 +1,4 @@
-// Engines that fail or lag behind. Each guard has a test that fails when the guard is taken out.
+// Tests of the detection of failing and slow engines.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -11,7 +11,7 @@
 namespace rookproxy::routing {
 namespace {
 
-TEST(OutlierDetection, AnEngineThatFailsAtOnceGetsOneRequestAtATime) {
+TEST(OutlierDetection, FailingEngineGetsOneRequestAtATime) {
   Script s(basic_settings());
   s.list(0, {engine(0), engine(1)});
   std::size_t to_bad = 0;
@@ -28,12 +28,13 @@
   EXPECT_LE(to_bad, 4u);
 }
 
-TEST(OutlierDetection, WhereMostEnginesFailNoneIsEjected) {
+TEST(OutlierDetection, NoEngineIsEjectedWhenMostEnginesFail) {
   auto settings = basic_settings();
   settings.max_attempts = 1;
   Script s(settings);
   s.list(0, {engine(0), engine(1), engine(2)});
-  for (RequestId id = 1; id <= 60; ++id) {  // every engine errs
+  // Every engine responds with an error.
+  for (RequestId id = 1; id <= 60; ++id) {
     const Time now = static_cast<Time>(id) * 20'000;
     s.at(now, {TimerFired{1}, query(id, id % 12)});
     const auto sends = s.sends();
@@ -46,7 +47,7 @@
   EXPECT_GE(s.sends().size(), 12u);
 }
 
-TEST(OutlierDetection, AnEjectedEngineIsTriedWithOneQuery) {
+TEST(OutlierDetection, EjectedEngineIsRetriedWithOneQuery) {
   Script s(basic_settings());
   s.list(0, {engine(0)});
   s.at(1, {query(1)});
@@ -58,20 +59,20 @@
   EXPECT_EQ(std::count_if(sends.begin(), sends.end(), [](const Send& x) { return x.engine == 0; }), 1);
 }
 
-TEST(OutlierDetection, ABrokenConnectionIsNoProofThatItsEngineIsUnreachable) {
-  // One spoilt answer ends all that is open on its connection: that must not shut the engine.
+TEST(OutlierDetection, LostConnectionDoesNotEjectItsEngine) {
+  // One malformed response ends all attempts on its connection, which must not eject the engine.
   Script s(with_slow_start());
   s.list(0, {engine(0)});
-  std::vector<Event> one_of_many, lost;
+  std::vector<Event> queries, lost;
   for (RequestId id = 1; id <= 6; ++id) {
-    one_of_many.push_back(query(id));
+    queries.push_back(query(id));
     lost.push_back(ended(id, 0, 0, Outcome::kConnectionLost));
   }
-  s.at(1, one_of_many);
+  s.at(1, queries);
   ASSERT_EQ(s.sends().size(), 6u);
   s.at(2, lost);
   EXPECT_EQ(s.sends().size(), 6u);
-  // Where every connection breaks and nothing is ever answered, it is left alone after all.
+  // If every connection is lost without any response, the engine is ejected.
   Time now = 3;
   for (std::uint32_t attempt = 1; attempt <= 3; ++attempt, ++now) {
     std::vector<Event> again;
@@ -81,8 +82,9 @@
   EXPECT_EQ(s.sends().size(), 0u);
 }
 
-TEST(OutlierDetection, WhatHealthyEnginesFailIsTheRequestsFault) {
-  // Engines answer 'error' to what they can't use: bad clients must not shut them to usual ones.
+TEST(OutlierDetection, ErrorsFromHealthyEnginesAreAttributedToTheRequest) {
+  // Engines respond with an error to invalid requests, so clients that send them must not make engines
+  // unavailable to others.
   Script s(basic_settings());
   s.list(0, {engine(0), engine(1), engine(2)});
   Time now = 1;
@@ -93,8 +95,8 @@
     s.at(++now, {ended(id++, 0, s.sends()[0].engine, Outcome::kServed)});
   };
   for (std::uint64_t group = 0; group < 40; ++group) serve(group);
-  for (int bad = 0; bad < 20; ++bad, ++id) {
-    s.at(++now, {query(id, static_cast<std::uint64_t>(bad))});
+  for (int invalid = 0; invalid < 20; ++invalid, ++id) {
+    s.at(++now, {query(id, static_cast<std::uint64_t>(invalid))});
     ASSERT_EQ(s.sends().size(), 1u);
     s.at(++now, {ended(id, 0, s.sends()[0].engine, Outcome::kError)});
     ASSERT_EQ(s.sends().size(), 1u);
@@ -103,19 +105,19 @@
     EXPECT_EQ(s.all<Fail>().size(), 1u);
   }
   for (std::uint64_t group = 0; group < 40; ++group) serve(group);
-  // One that fails what others serve is found out all the same.
+  // An engine that fails requests which others serve is still detected.
   s.at(++now, {query(id, 7)});
-  const auto sick = s.sends().at(0).engine;
-  s.at(++now, {ended(id, 0, sick, Outcome::kError)});
+  const auto faulty = s.sends().at(0).engine;
+  s.at(++now, {ended(id, 0, faulty, Outcome::kError)});
   s.at(++now, {ended(id++, 1, s.sends().at(0).engine, Outcome::kServed)});
   s.at(++now, {query(id, 7)});
   s.at(++now, {ended(id, 0, s.sends().at(0).engine, Outcome::kError)});
   s.at(++now, {ended(id++, 1, s.sends().at(0).engine, Outcome::kServed)});
   s.at(++now, {query(id, 7)});
-  EXPECT_NE(s.sends().at(0).engine, sick);
+  EXPECT_NE(s.sends().at(0).engine, faulty);
 }
 
-TEST(OutlierDetection, TimeoutsAndCancelledSlowAttemptsTellOfAnEnginesLatency) {
+TEST(OutlierDetection, TimeoutsAndCancelledSlowAttemptsRaiseTheEnginesLatency) {
   auto settings = basic_settings();
   settings.progress_interval = 500'000;
   for (const auto outcome : {Outcome::kNoResponse, Outcome::kCancelled}) {
@@ -126,7 +128,7 @@
     s.at(10'000, {ended(1, 0, preferred, Outcome::kServed)});
     s.wait(20'000, kSecond - 20'000);
     Time now = kSecond;
-    int there = 0;
+    int sends_to_preferred = 0;
     for (RequestId id = 2; id <= 8; ++id, now += 10 * kSecond) {
       auto q = query(id, 7);
       q.deadline = now + 4 * kSecond;
@@ -134,11 +136,11 @@
       ASSERT_EQ(s.sends().size(), 1u);
       const auto at = s.sends()[0].engine;
       if (at == preferred) {
-        ++there;
-        AttemptUpdate note;
-        note.request = id, note.engine = at, note.amount = 0.4;
+        ++sends_to_preferred;
+        AttemptUpdate update;
+        update.request = id, update.engine = at, update.amount = 0.4;
         s.wait(now + 20'000, now + 480'000);
-        s.at(now + 500'000, {note});
+        s.at(now + 500'000, {update});
         s.wait(now + 520'000, now + 3'980'000);
         s.at(now + 3'990'000, {ended(id, 0, at, outcome)});
         s.wait(now + 4 * kSecond, now + 10 * kSecond - 20'000);
@@ -147,8 +149,8 @@
         s.wait(now + 20'000, now + 10 * kSecond - 20'000);
       }
     }
-    EXPECT_GE(there, 1);
-    EXPECT_LE(there, 4);
+    EXPECT_GE(sends_to_preferred, 1);
+    EXPECT_LE(sends_to_preferred, 4);
   }
 }
 
--- a/tests/routing/quota_test.cpp
+++ b/tests/routing/quota_test.cpp
@@ -1,4 +1,4 @@
-// Tenants beyond their quota. Each guard has a test that fails when the guard is taken out.
+// Tests of tenants that exceed their quota.
 #include <gtest/gtest.h>
 
 #include <cstddef>
@@ -10,21 +10,22 @@
 namespace rookproxy::routing {
 namespace {
 
-TEST(Quota, BeyondItsQuotaATenantWaitsBehindTheOthers) {
+TEST(Quota, TenantBeyondItsQuotaWaitsBehindOthers) {
   auto settings = basic_settings();
-  settings.machine_types[0].cores = 0.5;  // a window of one query
+  settings.machine_types[0].cores = 0.5;  // One query fits.
   settings.over_quota_weight = 0.05;
   settings.tenants = {{"a", 1, 0.5}, {"b", 1, 0.5}};
   Script s(settings);
   s.list(0, {engine(0)});
-  const auto of = [](RequestId id, std::uint32_t tenant) {
+  const auto tenant_query = [](RequestId id, std::uint32_t tenant) {
     auto q = query(id);
     q.tenant = tenant;
     return q;
   };
   std::vector<Event> burst;
-  for (RequestId id = 1; id <= 8; ++id) burst.push_back(of(id, 0));  // five seconds' worth are saved up
-  burst.push_back(of(9, 1));
+  for (RequestId id = 1; id <= 8; ++id)
+    burst.push_back(tenant_query(id, 0));  // Five seconds' worth of quota are saved.
+  burst.push_back(tenant_query(9, 1));
   s.at(1, burst);
   std::vector<RequestId> order;
   for (std::size_t i = 0; i < 9; ++i) {
--- a/tests/routing/records_test.cpp
+++ b/tests/routing/records_test.cpp
@@ -1,4 +1,4 @@
-// The records that the router keeps of requests, engines and classes.
+// Tests of the router's records of requests, engines and classes.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -24,7 +24,7 @@
   return e;
 }
 
-TEST(Outcome, SaysWhatAnAttemptMayHaveDone) {
+TEST(Outcome, ClassifiesWhetherAnAttemptRanOrMayStillRun) {
   EXPECT_TRUE(never_ran(Outcome::kRejected));
   EXPECT_TRUE(never_ran(Outcome::kConnectFailed));
   EXPECT_TRUE(never_ran(Outcome::kNotSent));
@@ -40,7 +40,7 @@
   EXPECT_FALSE(is_engine_failure(Outcome::kError));
 }
 
-TEST(Attempt, SharesAScopeWithEnginesOfItsZoneOrCell) {
+TEST(Attempt, SharesItsScopeWithEnginesOfItsZoneOrCell) {
   Attempt attempt;
   attempt.zone = 1;
   attempt.cell = 4;
@@ -56,7 +56,7 @@
   EXPECT_TRUE(attempt.shares_scope(same_zone, IdempotencyScope::kCell));
 }
 
-TEST(Request, KnowsWhatItsAttemptsDid) {
+TEST(Request, SummarizesItsAttempts) {
   Request request;
   EXPECT_FALSE(request.may_have_run());
   EXPECT_FALSE(request.was_last_sent_to(0));
@@ -71,11 +71,11 @@
   EXPECT_FALSE(request.was_last_sent_to(3));
 }
 
-TEST(Engine, SeesARestartByTheTimeOfItsStart) {
+TEST(Engine, NewStartTimeCountsAsRestart) {
   const std::vector<MachineTypeSettings> types = {{"small", 8.0, 16384.0}};
   Engine engine;
   EXPECT_FALSE(engine.is_serving());
-  EXPECT_FALSE(engine.update(entry(0), types, 1)) << "it has run for long";
+  EXPECT_FALSE(engine.update(entry(0), types, 1)) << "it has been running for long";
   EXPECT_TRUE(engine.is_serving());
   EXPECT_EQ(engine.cores, 8);
   EXPECT_EQ(engine.memory_mb, 16384);
@@ -86,16 +86,16 @@
   EXPECT_TRUE(fresh.update(entry(5), types, 3)) << "first seen after a start";
 }
 
-TEST(Engine, KeepsItsCoresWhereItsMachineTypeIsUnknown) {
+TEST(Engine, UnknownMachineTypeLeavesCoresUnchanged) {
   Engine engine;
   EXPECT_FALSE(engine.update(entry(0, 7), {{"small", 8.0, 16384.0}}, 1));
   EXPECT_EQ(engine.cores, 1);
-  EXPECT_FALSE(engine.update(entry(0, 0), {{"told nothing", std::nullopt, std::nullopt}}, 2));
+  EXPECT_FALSE(engine.update(entry(0, 0), {{"unspecified", std::nullopt, std::nullopt}}, 2));
   EXPECT_EQ(engine.cores, 1);
   EXPECT_EQ(engine.memory_mb, 0);
 }
 
-TEST(Engine, ItsCentroidIsAMeanOverGroups) {
+TEST(Engine, CentroidIsWeightedMeanOfGroups) {
   Engine engine;
   engine.move_centroid(7, 0);
   EXPECT_EQ(engine.affinity(7).centroid, 1);
@@ -110,7 +110,7 @@
   EXPECT_EQ(engine.centroid_sends, 0);
 }
 
-TEST(Engine, ForgetsGroupsThatNothingHasToDoWith) {
+TEST(Engine, DropsGroupsWithoutCentroidAttemptsOrLoads) {
   Engine engine;
   engine.affinity_record(1).centroid = 0.5;
   engine.affinity_record(2).active_readers = 1;
@@ -138,7 +138,7 @@
   EXPECT_EQ(engine.threads.at_or_above(0), 0);
 }
 
-TEST(Engine, RemembersItsLastReport) {
+TEST(Engine, ReportReplacesValuesAndResetsSends) {
   Engine engine;
   engine.sent_since_report = 3;
   engine.record_report(9, 1.5, 20);
@@ -148,7 +148,7 @@
   EXPECT_EQ(engine.sent_since_report, 0);
 }
 
-TEST(Engine, IsIdleOnceRemovedWithNothingInFlight) {
+TEST(Engine, IsIdleWhenRemovedWithoutAttemptsInFlight) {
   Engine engine;
   EXPECT_FALSE(engine.is_removed_and_idle());
   engine.entry.state = EngineState::kRemoved;
@@ -157,7 +157,7 @@
   EXPECT_FALSE(engine.is_removed_and_idle());
 }
 
-TEST(RequestTable, ForgetsWhatIsCompletedAndOutOfFlight) {
+TEST(RequestTable, RemovesMarkedRequestsThatAreCompletedAndNotInFlight) {
   RequestTable table;
   RequestArrived arrived;
   arrived.id = 4;
@@ -175,7 +175,7 @@
   EXPECT_TRUE(table.contains(4)) << "an attempt is in flight";
   request.attempts_in_flight = 0;
   table.remove_completed();
-  EXPECT_TRUE(table.contains(4)) << "nothing has noted its end";
+  EXPECT_TRUE(table.contains(4)) << "its completion was not marked again";
   table.mark_completed(request);
   table.remove_completed();
   EXPECT_TRUE(table.empty());
@@ -193,7 +193,7 @@
   RoutingState state;
   OrderedKeys keys{state};
 
-  // What admission makes of the record.
+  // The check that Admission makes of the key.
   [[nodiscard]] bool may_start(const Request& request) const {
     if (!keys.is_ordered(request)) return true;
     return keys.is_first(request) && (!request.attempts.empty() || !keys.in_cooldown(request));
@@ -202,7 +202,7 @@
   Request second;
 };
 
-TEST_F(OrderedKeysTest, OneRequestOfAKeyAtATime) {
+TEST_F(OrderedKeysTest, RunsOneRequestOfAKeyAtATime) {
   EXPECT_TRUE(may_start(first));
   EXPECT_FALSE(may_start(second));
   keys.remove_if_done(first);
@@ -216,7 +216,7 @@
   EXPECT_TRUE(may_start(second));
 }
 
-TEST_F(OrderedKeysTest, AKeyRestsDuringItsCooldown) {
+TEST_F(OrderedKeysTest, NextRequestOfAKeyWaitsForTheCooldown) {
   first.completed = true;
   keys.start_cooldown(first);
   keys.remove_if_done(first);
@@ -225,14 +225,14 @@
   EXPECT_TRUE(may_start(second));
 }
 
-TEST_F(OrderedKeysTest, WithoutKeyOrOrderAllMayStart) {
-  Request free;
-  EXPECT_TRUE(may_start(free));
+TEST_F(OrderedKeysTest, RequestsWithoutKeyOrOrderedClassMayStart) {
+  Request unordered;
+  EXPECT_TRUE(may_start(unordered));
   state.settings.classes[0].ordered = false;
   EXPECT_TRUE(may_start(second));
 }
 
-TEST(RetryBudgetCounter, AllowsAShareOfRecentRequests) {
+TEST(RetryBudgetCounter, AllowsRetriesInProportionToRecentRequests) {
   const RetryBudget budget{.min_retries = 1, .retry_ratio = 0.5, .window = 100};
   RetryBudgetCounter counter;
   EXPECT_TRUE(counter.allows_retry(budget, 0));
@@ -253,7 +253,7 @@
   return c;
 }
 
-TEST(ClassState, IsCarriedOverByPlaceAndThenByName) {
+TEST(ClassState, IsCarriedOverByIndexAndOtherwiseByName) {
   const std::vector<ClassSettings> before = {named("a", 1), named("b", 2)};
   std::vector<ClassState> known(2);
   known[0].grant_factor = 10;
@@ -263,12 +263,12 @@
   const auto states = carry_over(before, known, after, initial);
   ASSERT_EQ(states.size(), 4u);
   EXPECT_EQ(states[0].grant_factor, 10);
-  EXPECT_EQ(states[1].grant_factor, 10) << "other settings, the same name";
+  EXPECT_EQ(states[1].grant_factor, 10) << "changed settings, same name";
   EXPECT_EQ(states[2].grant_factor, 20);
-  EXPECT_EQ(states[3].grant_factor, 1) << "new";
+  EXPECT_EQ(states[3].grant_factor, 1) << "new class";
 }
 
-TEST(ClassState, CountsOnTheLargerOfBothEstimatesOfWork) {
+TEST(ClassState, ConservativeWorkIsLargerOfBothEstimates) {
   ClassState state;
   state.mean_work = ExponentialAverage(5);
   EXPECT_EQ(state.conservative_work(), 5);
--- a/tests/routing/retry_policy_test.cpp
+++ b/tests/routing/retry_policy_test.cpp
@@ -1,5 +1,4 @@
-// Where and how often a request may be sent again. Each guard has a test that fails when the guard is taken
-// out.
+// Tests of where and how often a request may be sent again.
 #include <gtest/gtest.h>
 
 #include <cstddef>
@@ -44,9 +43,9 @@
   return settings;
 }
 
-TEST(Idempotency, KeyedStaysInItsZoneOrCell) {
+TEST(Idempotency, KeyedRequestIsRetriedOnlyWithinItsZoneOrCell) {
   for (const auto scope : {IdempotencyScope::kZone, IdempotencyScope::kCell}) {
-    int alone = 0;
+    int first_on_single = 0;
     for (std::uint64_t group = 1; group < 20; ++group) {
       Script s(keyed(scope));
       auto a = engine(0), b = engine(1), c = engine(2);
@@ -57,15 +56,15 @@
       const auto first = s.sends().at(0).engine;
       s.at(2, {ended(1, 0, first, Outcome::kConnectionLost)});
       EXPECT_EQ(s.all<Reject>().size(), 0u);
-      alone += first == 0;  // no other engine drops its repeats
+      first_on_single += first == 0;  // No other engine detects its duplicates.
       ASSERT_EQ(s.sends().size(), 1u);
       EXPECT_EQ(s.sends()[0].engine == 0, first == 0);
     }
-    EXPECT_GT(alone, 0);
+    EXPECT_GT(first_on_single, 0);
   }
 }
 
-TEST(Idempotency, KeyedIsNotRetriedOutsideItsWindow) {
+TEST(Idempotency, KeyedRequestIsNotRetriedAfterItsWindow) {
   Script s(keyed(IdempotencyScope::kAll));
   s.list(0, {engine(0), engine(1)});
   s.at(1, {query(1), query(2)});
@@ -77,7 +76,7 @@
   EXPECT_EQ(s.final_responses(), 1u);
 }
 
-TEST(Idempotency, OneAttemptAtATime) {
+TEST(Idempotency, WithoutHedgingOneAttemptRunsAtATime) {
   Script s(basic_settings());
   s.list(0, {engine(0), engine(1)});
   s.at(1, {query(1)});
@@ -85,7 +84,7 @@
   EXPECT_EQ(s.all_sends.size(), 1u);
 }
 
-TEST(AllowedEngines, ClassesKeepToTheirZonesAndMachineTypes) {
+TEST(AllowedEngines, RequestsRunOnlyInAllowedZonesAndMachineTypes) {
   auto settings = basic_settings();
   settings.classes[0].allowed_zones = std::vector<std::uint32_t>{1};
   settings.classes[0].allowed_machine_types = std::vector<std::uint32_t>{1};
@@ -104,7 +103,7 @@
   for (const auto& send : s.all_sends) EXPECT_EQ(send.engine, 2u);
 }
 
-TEST(Retries, StayWithinTheBudget) {
+TEST(Retries, StayWithinTheRetryBudget) {
   auto settings = basic_settings();
   settings.retry_budget = RetryBudget{2, 0.1, 10 * kSecond};
   Script s(settings);
@@ -114,15 +113,15 @@
   s.at(1, burst);
   const auto first = s.sends();
   ASSERT_EQ(first.size(), 10u);
-  std::size_t extra = 0;
+  std::size_t retries = 0;
   for (const auto& send : first) {
     s.at(2, {ended(send.request, 0, send.engine, Outcome::kRejected)});
-    extra += s.sends().size();
+    retries += s.sends().size();
   }
-  EXPECT_EQ(extra, 3u);  // 2 + 0.1 x 10
+  EXPECT_EQ(retries, 3u);  // 2 + 0.1 * 10.
 }
 
-TEST(Retries, NoMoreThanAllowed) {
+TEST(Retries, StopAtMaxAttempts) {
   auto settings = basic_settings();
   settings.max_attempts = 2;
   Script s(settings);
--- a/tests/routing/router_fleet.h
+++ b/tests/routing/router_fleet.h
@@ -1,6 +1,6 @@
-// Many Routers in virtual time over models of engines: what each decides alone, summed over the fleet.
-// Seeded, so the same figures come at every run. The fleet counts what the rules forbid; tests add their own
-// sums.
+// Simulates many Routers and the engines that they share in virtual time, to test the combined effect of
+// decisions that each Router makes alone. The simulation is seeded and reproducible. It counts violations of
+// the rules that every dispatcher has to keep; tests add their own checks.
 #pragma once
 
 #include <algorithm>
@@ -21,14 +21,17 @@
 namespace rookproxy::routing::fleet {
 
 constexpr Time kSecond = 1'000'000, kStep = 5'000;
-constexpr Time kListDelayAllowance = 7 * kSecond;  // what the directory has to tell counts as told by then
+// Changes of the engine list count as known to all dispatchers after this time.
+constexpr Time kListDelayAllowance = 7 * kSecond;
 
-class Random {  // the library's distributions differ between platforms, its engines don't
+// The distributions of the standard library differ between platforms, its engines do not.
+class Random {
  public:
   explicit Random(std::uint64_t seed) : bits_(seed) {}
   double unit() { return (static_cast<double>(bits_() >> 11) + 0.5) * 0x1p-53; }
   double exponential(double mean) { return -mean * std::log(unit()); }
-  double log_normal(double cv) {  // lognormal, of mean 1
+  // Returns a sample of the lognormal distribution with mean 1 and coefficient of variation `cv`.
+  double log_normal(double cv) {
     const double s2 = std::log1p(cv * cv), two_pi = 6.283185307179586;
     return std::exp(std::sqrt(-2 * s2 * std::log(unit())) * std::cos(two_pi * unit()) - s2 / 2);
   }
@@ -37,19 +40,24 @@
   std::mt19937_64 bits_;
 };
 
-struct TrafficClass {  // what comes of one class
-  double requests_per_second = 0, mean_work = 0,
-         coefficient_of_variation = 1;  // over the fleet; microseconds of one thread
-  bool has_estimate = true;             // does an estimate come with it?
+// The traffic of one class over the whole fleet.
+struct TrafficClass {
+  // The mean work, in microseconds of one thread, and its coefficient of variation.
+  double requests_per_second = 0, mean_work = 0, coefficient_of_variation = 1;
+  // Whether requests arrive with an estimate of their work.
+  bool has_estimate = true;
 };
 
 struct RunningAttempt {
-  std::size_t request = 0;  // index into `asked`
+  // Index into `requests`.
+  std::size_t request = 0;
   std::uint32_t attempt = 0;
-  EngineId engine = 0;  // that it was sent to; the process may be another's
+  // Engine that it was sent to; its address may lead to the process of another engine.
+  EngineId engine = 0;
   double remaining_work = 0;
   Time sent_at = 0, next_update_at = 0;
-  bool lost = false;  // its answer and notes get lost on the way
+  // Whether its response and updates are lost.
+  bool lost = false;
 };
 
 struct EngineProcess {
@@ -57,7 +65,8 @@
   Time started_at = 0;
   bool exited = false, hung = false;
   std::vector<RunningAttempt> attempts;
-  std::size_t max_attempts = 64;  // more are turned away
+  // Further attempts are rejected.
+  std::size_t max_attempts = 64;
 };
 
 struct SimulatedRequest {
@@ -65,9 +74,12 @@
   ClassIndex class_index = 0;
   double work = 0;
   Time arrived = 0, objective_at = 0, deadline = 0;
-  Time ended_at = -1;      // final answer
-  bool succeeded = false;  // ... and which
-  bool orphaned = false;   // its dispatcher died
+  // Time of the final response. -1: none yet.
+  Time ended_at = -1;
+  // Whether the request was served.
+  bool succeeded = false;
+  // Whether its dispatcher was killed.
+  bool orphaned = false;
   std::uint32_t sends = 0;
   int attempts_in_flight = 0;
   bool may_have_run = false;
@@ -79,22 +91,24 @@
   EngineId engine = 0;
   std::size_t process = 0;
   double work = 0;
-  bool start_was_listed = false;  // its dispatcher had been told of the start of that process
+  // Whether its dispatcher knew the start time of that process.
+  bool start_was_listed = false;
 };
 
+// A fleet of dispatchers, its traffic and its engines. Time advances in steps of kStep.
 class SimulatedCluster {
  public:
-  // Each dispatcher in so many processes, which part what rules that count all allow it, as
-  // Dispatcher::share has it.
-  SimulatedCluster(Settings settings, std::vector<TrafficClass> traffic, std::uint64_t seed,
-                   std::uint32_t parts = 1)
-      : loads(std::move(traffic)),
+  // A fleet of dispatchers that each run `processes_each` processes, which divide the slow-start budget among
+  // them.
+  SimulatedCluster(Settings settings, std::vector<TrafficClass> traffic_by_class, std::uint64_t seed,
+                   std::uint32_t processes_each = 1)
+      : traffic_classes(std::move(traffic_by_class)),
         random(seed),
         settings_(std::move(settings)),
-        processes_per_dispatcher_(parts),
-        dispatchers_(settings_.instance_count * parts) {
+        processes_per_dispatcher_(processes_each),
+        dispatchers_(settings_.instance_count * processes_each) {
     for (std::uint32_t i = 0; i < dispatchers_.size(); ++i) {
-      dispatchers_[i].next.assign(loads.size(), -1);
+      dispatchers_[i].next.assign(traffic_classes.size(), -1);
       start(i);
     }
   }
@@ -110,11 +124,11 @@
     return id;
   }
   EngineProcess& process(EngineId id) { return processes[process_of_engine[id]]; }
-  // The process ends; what is open there is reset. It may begin anew at its address.
+  // Ends the engine's process and resets its connections. It may be started again at the same address.
   void stop_process(EngineId id) {
     process(id).exited = true;
-    for (const auto& job : std::exchange(process(id).attempts, {}))
-      report_outcome(job, Outcome::kConnectionLost);
+    for (const auto& running : std::exchange(process(id).attempts, {}))
+      report_outcome(running, Outcome::kConnectionLost);
   }
   void start_process(EngineId id) {
     process_of_engine[id] = processes.size();
@@ -123,7 +137,8 @@
     entry(id).state = EngineState::kServing;
     drained_at_.erase(id);
   }
-  void drain_engine(EngineId id) {  // it drains; the list says so when it is published
+  // Starts draining the engine. Dispatchers learn of it when the list is published.
+  void drain_engine(EngineId id) {
     entry(id).state = EngineState::kDraining;
     drained_at_.try_emplace(id, now);
   }
@@ -131,15 +146,16 @@
     return *std::find_if(engine_list.begin(), engine_list.end(), [&](auto& e) { return e.id == id; });
   }
 
-  // The list as it stands comes to each dispatcher at a moment of its own within `spread`, to one in
-  // `late_one_in` after up to 6 s instead.
-  void publish_list(Time spread, int late_one_in = 0) {
+  // Delivers the current list to each dispatcher after a random time of up to `max_delay`, or up to 6 s for
+  // one in `delayed_one_in` dispatchers.
+  void publish_list(Time max_delay, int delayed_one_in = 0) {
     ++version_;
     for (std::uint32_t i = 0; i < dispatchers_.size(); ++i) {
-      const bool late = late_one_in > 0 && random.unit() * late_one_in < 1;
-      const auto after = static_cast<Time>(random.unit() * static_cast<double>(late ? 6 * kSecond : spread));
+      const bool late = delayed_one_in > 0 && random.unit() * delayed_one_in < 1;
+      const auto list_delay =
+          static_cast<Time>(random.unit() * static_cast<double>(late ? 6 * kSecond : max_delay));
       const auto version = version_;
-      schedule(now + after, [this, i, version, entries = engine_list] {
+      schedule(now + list_delay, [this, i, version, entries = engine_list] {
         auto& n = dispatchers_[i];
         if (version <= n.version) return;
         n.version = version;
@@ -147,24 +163,27 @@
       });
     }
   }
-  // Killed; its successor knows the list of the day's start, or nothing, and within `after` the present one.
-  void restart_dispatcher(std::uint32_t i, Time after = 2 * kSecond / 5, bool remembers = true) {
+  // Kills the dispatcher and starts a new one, which has the initial list as a cache if `has_cached_list`,
+  // and gets the current list within `list_delay`.
+  void restart_dispatcher(std::uint32_t i, Time list_delay = 2 * kSecond / 5, bool has_cached_list = true) {
     for (auto& p : processes)
       std::erase_if(p.attempts,
-                    [&](const RunningAttempt& job) { return requests[job.request].dispatcher == i; });
+                    [&](const RunningAttempt& running) { return requests[running.request].dispatcher == i; });
     for (const auto r : dispatchers_[i].open) requests[r].orphaned = true;
     auto next = std::move(dispatchers_[i].next);
     dispatchers_[i] = {};
     dispatchers_[i].next = std::move(next);
     start(i);
-    if (remembers) deliver_list(dispatchers_[i], {EngineListKind::kCached, initial_list});
-    schedule(now + static_cast<Time>(random.unit() * static_cast<double>(after)), [this, i] {
+    if (has_cached_list) deliver_list(dispatchers_[i], {EngineListKind::kCached, initial_list});
+    schedule(now + static_cast<Time>(random.unit() * static_cast<double>(list_delay)), [this, i] {
       dispatchers_[i].version = version_;
       deliver_list(dispatchers_[i], {EngineListKind::kSnapshot, engine_list});
     });
   }
 
-  void schedule(Time when, std::function<void()> what) { calendar_.emplace(when, std::move(what)); }
+  void schedule(Time due_at, std::function<void()> callback) {
+    scheduled_.emplace(due_at, std::move(callback));
+  }
 
   void run(Time until) {
     if (initial_list.empty()) {
@@ -173,7 +192,7 @@
     }
     for (; now < until; now += kStep) step();
   }
-  // No more comes; all that is open has its end.
+  // Stops the traffic and runs until all open requests have ended.
   void drain() {
     traffic_factor = 0;
     const Time last = now + 30 * kSecond;
@@ -187,11 +206,11 @@
     for (const auto& a : requests) sum += a.work;
     return sum / static_cast<double>(std::max<std::size_t>(1, requests.size()));
   }
-  double capacity_share(const SlowStart& cold,
-                        double age) const {  // share of its capacity at this share of its ramp
+  // Returns the fraction of its capacity that an engine has at the fraction `age` of its warm-up.
+  double capacity_share(const SlowStart& cold, double age) const {
     return cold.initial_share + (capacity_grows_at_end ? 0 : (1 - cold.initial_share) * age * age);
   }
-  // Taken by a dispatcher that lived on and with no answer in its time.
+  // Returns the number of requests that got no response in time although their dispatcher was not killed.
   std::size_t unanswered() const {
     return static_cast<std::size_t>(
         std::count_if(requests.begin(), requests.end(), [this](const SimulatedRequest& a) {
@@ -200,18 +219,25 @@
         }));
   }
 
-  std::vector<TrafficClass> loads;
+  std::vector<TrafficClass> traffic_classes;
   Random random;
   Time now = 0;
-  double traffic_factor = 1;             // times the usual traffic
-  double busy_dispatcher_factor = 2.75;  // a tenth of the dispatchers carry so many times the mean
-  double first_dispatcher_share = 0;     // share of all traffic that comes to the first, if any
-  bool capacity_grows_at_end = false;    // a cold engine stays as it began until it is warm at once
-  double estimate_factor = 1;            // estimates, in times of the work
+  // Multiplies the traffic of all classes.
+  double traffic_factor = 1;
+  // A tenth of the dispatchers get this multiple of the mean traffic.
+  double busy_dispatcher_factor = 2.75;
+  // Fraction of all traffic that the first dispatcher gets. 0: the same as others.
+  double first_dispatcher_share = 0;
+  // Whether an engine stays at its initial capacity until the end of its warm-up.
+  bool capacity_grows_at_end = false;
+  // Ratio of estimated to actual work.
+  double estimate_factor = 1;
   double table_groups = 40;
-  double loss_rate = 0;  // share of attempts that nothing is heard of
+  // Fraction of attempts whose response and updates are lost.
+  double loss_rate = 0;
   std::vector<EngineProcess> processes;
-  std::vector<std::size_t> process_of_engine;  // by engine: the process that its address leads to
+  // Index of the process at the address of each engine.
+  std::vector<std::size_t> process_of_engine;
   std::vector<EngineEntry> engine_list, initial_list;
   std::vector<SimulatedRequest> requests;
   std::vector<SentAttempt> sent_attempts;
@@ -225,11 +251,13 @@
     std::priority_queue<std::pair<Time, std::uint64_t>, std::vector<std::pair<Time, std::uint64_t>>,
                         std::greater<>>
         timers;
-    std::vector<Time> next;  // arrival, by class
+    // Time of the next arrival, by class.
+    std::vector<Time> next;
     std::set<std::size_t> open;
     std::uint64_t version = 0;
     std::map<EngineId, EngineEntry> known_engines;
-    std::map<EngineId, Time> closed_at;  // when it was told that one takes nothing new
+    // Time at which the dispatcher learned that the engine accepts no requests.
+    std::map<EngineId, Time> closed_at;
   };
 
   void start(std::uint32_t i) {
@@ -239,10 +267,10 @@
     dispatchers_[i].router = std::make_unique<Router>(s);
   }
 
-  void deliver_list(Dispatcher& n, const EngineList& news) {
-    n.inbox.push_back(news);
+  void deliver_list(Dispatcher& n, const EngineList& list) {
+    n.inbox.push_back(list);
     auto before = std::exchange(n.known_engines, {});
-    for (const auto& e : news.entries) n.known_engines[e.id] = e;
+    for (const auto& e : list.entries) n.known_engines[e.id] = e;
     for (const auto& [id, e] : before) {
       if (!n.known_engines.contains(id)) n.closed_at.try_emplace(id, now);
     }
@@ -255,10 +283,10 @@
   }
 
   void step() {
-    while (!calendar_.empty() && calendar_.begin()->first <= now) {
-      const auto what = std::move(calendar_.begin()->second);
-      calendar_.erase(calendar_.begin());
-      what();
+    while (!scheduled_.empty() && scheduled_.begin()->first <= now) {
+      const auto callback = std::move(scheduled_.begin()->second);
+      scheduled_.erase(scheduled_.begin());
+      callback();
     }
     for (std::uint32_t i = 0; i < dispatchers_.size(); ++i) generate_arrivals(i);
     for (auto& p : processes) run_process(p);
@@ -276,23 +304,25 @@
 
   void generate_arrivals(std::uint32_t i) {
     auto& n = dispatchers_[i];
-    const auto nodes = static_cast<double>(dispatchers_.size());
-    double part = (i % 10 == 3 ? busy_dispatcher_factor : (1 - busy_dispatcher_factor / 10) / 0.9) / nodes;
+    const auto dispatcher_count = static_cast<double>(dispatchers_.size());
+    double part =
+        (i % 10 == 3 ? busy_dispatcher_factor : (1 - busy_dispatcher_factor / 10) / 0.9) / dispatcher_count;
     if (first_dispatcher_share > 0)
-      part = i == 0 ? first_dispatcher_share : (1 - first_dispatcher_share) / (nodes - 1);
-    for (ClassIndex c = 0; c < loads.size(); ++c) {
-      const double rate = loads[c].requests_per_second * part * traffic_factor;
+      part = i == 0 ? first_dispatcher_share : (1 - first_dispatcher_share) / (dispatcher_count - 1);
+    for (ClassIndex c = 0; c < traffic_classes.size(); ++c) {
+      const double rate = traffic_classes[c].requests_per_second * part * traffic_factor;
       if (rate <= 0) continue;
       if (n.next[c] < 0) n.next[c] = now + static_cast<Time>(random.exponential(1e6 / rate));
       while (n.next[c] <= now) {
         n.next[c] += 1 + static_cast<Time>(random.exponential(1e6 / rate));
         const auto& k = settings_.classes[c];
         const double work =
-            std::max(1000.0, loads[c].mean_work * random.log_normal(loads[c].coefficient_of_variation));
+            std::max(1000.0, traffic_classes[c].mean_work *
+                                 random.log_normal(traffic_classes[c].coefficient_of_variation));
         RequestArrived r;
         r.id = requests.size() + 1, r.class_index = c, r.deadline = now + k.timeout;
         r.group = 1 + static_cast<std::uint64_t>(table_groups * std::pow(random.unit(), 2));
-        if (loads[c].has_estimate) r.work = work * estimate_factor * random.log_normal(0.15);
+        if (traffic_classes[c].has_estimate) r.work = work * estimate_factor * random.log_normal(0.15);
         SimulatedRequest a;
         a.dispatcher = i, a.class_index = c, a.work = work, a.arrived = now, a.deadline = r.deadline;
         a.objective_at =
@@ -312,40 +342,44 @@
   }
 
   void run_process(EngineProcess& p) {
-    double wanted = 0;
-    for (const auto& job : p.attempts) wanted += settings_.classes[requests[job.request].class_index].threads;
-    const double pace = std::min(1.0, p.cores * warm_up_share(p) / std::max(1.0, wanted));
-    std::vector<RunningAttempt> over;
-    for (auto& job : p.attempts) {
-      const auto& a = requests[job.request];
-      if (!p.hung && !job.lost)
-        job.remaining_work -= pace * settings_.classes[a.class_index].threads * static_cast<double>(kStep);
-      if (job.remaining_work <= 0 || now >= a.deadline) {
-        over.push_back(job);
-      } else if (settings_.progress_interval && !p.hung && !job.lost && now >= job.next_update_at) {
-        job.next_update_at = now + *settings_.progress_interval;
-        AttemptUpdate note;
-        note.request = job.request + 1, note.attempt = job.attempt, note.engine = job.engine;
-        note.amount = 1 - job.remaining_work / a.work;
-        dispatchers_[a.dispatcher].inbox.push_back(note);
+    double wanted_threads = 0;
+    for (const auto& running : p.attempts)
+      wanted_threads += settings_.classes[requests[running.request].class_index].threads;
+    const double speed = std::min(1.0, p.cores * warm_up_share(p) / std::max(1.0, wanted_threads));
+    std::vector<RunningAttempt> finished;
+    for (auto& running : p.attempts) {
+      const auto& a = requests[running.request];
+      if (!p.hung && !running.lost)
+        running.remaining_work -=
+            speed * settings_.classes[a.class_index].threads * static_cast<double>(kStep);
+      if (running.remaining_work <= 0 || now >= a.deadline) {
+        finished.push_back(running);
+      } else if (settings_.progress_interval && !p.hung && !running.lost && now >= running.next_update_at) {
+        running.next_update_at = now + *settings_.progress_interval;
+        AttemptUpdate update;
+        update.request = running.request + 1, update.attempt = running.attempt,
+        update.engine = running.engine;
+        update.amount = 1 - running.remaining_work / a.work;
+        dispatchers_[a.dispatcher].inbox.push_back(update);
       }
     }
     std::erase_if(p.attempts, [&](const RunningAttempt& j) {
       return j.remaining_work <= 0 || now >= requests[j.request].deadline;
     });
-    for (const auto& job : over)
-      report_outcome(job, job.remaining_work <= 0 ? Outcome::kServed : Outcome::kNoResponse);
+    for (const auto& running : finished)
+      report_outcome(running, running.remaining_work <= 0 ? Outcome::kServed : Outcome::kNoResponse);
   }
 
-  void report_outcome(const RunningAttempt& job, Outcome outcome) {
-    auto& a = requests[job.request];
+  void report_outcome(const RunningAttempt& running, Outcome outcome) {
+    auto& a = requests[running.request];
     if (a.orphaned) return;
     AttemptEnded e;
-    e.request = job.request + 1, e.attempt = job.attempt, e.engine = job.engine, e.outcome = outcome;
-    e.latency = now - job.sent_at;
+    e.request = running.request + 1, e.attempt = running.attempt, e.engine = running.engine,
+    e.outcome = outcome;
+    e.latency = now - running.sent_at;
     --a.attempts_in_flight;
     a.may_have_run |= outcome != Outcome::kRejected && outcome != Outcome::kConnectFailed;
-    if (outcome == Outcome::kServed && a.ended_at < 0) complete_request(job.request, true);
+    if (outcome == Outcome::kServed && a.ended_at < 0) complete_request(running.request, true);
     e.completed = a.ended_at >= 0;
     dispatchers_[a.dispatcher].inbox.push_back(e);
   }
@@ -365,12 +399,12 @@
       send(i, *s);
     } else if (const auto* c = std::get_if<Cancel>(&action)) {
       for (auto& p : processes) {
-        const auto job = std::find_if(p.attempts.begin(), p.attempts.end(), [&](const RunningAttempt& j) {
+        const auto running = std::find_if(p.attempts.begin(), p.attempts.end(), [&](const RunningAttempt& j) {
           return j.request + 1 == c->request && j.attempt == c->attempt;
         });
-        if (job == p.attempts.end()) continue;
-        const RunningAttempt ended = *job;
-        p.attempts.erase(job);
+        if (running == p.attempts.end()) continue;
+        const RunningAttempt ended = *running;
+        p.attempts.erase(running);
         report_outcome(ended, Outcome::kCancelled);
       }
     } else if (const auto* p = std::get_if<Probe>(&action)) {
@@ -402,30 +436,32 @@
     if (drained_at_.contains(s.engine))
       closed = std::min(closed, drained_at_[s.engine] + kListDelayAllowance);
     sends_after_drain += closed < now - settings_.drain_grace_period;
-    const auto told = n.known_engines.find(s.engine);
+    const auto known = n.known_engines.find(s.engine);
     auto& p = process(s.engine);
     sent_attempts.push_back({now, i, s.engine, process_of_engine[s.engine], a.work,
-                             told != n.known_engines.end() && told->second.started_at == p.started_at});
-    RunningAttempt job;
-    job.request = s.request - 1, job.attempt = a.sends++, job.engine = s.engine, job.remaining_work = a.work;
-    job.sent_at = now, job.next_update_at = now + settings_.progress_interval.value_or(0);
-    job.lost = loss_rate > 0 && random.unit() < loss_rate;
+                             known != n.known_engines.end() && known->second.started_at == p.started_at});
+    RunningAttempt running;
+    running.request = s.request - 1, running.attempt = a.sends++, running.engine = s.engine,
+    running.remaining_work = a.work;
+    running.sent_at = now, running.next_update_at = now + settings_.progress_interval.value_or(0);
+    running.lost = loss_rate > 0 && random.unit() < loss_rate;
     ++a.attempts_in_flight;
     if (p.exited || p.attempts.size() >= p.max_attempts) {
-      schedule(now + kStep, [this, job, gone = p.exited] {
-        report_outcome(job, gone ? Outcome::kConnectFailed : Outcome::kRejected);
+      schedule(now + kStep, [this, running, process_exited = p.exited] {
+        report_outcome(running, process_exited ? Outcome::kConnectFailed : Outcome::kRejected);
       });
     } else {
-      p.attempts.push_back(job);
+      p.attempts.push_back(running);
     }
   }
 
   Settings settings_;
   std::uint32_t processes_per_dispatcher_ = 1;
   std::vector<Dispatcher> dispatchers_;
-  std::multimap<Time, std::function<void()>> calendar_;
+  std::multimap<Time, std::function<void()>> scheduled_;
   std::map<EngineId, Time>
-      drained_at_;  // when it happened: known or not, it counts as told some seconds later
+      // Time at which the engine started to drain, whether dispatchers know it or not.
+      drained_at_;
   std::uint64_t version_ = 0;
   std::vector<Action> actions_;
 };
--- a/tests/routing/router_fleet_test.cpp
+++ b/tests/routing/router_fleet_test.cpp
@@ -1,4 +1,5 @@
-// Troubles of engines and lists that many dispatchers see a little of each, in virtual time.
+// Simulations of failing engines and delayed engine lists that each of many dispatchers sees only a small
+// part of.
 #include <gtest/gtest.h>
 
 #include <cstdio>
@@ -12,9 +13,9 @@
 using fleet::SimulatedCluster;
 using fleet::TrafficClass;
 
-Settings settings_of(std::uint32_t routers) {
+Settings settings_of(std::uint32_t instances) {
   Settings s;
-  s.instance_count = routers;
+  s.instance_count = instances;
   s.max_attempts = 6, s.may_cancel = true, s.max_retry_after = 2 * kSecond;
   s.machine_types = {{"k", 8.0, 16384.0}};
   s.response_grace_period = 20'000, s.drain_grace_period = 2 * kSecond, s.progress_interval = kSecond / 2;
@@ -34,8 +35,8 @@
   return s;
 }
 
-// 0.24 s of work each, over the fleet.
-std::vector<TrafficClass> loads_of(double per_second) {
+// Traffic of the whole fleet with a mean of 0.24 s of work per request.
+std::vector<TrafficClass> traffic_of(double per_second) {
   return {{per_second * 0.86, 120'000, 1}, {per_second * 0.12, 900'000, 0.8}, {per_second * 0.02, 2e6, 0.8}};
 }
 
@@ -47,11 +48,12 @@
   EXPECT_EQ(f.unanswered(), 0u);
 }
 
-struct Shares {
-  double late = 0, lost = 0;  // of the requests that came in a time: not served in time; not served at all
+// Fractions of the requests of a period that were not served in time, and that were not served at all.
+struct FailureRates {
+  double late = 0, lost = 0;
 };
 
-Shares shares(const SimulatedCluster& f, Time from, Time until) {
+FailureRates failure_rates(const SimulatedCluster& f, Time from, Time until) {
   double all = 0, late = 0, lost = 0;
   for (const auto& a : f.requests) {
     if (a.orphaned || a.arrived < from || a.arrived >= until) continue;
@@ -60,15 +62,16 @@
   return {late / all, lost / all};
 }
 
-// One of twenty takes requests and says nothing. A dispatcher alone would send it its twentieth for ever: it
-// has to learn from the few that it loses there.
-TEST(SimulatedCluster, AHungEngineSeenAFewTimesAMinute) {
+// One of twenty engines accepts requests and never responds. Guards against each dispatcher continuing to
+// send it a twentieth of its requests, since each loses only a few there.
+TEST(SimulatedCluster, HungEngineGetsFewSendsAlthoughEachDispatcherRarelyUsesIt) {
   struct {
     bool probes;
     std::uint32_t attempts;
-    bool notes;
+    bool updates;
     double per_second;
-    double late, lost;  // at most, of all requests in the two minutes from then on
+    // Upper bounds of the fractions of all requests in the two minutes after the engine hangs.
+    double late, lost;
   } const cases[] = {
       {false, 6, true, 100, 0.02, 0.015}, {false, 3, true, 100, 0.02, 0.015},
       {true, 6, true, 100, 0.02, 0.015},  {true, 3, true, 100, 0.02, 0.015},
@@ -77,97 +80,96 @@
   for (const auto& c : cases) {
     auto s = settings_of(100);
     s.max_attempts = c.attempts, s.may_probe = c.probes;
-    if (!c.notes) s.progress_interval.reset();
-    SimulatedCluster f(s, loads_of(c.per_second), 5);
+    if (!c.updates) s.progress_interval.reset();
+    SimulatedCluster f(s, traffic_of(c.per_second), 5);
     for (int i = 0; i < 20; ++i) f.add_engine();
     f.run(20 * kSecond);
     f.process(7).hung = true;
     f.run(140 * kSecond);
     f.drain();
     expect_rules_kept(f);
-    const auto after = shares(f, 20 * kSecond, 140 * kSecond);
-    double sends[2] = {0, 0}, of_all[2] = {0, 0};  // by minute
+    const auto after = failure_rates(f, 20 * kSecond, 140 * kSecond);
+    double sends[2] = {0, 0}, of_all[2] = {0, 0};  // By minute.
     for (const auto& one : f.sent_attempts) {
       if (one.sent_at < 20 * kSecond || one.sent_at >= 140 * kSecond) continue;
       const auto minute = (one.sent_at / kSecond - 20) / 60;
       sends[minute] += one.engine == 7, ++of_all[minute];
     }
     std::printf(
-        "%.0f/s, %u attempts%s%s: a dispatcher lost %.2f and %.2f requests to it by minute; late %.4f, lost "
-        "%.4f\n",
-        c.per_second, c.attempts, c.probes ? ", probes" : "", c.notes ? "" : ", no notes", sends[0] / 100,
+        "%.0f/s, %u attempts%s%s: sends per dispatcher to the hung engine by minute: %.2f, %.2f; late %.4f, "
+        "lost %.4f\n",
+        c.per_second, c.attempts, c.probes ? ", probes" : "", c.updates ? "" : ", no updates", sends[0] / 100,
         sends[1] / 100, after.late, after.lost);
-    EXPECT_LT(sends[0] / of_all[0], 0.03);  // an even part is 0.05
+    EXPECT_LT(sends[0] / of_all[0], 0.03);  // An even share is 0.05.
     EXPECT_LT(sends[1] / of_all[1], 0.015);
     EXPECT_LT(after.late, c.late);
     EXPECT_LT(after.lost, c.lost);
   }
 }
 
-// For 6 s nothing is heard of a fifth of the engines, or of one attempt in 25 anywhere.
-TEST(SimulatedCluster, SilenceOfAFifthOrOfAnswersForAWhile) {
+// For 6 s, a fifth of the engines hang, or the responses of one attempt in 25 are lost.
+TEST(SimulatedCluster, ServiceRecoversAfterEnginesHangOrResponsesAreLost) {
   for (const bool engines : {true, false}) {
     for (const double per_second : {100.0, 400.0}) {
-      SimulatedCluster f(settings_of(100), loads_of(per_second), 23);
+      SimulatedCluster f(settings_of(100), traffic_of(per_second), 23);
       for (int i = 0; i < 20; ++i) f.add_engine();
       f.run(20 * kSecond);
-      const auto set = [&](bool on) {
+      const auto set_fault = [&](bool on) {
         for (EngineId i = 0; engines && i < 4; ++i) f.process(i).hung = on;
         f.loss_rate = !engines && on ? 0.04 : 0;
       };
-      set(true);
+      set_fault(true);
       f.run(26 * kSecond);
-      set(false);
+      set_fault(false);
       f.run(50 * kSecond);
       f.drain();
       expect_rules_kept(f);
-      const auto during = shares(f, 18 * kSecond, 26 * kSecond),
-                 after = shares(f, 30 * kSecond, 50 * kSecond);
-      double there = 0, all = 0;
+      const auto during = failure_rates(f, 18 * kSecond, 26 * kSecond),
+                 after = failure_rates(f, 30 * kSecond, 50 * kSecond);
+      double to_affected = 0, all = 0;
       for (const auto& one : f.sent_attempts) {
         if (one.sent_at < 35 * kSecond) continue;
-        there += one.engine < 4, ++all;
+        to_affected += one.engine < 4, ++all;
       }
       EXPECT_LT(during.late, engines ? 0.15 : 0.06);
       EXPECT_LT(during.lost, engines ? 0.07 : 0.04);
       EXPECT_LT(after.late, 0.005);
-      EXPECT_GT(there / all, 0.15);  // of a fifth: they are taken back
+      EXPECT_GT(to_affected / all, 0.15);  // An even share is a fifth.
     }
   }
 }
 
-// Guards against silence that only other requests' notes could show, which thin traffic rarely has, and that
-// taught nothing of its engine once found: of 20 engines the hung one lost 1.05% of all requests.
-TEST(SimulatedCluster, AHungEngineLosesFewRequestsOfThinTraffic) {
+// Guards against a hung engine that goes undetected because, at low traffic, no other attempt sends updates.
+TEST(SimulatedCluster, HungEngineLosesFewRequestsAtLowTraffic) {
   for (const double per_second : {100.0, 300.0}) {
-    SimulatedCluster f(settings_of(100), loads_of(per_second), 5);
+    SimulatedCluster f(settings_of(100), traffic_of(per_second), 5);
     for (int i = 0; i < 20; ++i) f.add_engine();
     f.run(20 * kSecond);
     f.process(7).hung = true;
     f.run(140 * kSecond);
     f.drain();
-    EXPECT_LT(shares(f, 20 * kSecond, 140 * kSecond).lost, per_second < 200 ? 0.005 : 0.002);
+    EXPECT_LT(failure_rates(f, 20 * kSecond, 140 * kSecond).lost, per_second < 200 ? 0.005 : 0.002);
   }
 }
 
-// Six in ten engines are replaced in steps while lists are silent; new ones come under ids of their own, some
-// at an address that was another's.
-TEST(SimulatedCluster, ASilentListIntoARelease) {
+// Six in ten engines are replaced in steps while no lists are published. New engines have new ids, and some
+// use the address of a previous engine.
+TEST(SimulatedCluster, ReplacingEnginesWithoutListUpdatesLosesFewRequests) {
   for (const std::uint32_t n : {60u, 200u}) {
-    SimulatedCluster f(settings_of(n), loads_of(300), 11);
+    SimulatedCluster f(settings_of(n), traffic_of(300), 11);
     for (int i = 0; i < 20; ++i) f.add_engine();
     f.run(8 * kSecond);
     for (EngineId old = 0; old < 12; ++old) {
       const Time drains = 8 * kSecond + (old / 4) * 5 * kSecond / 2;
       f.schedule(drains, [&f, old] {
-        const auto id = f.add_engine(f.now);  // it starts as the former one drains
+        const auto id = f.add_engine(f.now);  // It starts when the previous one drains.
         f.drain_engine(old);
         if (f.now >= 16 * kSecond) f.publish_list(kSecond / 2);
         f.schedule(f.now + (old % 3 == 0 ? 7 : 4) * kSecond, [&f, old, id] {
           f.stop_process(old);
           std::erase_if(f.engine_list, [old](auto& e) { return e.id == old; });
-          if (old % 2 == 0)
-            f.process_of_engine[old] = f.process_of_engine[id];  // who was not told meets the new one there
+          // A dispatcher without the new list reaches the new engine there.
+          if (old % 2 == 0) f.process_of_engine[old] = f.process_of_engine[id];
           if (f.now >= 16 * kSecond) f.publish_list(kSecond / 2);
         });
       });
@@ -175,9 +177,9 @@
     f.schedule(16 * kSecond, [&f] { f.publish_list(kSecond / 2); });
     f.run(45 * kSecond);
     f.drain();
-    EXPECT_LT(shares(f, 8 * kSecond, 30 * kSecond).late, 0.05);
-    EXPECT_LT(shares(f, 8 * kSecond, 30 * kSecond).lost, 0.01);
-    EXPECT_LT(shares(f, 30 * kSecond, 45 * kSecond).late, 0.005);
+    EXPECT_LT(failure_rates(f, 8 * kSecond, 30 * kSecond).late, 0.05);
+    EXPECT_LT(failure_rates(f, 8 * kSecond, 30 * kSecond).lost, 0.01);
+    EXPECT_LT(failure_rates(f, 30 * kSecond, 45 * kSecond).late, 0.005);
     expect_rules_kept(f);
   }
 }
--- a/tests/routing/router_script.h
+++ b/tests/routing/router_script.h
@@ -1,4 +1,4 @@
-// A router that is driven by scripted events, and what scripts are made of.
+// A router that is driven by scripted events, and functions that create settings and events.
 #pragma once
 
 #include <cstddef>
@@ -56,10 +56,12 @@
   return e;
 }
 
+// Drives a Router with scripted events and records its actions.
 class Script {
  public:
   explicit Script(Settings s) : router_(std::move(s)) {}
 
+  // Passes the events to the router and stores the resulting actions.
   void at(Time now, std::vector<Event> events) {
     actions.clear();
     router_.handle(now, events, actions);
@@ -67,7 +69,7 @@
       if (const auto* s = std::get_if<Send>(&a)) all_sends.push_back(*s);
     }
   }
-  // Runs the module's own timers up to `until`, in steps of a tick.
+  // Fires the router's periodic timer every 20 ms from `from` to `until` and collects the actions.
   void wait(Time from, Time until) {
     std::vector<Action> seen;
     for (Time t = from; t <= until; t += 20'000) {
@@ -105,10 +107,11 @@
   return settings;
 }
 
-inline Settings one_of_many(std::uint32_t routers, std::uint32_t ordinal = 0) {
+// Returns the settings of one of `count` dispatcher instances.
+inline Settings instance_settings(std::uint32_t count, std::uint32_t index = 0) {
   auto s = basic_settings();
-  s.instance_count = routers;
-  s.instance_index = ordinal;
+  s.instance_count = count;
+  s.instance_index = index;
   return s;
 }
 
--- a/tests/routing/router_test.cpp
+++ b/tests/routing/router_test.cpp
@@ -1,5 +1,4 @@
-// The router from scripted events: responses, lists, stalls, other settings. Each guard has a test that fails
-// when the guard is taken out.
+// Tests of the router with scripted events: responses, engine lists, stalls and changes of settings.
 #include <gtest/gtest.h>
 
 #include <cstdint>
@@ -10,9 +9,10 @@
 namespace rookproxy::routing {
 namespace {
 
-TEST(WorkStealing, AnIdleEngineTakesTheOldestOfTheLongestQueue) {
+TEST(WorkStealing, IdleEngineTakesOldestRequestOfLongestQueue) {
   auto settings = basic_settings();
-  settings.machine_types[0].cores = 1;  // a window of two threads
+  // With half a core per thread, two threads fit.
+  settings.machine_types[0].cores = 1;
   Script s(settings);
   s.list(0, {engine(0)});
   for (RequestId id = 1; id <= 6; ++id) s.at(static_cast<Time>(id), {query(id)});
@@ -24,7 +24,7 @@
   EXPECT_EQ(s.sends()[1].request, 4u);
 }
 
-TEST(Responses, OneAtTheDeadlineWithNoEngine) {
+TEST(Responses, WithoutEnginesARequestGetsOneResponseAtItsDeadline) {
   Script s(basic_settings());
   s.at(1, {query(1)});
   EXPECT_EQ(s.sends().size(), 0u);
@@ -32,7 +32,7 @@
   EXPECT_EQ(s.final_responses(), 1u);
 }
 
-TEST(Responses, OneAtTheDeadlineOfAnAttemptWithoutResponse) {
+TEST(Responses, AttemptWithoutResponseFailsTheRequestOnceAtItsDeadline) {
   Script s(basic_settings());
   s.list(0, {engine(0)});
   s.at(1, {query(1)});
@@ -42,7 +42,7 @@
   EXPECT_EQ(s.final_responses(), 0u);
 }
 
-TEST(Responses, TheDeadlineTimerEndsAnAttemptWithoutOutcome) {
+TEST(Responses, DeadlineTimerFailsRequestWhoseAttemptHasNotEnded) {
   Script s(basic_settings());
   s.list(0, {engine(0)});
   s.at(1, {query(1)});
@@ -55,7 +55,7 @@
   EXPECT_EQ(s.all<Fail>().size(), 1u);
 }
 
-TEST(Responses, NothingIsSentAfterTheEnd) {
+TEST(Responses, NothingIsSentAfterTheClientDisconnects) {
   Script s(basic_settings());
   s.list(0, {engine(0)});
   s.at(1, {query(1)});
@@ -65,7 +65,7 @@
   EXPECT_EQ(s.final_responses(), 0u);
 }
 
-TEST(Responses, UnknownAndRepeatedEventsAreHarmless) {
+TEST(Responses, UnknownAndDuplicateEventsAreIgnored) {
   Script s(basic_settings());
   s.list(0, {engine(0)});
   s.at(1, {query(1), query(1), ended(9, 0, 0, Outcome::kServed), ended(1, 5, 0, Outcome::kServed),
@@ -75,7 +75,7 @@
   EXPECT_EQ(s.final_responses(), 0u);
 }
 
-TEST(Responses, HopelessWorkIsRejectedAtOnceWithARetryTime) {
+TEST(Responses, RequestThatCannotMeetItsObjectiveIsRejectedWithRetryAfter) {
   auto settings = basic_settings();
   settings.classes[0].latency_objective = kSecond;
   settings.machine_types[0].cores = 0.5;
@@ -87,29 +87,28 @@
   EXPECT_TRUE(s.all<Reject>()[0].retry_after.has_value());
 }
 
-TEST(Responses, WhatItsClassesUsualLatencyDoesNotFitIsRejectedAtOnce) {
-  // An engine's work that comes too late anyway: its run alone would fit, but not what such runs take of
-  // late.
+TEST(Responses, RequestWhoseTypicalLatencyExceedsItsDeadlineIsRejectedAtOnce) {
+  // The run time alone would fit into the deadline, but the typical latency does not.
   Script s(basic_settings());
   s.list(0, {engine(0)});
-  auto hopeless = query(1);
-  hopeless.deadline = 120'000;  // 100 ms of work, 1.5 times that before anything is known
+  auto too_late = query(1);
+  too_late.deadline = 120'000;  // 100 ms of work; the initial latency ratio is 1.5.
   auto fits = query(2);
   fits.deadline = 160'000;
-  s.at(1, {hopeless, fits});
+  s.at(1, {too_late, fits});
   ASSERT_EQ(s.all<Reject>().size(), 1u);
   EXPECT_EQ(s.all<Reject>()[0].request, 1u);
   ASSERT_EQ(s.sends().size(), 1u);
   EXPECT_EQ(s.sends()[0].request, 2u);
 }
 
-TEST(Drain, NothingGoesToADrainingRemovedOrUnlistedEngine) {
-  for (const int how : {0, 1, 2}) {
+TEST(Drain, NoRequestIsSentToDrainingRemovedOrUnlistedEngine) {
+  for (const int variant : {0, 1, 2}) {
     Script s(basic_settings());
     s.list(0, {engine(0), engine(1)});
     auto a = engine(0);
-    a.state = how == 0 ? EngineState::kDraining : EngineState::kRemoved;
-    if (how == 2) {
+    a.state = variant == 0 ? EngineState::kDraining : EngineState::kRemoved;
+    if (variant == 2) {
       s.list(1, {engine(1)});
     } else {
       s.list(1, {a}, EngineListKind::kDelta);
@@ -120,7 +119,7 @@
   }
 }
 
-TEST(Drain, WhatWaitsThereMoves) {
+TEST(Drain, QueuedRequestsMoveToAnotherEngine) {
   auto settings = basic_settings();
   settings.machine_types[0].cores = 0.5;
   Script s(settings);
@@ -134,19 +133,19 @@
   EXPECT_EQ(s.sends()[0].engine, 1u);
 }
 
-TEST(Responses, WhatNobodyWaitsForIsCancelled) {
-  for (const auto effect : {Idempotency::kIdempotent, Idempotency::kNonIdempotent}) {
+TEST(Responses, IdempotentAttemptIsCancelledWhenTheClientDisconnects) {
+  for (const auto idempotency_kind : {Idempotency::kIdempotent, Idempotency::kNonIdempotent}) {
     auto settings = basic_settings();
-    settings.classes[0].idempotency = effect;
+    settings.classes[0].idempotency = idempotency_kind;
     Script s(settings);
     s.list(0, {engine(0)});
     s.at(1, {query(1)});
     s.at(2, {ClientDisconnected{1}});
-    EXPECT_EQ(s.all<Cancel>().size(), effect == Idempotency::kIdempotent ? 1u : 0u);
+    EXPECT_EQ(s.all<Cancel>().size(), idempotency_kind == Idempotency::kIdempotent ? 1u : 0u);
   }
 }
 
-TEST(Deterministic, TheSameEventsGiveTheSameActions) {
+TEST(Deterministic, SameEventsProduceSameActions) {
   const auto run = [] {
     auto settings = with_slow_start();
     settings.retry_budget = RetryBudget{2, 0.1, 10 * kSecond};
@@ -168,32 +167,32 @@
   EXPECT_EQ(run(), run());
 }
 
-TEST(Stall, AStallOfOurOwnBlamesNoEngine) {
+TEST(Stall, StallOfThisProcessDoesNotMakeAttemptsPresumedLost) {
   auto settings = basic_settings();
   settings.progress_interval = 500'000;
-  for (const bool stands_still : {true, false}) {
+  for (const bool stalled : {true, false}) {
     Script s(settings);
     s.list(0, {engine(0), engine(1)});
     s.at(1, {query(1), query(2)});
     const auto sends = s.sends();
     ASSERT_EQ(sends.size(), 2u);
-    if (!stands_still) s.wait(20'001, 1'800'001);
+    if (!stalled) s.wait(20'001, 1'800'001);
     s.at(1'820'001,
          {AttemptUpdate{1, 0, sends[0].engine, AttemptUpdateKind::kWaitingForMemory, 0}, TimerFired{1}});
-    EXPECT_EQ(s.all<Cancel>().size(), stands_still ? 0u : 1u);
+    EXPECT_EQ(s.all<Cancel>().size(), stalled ? 0u : 1u);
   }
 }
 
-TEST(Stall, WhatCameMeanwhileHasWaitedAlready) {
+TEST(Stall, RequestsReceivedDuringAStallCountTheirWaitingTime) {
   auto settings = basic_settings();
   settings.classes[0].latency_objective = kSecond;
   Script s(settings);
   s.list(0, {engine(0)});
   auto q = query(1);
-  q.deadline = 5 * kSecond;  // five seconds of patience
+  q.deadline = 5 * kSecond;  // The client waits for 5 s.
   s.at(0, {q});
   auto old = query(2);
-  old.deadline = 5 * kSecond + 200'000;  // came at 0.2 s by the same patience
+  old.deadline = 5 * kSecond + 200'000;  // Arrived at 0.2 s if the client waits for 5 s.
   auto young = query(3);
   young.deadline = 5 * kSecond + 1'900'000;
   s.at(2 * kSecond, {old, young});
@@ -203,7 +202,7 @@
   EXPECT_EQ(s.sends()[0].request, 3u);
 }
 
-TEST(Stall, ADrainLearntLateIsKept) {
+TEST(Stall, DrainReceivedAfterAStallAppliesToTheWholeBatch) {
   Script s(basic_settings());
   s.list(0, {engine(0), engine(1)});
   s.at(1, {query(1, 7)});
@@ -214,7 +213,7 @@
   for (const auto& one : s.sends()) EXPECT_NE(one.engine, preferred.id);
 }
 
-TEST(EngineList, HugeIdsAndUnknownEnginesAreHarmless) {
+TEST(EngineList, LargeIdsAndUnknownEnginesAreHandled) {
   Script s(basic_settings());
   s.list(0, {engine(4'000'000'000u)});
   s.at(1, {query(1), ProbeEnded{17, Outcome::kServed, 5, LoadReport{}}});
@@ -226,7 +225,7 @@
   EXPECT_EQ(s.sends().at(0).engine, 1u);
 }
 
-TEST(EngineList, ASubscriptionIsRepeatedAfterARejection) {
+TEST(EngineList, RejectedSubscriptionIsRepeated) {
   auto settings = basic_settings();
   settings.engine_list_mode = EngineListMode::kSubscribed;
   Script s(settings);
@@ -234,18 +233,18 @@
   EXPECT_EQ(s.all<SubscribeEngineList>().size(), 1u);
   s.at(1, {EngineList{EngineListKind::kRejected, {}}});
   ASSERT_EQ(s.all<SetTimer>().size(), 1u);
-  const auto wake = s.all<SetTimer>()[0];
-  s.at(wake.at, {TimerFired{wake.token}});
+  const auto retry_timer = s.all<SetTimer>()[0];
+  s.at(retry_timer.at, {TimerFired{retry_timer.token}});
   EXPECT_EQ(s.all<SubscribeEngineList>().size(), 1u);
 }
 
-TEST(EngineList, APushedListIsNotSubscribedTo) {
+TEST(EngineList, PushedListNeedsNoSubscription) {
   Script s(basic_settings());
   s.list(0, {engine(0)});
   EXPECT_EQ(s.all<SubscribeEngineList>().size(), 0u);
 }
 
-TEST(UpdateSettings, OpenRequestsKeepTheirClassAndItsAttempts) {
+TEST(UpdateSettings, OpenRequestsKeepTheirClassAndItsMaxAttempts) {
   auto settings = basic_settings();
   settings.classes[0].max_attempts = 2;
   Script s(settings);
@@ -255,21 +254,21 @@
   other.idempotency = Idempotency::kNonIdempotent, other.max_attempts = 1;
   settings.classes.push_back(other);
   s.router().update_settings(settings);
-  auto unsafe = query(2);
-  unsafe.class_index = 1;
-  s.at(2, {unsafe});
+  auto non_idempotent = query(2);
+  non_idempotent.class_index = 1;
+  s.at(2, {non_idempotent});
   const auto at = s.sends()[0].engine;
   s.at(3, {ended(1, 0, s.all_sends[0].engine, Outcome::kError)});
-  ASSERT_EQ(s.sends().size(), 1u);  // safe, and it has a second attempt
+  ASSERT_EQ(s.sends().size(), 1u);  // Idempotent, and a second attempt is allowed.
   s.at(4, {ended(2, 0, at, Outcome::kRejected)});
-  EXPECT_TRUE(s.sends().empty());  // it never ran, but had one attempt
+  EXPECT_TRUE(s.sends().empty());  // It never ran, but its only allowed attempt is used.
   EXPECT_EQ(s.all<Reject>().size(), 1u);
   s.at(5, {ended(1, 1, s.all_sends[2].engine, Outcome::kRejected)});
   EXPECT_TRUE(s.sends().empty());
   EXPECT_EQ(s.final_responses(), 1u);
 }
 
-TEST(UpdateSettings, AveragesAndHealthAreKept) {
+TEST(UpdateSettings, AffinityAndEngineHealthAreKept) {
   Script s(basic_settings());
   s.list(0, {engine(0), engine(1), engine(2)});
   s.at(1, {query(1, 7)});
@@ -299,7 +298,7 @@
   EXPECT_EQ(s.final_responses(), 0u);
 }
 
-TEST(AvoidedEngines, CountsWhatIsListedAndGetsNothing) {
+TEST(AvoidedEngines, DrainingEnginesCountAndRemovedOnesDoNot) {
   Script s(basic_settings());
   auto draining = engine(1), gone = engine(2);
   draining.state = EngineState::kDraining, gone.state = EngineState::kRemoved;
--- a/tests/routing/settings_validation_test.cpp
+++ b/tests/routing/settings_validation_test.cpp
@@ -1,4 +1,4 @@
-// Settings that contradict themselves. Each guard has a test that fails when the guard is taken out.
+// Tests of the validation of settings.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -9,12 +9,12 @@
 namespace rookproxy::routing {
 namespace {
 
-TEST(SettingsValidation, ContradictionsAreNamed) {
+TEST(SettingsValidation, InvalidSettingIsNamedInTheMessage) {
   const auto message = [](Settings s) {
     try {
       Router router(std::move(s));
-    } catch (const InvalidSettings& bad) {
-      return std::string(bad.what());
+    } catch (const InvalidSettings& error) {
+      return std::string(error.what());
     }
     return std::string();
   };
--- a/tests/routing/slow_start_test.cpp
+++ b/tests/routing/slow_start_test.cpp
@@ -1,5 +1,4 @@
-// What an engine that has just started may be sent. Each guard has a test that fails when the guard is taken
-// out.
+// Tests of the limits on engines that have just started.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -12,10 +11,10 @@
 namespace rookproxy::routing {
 namespace {
 
-TEST(SlowStart, ABurstStaysUnderOurShare) {
-  for (const std::uint32_t routers : {1u, 2u}) {
+TEST(SlowStart, BurstStaysWithinTheInstancesShare) {
+  for (const std::uint32_t instances : {1u, 2u}) {
     auto settings = with_slow_start();
-    settings.instance_count = routers;
+    settings.instance_count = instances;
     settings.machine_types[0].cores = 64;
     Script s(settings);
     auto a = engine(0);
@@ -27,13 +26,13 @@
       std::get<RequestArrived>(burst.back()).deadline = 120 * kSecond;
     }
     s.at(103 * kSecond, burst);
-    // At most 2 x 0.38 x 64 cores x 1 s over the gateways, in queries of one second.
-    EXPECT_GE(s.sends().size(), 5u / routers);
-    EXPECT_LE(s.sends().size(), 48u / routers);
+    // At most 2 * 0.38 * 64 cores * 1 s over all instances, with queries of one second.
+    EXPECT_GE(s.sends().size(), 5u / instances);
+    EXPECT_LE(s.sends().size(), 48u / instances);
   }
 }
 
-TEST(SlowStart, ARestartedInstanceTakesTheFirstWindowAsSpent) {
+TEST(SlowStart, RestartedInstanceTreatsTheFirstWindowAsSpent) {
   Script s(with_slow_start());
   auto a = engine(0);
   a.started_at = 100 * kSecond;
@@ -41,7 +40,7 @@
   EXPECT_EQ(s.sends().size(), 0u);
 }
 
-TEST(SlowStart, AWarmEngineHasNoBudget) {
+TEST(SlowStart, WarmEngineIsNotLimited) {
   Script s(with_slow_start());
   auto a = engine(0);
   a.started_at = 100 * kSecond;
@@ -52,17 +51,19 @@
   EXPECT_EQ(s.sends().size(), 1u);
 }
 
-TEST(SlowStart, ManyInstancesTakeTurnsWithinTheBudgetAndLeaveNoEngineIdle) {
+TEST(SlowStart, InstancesTogetherStayWithinTheBudgetAndUseTheEngine) {
   for (const std::uint32_t n : {3u, 100u, 300u}) {
     const Time start = 5 * kSecond, warm = 15 * kSecond;
-    std::vector<std::pair<Time, double>> sent;  // what all gateways send the cold engine
+    // Sends of all instances to the warming engine.
+    std::vector<std::pair<Time, double>> sent;
     for (std::uint32_t i = 0; i < n; ++i) {
-      auto settings = one_of_many(n, i);
+      auto settings = instance_settings(n, i);
       settings.slow_start = SlowStart{0.35, warm, 2, kSecond};
       Script s(settings);
       s.at(0, {EngineList{EngineListKind::kSnapshot, fleet(1)}});
       RequestId id = 0;
-      for (Time t = start - kSecond; t < start; t += 100'000) {  // the class's mean is learnt
+      // The instance learns the mean work of the class.
+      for (Time t = start - kSecond; t < start; t += 100'000) {
         s.at(t, {query(++id)});
         for (const auto& one : s.sends()) s.at(t, {ended(one.request, 0, 0, Outcome::kServed)});
       }
@@ -80,18 +81,18 @@
         }
       }
     }
-    double most_used = 0, all = 0;
+    double most_used = 0, total_work = 0;
     for (Time from = start; from + kSecond <= start + warm; from += 50'000) {
-      double in_span = 0;
-      for (const auto& [at, work] : sent) in_span += at >= from && at < from + kSecond ? work : 0;
+      double work_in_window = 0;
+      for (const auto& [at, work] : sent) work_in_window += at >= from && at < from + kSecond ? work : 0;
       const double x = static_cast<double>(from - start) / static_cast<double>(warm);
       const double capacity = (0.35 + 0.65 * x * x) * 0.85 * 8 * 1e6;
-      most_used = std::max(most_used, in_span / (2 * capacity));
+      most_used = std::max(most_used, work_in_window / (2 * capacity));
     }
-    for (const auto& one : sent) all += one.second;
-    EXPECT_LT(most_used, 1.0) << n << " gateways";
-    EXPECT_GT(all, 0.15 * 15 * 0.85 * 8 * 1e6)
-        << n << " gateways";  // not nothing: a good part of its capacity
+    for (const auto& one : sent) total_work += one.second;
+    EXPECT_LT(most_used, 1.0) << n << " instances";
+    // At least 15% of the engine's capacity is used.
+    EXPECT_GT(total_work, 0.15 * 15 * 0.85 * 8 * 1e6) << n << " instances";
   }
 }
 
--- a/tests/routing/statistics_test.cpp
+++ b/tests/routing/statistics_test.cpp
@@ -1,4 +1,4 @@
-// The small types that the decision units calculate with.
+// Tests of the statistics types that the routing components use.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -32,14 +32,14 @@
   EXPECT_EQ(added.value(), 0.7 - 0.05 * 0.7);
 }
 
-TEST(StreamingMedian, SettlesWhereHalfOfTheSamplesLieOnEitherSide) {
+TEST(StreamingMedian, ConvergesToTheMedianOfTheSamples) {
   double median = 1;
   for (int i = 0; i < 2000; ++i) median = step_median(median, i % 3 == 0 ? 1000 : 10 + i % 3, 0.01);
   EXPECT_NEAR(median, 12, 0.5);
-  EXPECT_DOUBLE_EQ(step_median(2, 2, 0.5), 1);  // what equals the median counts as below
+  EXPECT_DOUBLE_EQ(step_median(2, 2, 0.5), 1);  // A sample equal to the median counts as below it.
 }
 
-TEST(DecayingCounter, LosesWeightWithAge) {
+TEST(DecayingCounter, DecaysExponentiallyWithAge) {
   DecayingCounter counter;
   counter.add(4, 1'000, 500);
   EXPECT_DOUBLE_EQ(counter.value(1'000, 500), 4);
@@ -48,9 +48,9 @@
   EXPECT_DOUBLE_EQ(counter.value(1'500, 500), 4 * std::exp(-1) + 1);
 }
 
-TEST(DecayingCounter, MayBeginWithAnAmount) { EXPECT_DOUBLE_EQ(DecayingCounter(3, 7).value(7, 100), 3); }
+TEST(DecayingCounter, StartsWithTheGivenAmount) { EXPECT_DOUBLE_EQ(DecayingCounter(3, 7).value(7, 100), 3); }
 
-TEST(TokenBucket, GrantsWhatWasSavedAndThenTheRate) {
+TEST(TokenBucket, GrantsSavedTokensAndThenTheRate) {
   TokenBucket bucket(2, 0);
   EXPECT_TRUE(bucket.try_take(1, 2, 0));
   EXPECT_TRUE(bucket.try_take(1, 2, 0));
@@ -66,7 +66,7 @@
   EXPECT_EQ(taken, 3);
 }
 
-TEST(EventWindow, CountsWhatHappenedSince) {
+TEST(EventWindow, CountsEventsSinceTheGivenTime) {
   EventWindow window;
   for (const Time at : {10, 20, 20, 30}) window.add(at);
   EXPECT_EQ(window.count_since(20), 3);
@@ -75,7 +75,7 @@
   EXPECT_EQ(window.count_since(0), 3);
 }
 
-TEST(WorkWindow, AddsUpWhatItHasNotForgotten) {
+TEST(WorkWindow, SumsTheSendsWithinTheWindow) {
   WorkWindow window;
   EXPECT_TRUE(window.empty());
   window.add(10, 1);
@@ -87,7 +87,7 @@
   EXPECT_TRUE(window.empty());
 }
 
-TEST(ThreadsByPriority, AddsUpAPriorityAndAllAboveIt) {
+TEST(ThreadsByPriority, SumsThreadsAtAndAboveAPriority) {
   ThreadsByPriority threads;
   threads.add(0, 1);
   threads.add(2, 4);
@@ -99,31 +99,31 @@
   EXPECT_EQ(threads.at_or_above(0), 9);
 }
 
-TEST(ThreadUsage, TheMeanFollowsWhatIsPresent) {
+TEST(ThreadUsage, MeanConvergesToPresentUsage) {
   ThreadUsage usage;
   usage.present.add(1, 8);
   usage.update_mean(1'000, 1'000);
   EXPECT_DOUBLE_EQ(usage.mean.at_or_above(0), 8 * -std::expm1(-1));
-  usage.update_mean(1'000, 1'000);  // no time has gone by
+  usage.update_mean(1'000, 1'000);  // No time has passed.
   EXPECT_DOUBLE_EQ(usage.mean.at_or_above(0), 8 * -std::expm1(-1));
   usage.update_mean(100'000, 1'000);
   EXPECT_NEAR(usage.mean.at_or_above(0), 8, 1e-9);
 }
 
-TEST(Range, TakesTheNearestNumberWithin) {
+TEST(Range, ClampsToTheNearestBound) {
   constexpr Range kRange{0.5, 2};
   EXPECT_EQ(kRange.clamp(0.1), 0.5);
   EXPECT_EQ(kRange.clamp(1), 1);
   EXPECT_EQ(kRange.clamp(7), 2);
 }
 
-TEST(Median, IsTheUpperOneOfAnEvenNumber) {
+TEST(Median, EvenCountGivesTheUpperMedian) {
   EXPECT_EQ(median({3}), 3);
   EXPECT_EQ(median({5, 1, 3}), 3);
   EXPECT_EQ(median({4, 1, 3, 2}), 3);
 }
 
-TEST(TickTimer, TellsHowLateItIsWhileItIsArmed) {
+TEST(TickTimer, ReportsItsLatenessWhileArmed) {
   TickTimer tick;
   EXPECT_FALSE(tick.is_armed());
   EXPECT_EQ(tick.lateness(100), 0);
--- a/tests/routing/work_estimates_test.cpp
+++ b/tests/routing/work_estimates_test.cpp
@@ -1,4 +1,4 @@
-// What is learnt of work and memory. Each guard has a test that fails when the guard is taken out.
+// Tests of the estimates of work and memory.
 #include <gtest/gtest.h>
 
 #include "routing/router_script.h"
@@ -6,7 +6,7 @@
 namespace rookproxy::routing {
 namespace {
 
-TEST(MemoryGrants, RiseWithSpills) {
+TEST(MemoryGrants, SpillRaisesTheGrant) {
   auto settings = basic_settings();
   settings.memory_grants_supported = true;
   Script s(settings);
@@ -22,8 +22,8 @@
   EXPECT_NEAR(s.all<SetExecutionOptions>().at(0).memory_mb.value(), before * 1.05, 1e-6);
 }
 
-TEST(MemoryGrants, FallSoonWhereNothingSpills) {
-  // What is granted beyond the need keeps others off the engine: that costs more than a spill now and then.
+TEST(MemoryGrants, GrantFallsToTheEstimateWithoutSpills) {
+  // Memory granted beyond the need keeps other queries off the engine.
   auto settings = basic_settings();
   settings.memory_grants_supported = true;
   Script s(settings);
@@ -41,7 +41,7 @@
   EXPECT_LT(granted, 1010);
 }
 
-TEST(WorkEstimates, WhereNothingTellsWorkLatenciesDo) {
+TEST(WorkEstimates, LatencyReplacesMissingWorkEstimates) {
   auto settings = basic_settings();
   settings.classes[0].latency_objective = kSecond;
   Script s(settings);
@@ -58,10 +58,10 @@
     s.at(now + 4 * kSecond, {end});
     s.wait(now + 4 * kSecond + 20'000, now + 5 * kSecond - 20'000);
   }
-  auto hopeless = query(1000, 7);
-  hopeless.work.reset();
-  hopeless.deadline = now + kSecond;
-  s.at(now, {hopeless});
+  auto too_late = query(1000, 7);
+  too_late.work.reset();
+  too_late.deadline = now + kSecond;
+  s.at(now, {too_late});
   EXPECT_EQ(s.sends().size(), 0u);
   EXPECT_EQ(s.all<Reject>().size(), 1u);
 }
