--- a/src/discovery/dns_discovery_client.cpp
+++ b/src/discovery/dns_discovery_client.cpp
@@ -161,12 +161,12 @@
   using Ordering = EndpointListTracker::Ordering;
   const std::uint32_t version = response.version;
   const std::size_t engine_count = response.endpoints.size();
-  list_announced_at_ = unanswered_polls_.announced_since(schedule_.max_pause(), loop_.now());
+  list_announced_at_ = unanswered_polls_.earliest_announcement(schedule_.max_pause(), loop_.now());
   const bool was_contradicted = lists_.is_contradicted();
   const Ordering ordering = lists_.take({version, std::move(response.endpoints), query.sent_at, loop_.now()});
   log_list(ordering, version, engine_count, !was_contradicted && lists_.is_contradicted());
   switch (ordering) {
-    case Ordering::kOvertaken:
+    case Ordering::kStale:
     case Ordering::kFirstContradicting:
     case Ordering::kContradicting:
       ++metrics_.older_lists;
@@ -176,7 +176,7 @@
       complete_query(query);
       break;
     case Ordering::kNewer:
-    case Ordering::kNewestRefuted:
+    case Ordering::kNewestDiscarded:
     case Ordering::kServerRestarted:
       ++metrics_.newer_lists;
       complete_query(query);
@@ -213,12 +213,12 @@
     log_.write(LogLevel::kWarning, "directory", "older serials alone: the directory counts anew",
                {{"serial", serial}});
   }
-  if (ordering == Ordering::kNewestRefuted) {
+  if (ordering == Ordering::kNewestDiscarded) {
     log_.write(LogLevel::kWarning, "directory",
                "a list that came once was contradicted since, and is dropped", {{"serial", serial}});
   }
   if (ordering != Ordering::kNewer && ordering != Ordering::kServerRestarted &&
-      ordering != Ordering::kNewestRefuted) {
+      ordering != Ordering::kNewestDiscarded) {
     return;
   }
   log_.write(LogLevel::kInfo, "directory", "new list",
--- a/src/discovery/endpoint_list_tracker.cpp
+++ b/src/discovery/endpoint_list_tracker.cpp
@@ -45,14 +45,14 @@
   const Ordering ordering =
       list_version_.classify(list.version, has_newest_content, list.polled_at, list.received_at);
   switch (ordering) {
-    case Ordering::kOvertaken:
+    case Ordering::kStale:
       return ordering;
     case Ordering::kFirstContradicting:
     case Ordering::kContradicting:
       confirmation_.on_contradicting_list(to_listing(list.endpoints), list.received_at);
       break;
-    case Ordering::kNewestRefuted:
-      confirmation_.on_newest_refuted(list.received_at);
+    case Ordering::kNewestDiscarded:
+      confirmation_.on_newest_discarded(list.received_at);
       [[fallthrough]];
     case Ordering::kServerRestarted:
     case Ordering::kNewer:
@@ -60,7 +60,7 @@
       confirmation_.on_newest_list(to_listing(newest_endpoints_), list.received_at);
       break;
     case Ordering::kSame:
-      if (confirmation_.is_settled()) return ordering;  // nearly every poll: lists may be long
+      if (confirmation_.is_stable()) return ordering;  // nearly every poll: lists may be long
       confirmation_.on_newest_list(to_listing(newest_endpoints_), list.received_at);
       break;
   }
--- a/src/policy/attempt_guard.cpp
+++ b/src/policy/attempt_guard.cpp
@@ -5,25 +5,25 @@
 std::string_view to_text(BlockReason reason) {
   switch (reason) {
     case BlockReason::kRequestCompleted:
-      return "request is over";
+      return "request already completed";
     case BlockReason::kUnknownEngine:
       return "unknown engine";
     case BlockReason::kTooManyAttempts:
       return "too many attempts";
     case BlockReason::kAttemptInFlight:
-      return "an attempt is out";
+      return "another attempt is in flight";
     case BlockReason::kMayHaveRun:
-      return "it may have run";
+      return "an earlier attempt may have run";
     case BlockReason::kMayHaveRunElsewhere:
-      return "it may have run elsewhere";
+      return "an earlier attempt may have run outside the retry scope of this engine";
     case BlockReason::kDeadlineExceeded:
-      return "out of time";
+      return "deadline exceeded";
     case BlockReason::kEngineDraining:
-      return "engine drains";
+      return "drain grace period of the engine is over";
     case BlockReason::kEngineRemoved:
-      return "engine is gone";
+      return "engine was removed";
     case BlockReason::kIdempotencyWindowOver:
-      return "the window for repeats is over";
+      return "idempotency window is over";
   }
   return "";
 }
@@ -54,11 +54,12 @@
   return "";
 }
 
-AttemptGuard::AttemptGuard(const RetryRule& rule, EngineLocation location, Time deadline, Time engine_until)
+AttemptGuard::AttemptGuard(const RetryRule& rule, EngineLocation location, Time deadline,
+                           Time engine_accepts_until)
     : retry_rule_(rule), location_(location) {
   limit_start(deadline, BlockReason::kDeadlineExceeded);
-  const bool is_removed = engine_until == Time::min();
-  limit_start(engine_until, is_removed ? BlockReason::kEngineRemoved : BlockReason::kEngineDraining);
+  const bool is_removed = engine_accepts_until == Time::min();
+  limit_start(engine_accepts_until, is_removed ? BlockReason::kEngineRemoved : BlockReason::kEngineDraining);
 }
 
 void AttemptGuard::limit_start(Time end, BlockReason reason) {
--- a/src/policy/authorization.cpp
+++ b/src/policy/authorization.cpp
@@ -14,14 +14,14 @@
                      [&](const std::string& name) { return name == kEveryClass || name == class_name; });
 }
 
-// What the caller's roles allow for one request class.
+// What the roles of a caller allow in one request class.
 struct ClassRights {
   bool may_use = false;
   bool may_write = false;
 };
 
-// One role must grant both the class and the write: a caller who may write in one class gains no writes in
-// another.
+// A single role must grant both the class and writes: the right to write in one class does not extend to
+// another class.
 ClassRights rights_for_class(const AccessPolicy& policy, const Identity& identity,
                              std::string_view class_name) {
   ClassRights rights;
@@ -42,7 +42,7 @@
   const auto underscore = schema.rfind('_');
   if (underscore == schema.npos) return false;
   const std::string_view digits = schema.substr(underscore + 1);
-  // "017" would be group 17 here, but names another schema to an engine.
+  // For engines "marks_017" and "marks_17" are different schemas, so a group has no leading zeros.
   if (digits.size() > 1 && digits.front() == '0') return false;
   const auto group = parse_number<std::uint64_t>(digits);
   return group && std::any_of(groups.begin(), groups.end(), [&](const GroupRange& range) {
--- a/src/policy/authorization.h
+++ b/src/policy/authorization.h
@@ -1,8 +1,8 @@
-// Authorization: may this caller send this statement in this request class?
+// Decides whether a caller may send a statement in a request class.
 //
-// Decides from the access policy, the identity that a credential has shown, the statement's analysis and the
-// time, free of I/O. What a statement does counts, not what its sender calls it; what can't be determined is
-// denied.
+// The decision depends on the access policy, the identity established by a credential, the analysis of the
+// statement and the time; it performs no I/O. The effect of the statement is taken from its analysis, not
+// from the class that the caller states. A statement that cannot be analyzed is denied.
 #pragma once
 
 #include <cstdint>
@@ -17,10 +17,10 @@
 
 namespace rookproxy::policy {
 
-// A role of the operator's file: which request classes it may use, and whether it may write.
+// A configured role: which request classes it may use, and whether it may write.
 struct Role {
   std::string name;
-  std::vector<std::string> classes;  // "*" stands for all
+  std::vector<std::string> classes;  // "*" matches every class.
   bool may_write = false;
 };
 
@@ -30,19 +30,19 @@
   std::uint64_t last = 0;
 };
 
-// A tenant of the operator's file and the schemas that belong to it.
+// A configured tenant and the schemas that belong to it.
 struct Tenant {
   std::string name;
-  // Names of schemas; a trailing "*" matches any suffix.
+  // Schema names; a trailing "*" matches any suffix.
   std::vector<std::string> schemas;
-  // If not empty, the number after the last underscore of a schema that matched by prefix must lie in one of
-  // these ranges. Schemas listed by their full name need none.
+  // If not empty, the number after the last underscore of a schema that matched by prefix must be in one of
+  // these ranges. Schemas that are listed by their full name are not restricted by them.
   std::vector<GroupRange> groups;
 
   [[nodiscard]] bool owns_schema(std::string_view schema) const;
 };
 
-// The roles and tenants of the operator's file.
+// The configured roles and tenants.
 struct AccessPolicy {
   std::vector<Role> roles;
   std::vector<Tenant> tenants;
@@ -56,22 +56,23 @@
 // A request to be authorized. It refers to its statement's analysis, which must outlive it.
 struct AccessRequest {
   std::string_view class_name;
-  bool class_may_write = false;  // attempts of such a class are not repeated once they may have run
+  // Whether the class accepts writes; its attempts are not repeated once they may have run.
+  bool class_may_write = false;
   const StatementAnalysis* statement = nullptr;
 };
 
-// The outcome for one request.
+// The result for one request.
 struct Authorization {
   Denial denial = Denial::kNone;
-  std::string denied_schema;  // of kSchemaNotAllowed alone
+  std::string denied_schema;  // Set for kSchemaNotAllowed only.
 };
 
-// Whether the identity is still valid and known to this policy, whatever it asks for.
+// Checks that the identity is still valid and that the policy has its tenant and one of its roles.
 [[nodiscard]] Denial authorize_identity(const AccessPolicy& policy, const Identity& identity, Time now);
-// Whether the identity may send this request.
+// Checks whether the identity may send this request.
 [[nodiscard]] Authorization authorize(const AccessPolicy& policy, const Identity& identity,
                                       const AccessRequest& request, Time now);
-// Whether the identity may use this schema as its session's default.
+// Checks whether the identity may use this schema as the default schema of its session.
 [[nodiscard]] Denial authorize_schema(const AccessPolicy& policy, const Identity& identity,
                                       std::string_view schema, Time now);
 
--- a/src/policy/check_queue.cpp
+++ b/src/policy/check_queue.cpp
@@ -6,7 +6,7 @@
 namespace rookproxy::policy {
 namespace {
 
-// The average cost moves by an eighth of the difference with each check.
+// Each measured cost enters the moving average with a weight of 1/8.
 constexpr int kCostAverageWeight = 8;
 
 constexpr double kMinCpuShareForEstimate = 0.001;
@@ -30,7 +30,7 @@
   return source_class == SourceClass::kProven && proven_budget_.has_balance();
 }
 
-// Proven sources use their own budget first, and leave the common one to those that have none.
+// Proven sources use their own budget first and leave the common one to the other sources.
 void CheckQueue::charge(SourceClass source_class, Duration cost) {
   const bool from_proven = source_class == SourceClass::kProven && proven_budget_.has_balance();
   (from_proven ? proven_budget_ : common_budget_).charge(cost);
@@ -45,7 +45,8 @@
   scheduled_sources(source.source_class).push_back(id);
 }
 
-// A check must not overtake those of its own class or a better one that already wait.
+// Whether any check of this class or a class that is served before it is waiting; a new check must not
+// overtake those.
 bool CheckQueue::has_waiting_up_to(SourceClass source_class) {
   return std::any_of(kSourceClasses.begin(), kSourceClasses.end(), [&](SourceClass candidate) {
     return candidate <= source_class && next_scheduled_source(candidate) != nullptr;
@@ -54,7 +55,7 @@
 
 CheckQueue::Admission CheckQueue::admit(CheckId id, SourceId source_id, Time now) {
   refill_budgets(now);
-  Source& source = sources_[source_id];  // the reference stays valid: the map does not move its values
+  Source& source = sources_[source_id];  // Rehashing an unordered_map keeps references valid.
   if (!has_waiting_up_to(source.source_class) && may_run(source.source_class)) return Admission::kRunNow;
   if (source.waiting.size() >= limits_.max_waiting_per_source) return Admission::kRejected;
   if (source_by_check_.size() >= limits_.max_waiting && !make_space_for(source.source_class)) {
@@ -72,7 +73,8 @@
   return source != sources_.end() && !source->second.waiting.empty();
 }
 
-// The source scheduled last in the worst class below that one; nothing if no check waits there.
+// The source that was scheduled last in the lowest class below this one; nothing if no check is waiting in
+// those classes.
 std::optional<CheckQueue::SourceId> CheckQueue::newest_below(SourceClass source_class) const {
   for (const SourceClass candidate : {SourceClass::kFailing, SourceClass::kUnproven}) {
     if (candidate <= source_class) break;
@@ -84,11 +86,11 @@
   return std::nullopt;
 }
 
-// Makes space at the expense of a worse class; there is none to be made among equals.
+// Evicts a check of a lower class, if there is one.
 bool CheckQueue::make_space_for(SourceClass source_class) {
   const auto victim = newest_below(source_class);
   if (!victim) return false;
-  // The check becomes overdue at once, so that its caller hears of it in the usual way.
+  // The evicted check becomes overdue, so that take_overdue() returns it to its caller.
   WaitingCheck& check = sources_[*victim].waiting.back();
   waiting_by_age_.erase({check.since, check.id});
   check.since = Time();
@@ -108,7 +110,7 @@
     scheduled.pop_front();
     if (!exists) continue;
     found->second.is_scheduled = false;
-    // Its class has changed since it was scheduled.
+    // A source that still has waiting checks has changed its class since it was scheduled.
     if (!found->second.waiting.empty()) schedule_source(id, found->second);
   }
   return nullptr;
@@ -189,7 +191,7 @@
     waiting_by_age_.erase({check.since, check.id});
     source_by_check_.erase(check.id);
   }
-  sources_.erase(found);  // next_scheduled_source() drops its id once it is first there
+  sources_.erase(found);  // next_scheduled_source() removes its id from the schedule later.
 }
 
 Duration CheckQueue::retry_after() const {
--- a/src/policy/check_queue.h
+++ b/src/policy/check_queue.h
@@ -1,9 +1,10 @@
-// Schedules signature checks within a budget of processor time, so that a flood of invalid tokens can't slow
-// down callers that are known already.
+// Schedules signature checks within a CPU budget, so that a flood of invalid tokens does not delay callers
+// whose tokens have been verified before.
 //
-// Sources (connections) fall into three classes by the outcome of their earlier checks. Proven sources have a
-// budget of their own besides the common one. Within a class, sources are served round robin, each with its
-// oldest check, so that one that sends many tokens gets no more than one that sends a single one.
+// Sources (connections) are divided into three classes by the results of their earlier checks. Proven sources
+// have their own budget in addition to the common one. Within a class, sources are served round robin, each
+// with its oldest check, so that a source that sends many tokens gets no larger share than one that sends a
+// single token.
 #pragma once
 
 #include <array>
@@ -20,55 +21,61 @@
 
 namespace rookproxy::policy {
 
-// Not thread-safe; the clock is the caller's. It holds ids alone: the caller keeps the checks themselves.
+// Not thread-safe. The caller provides the time and keeps the checks themselves; the queue holds their ids.
 class CheckQueue {
  public:
   using CheckId = std::uint64_t;
   using SourceId = std::uint64_t;
 
-  // Bounds and budgets, from the operator's file.
+  // Bounds and budgets from the configuration.
   struct Limits {
-    double cpu_share = 0.05;                                 // of one core, for all checks together
-    double proven_cpu_share = 0.10;                          // of one core besides, for proven sources alone
-    Duration burst = std::chrono::milliseconds(2);           // the most that each budget saves up
-    Duration initial_cost = std::chrono::microseconds(150);  // of a check, until some have been measured
+    // The share of one core for the checks of all sources.
+    double cpu_share = 0.05;
+    // The additional share of one core for proven sources.
+    double proven_cpu_share = 0.10;
+    // The highest balance of each budget.
+    Duration burst = std::chrono::milliseconds(2);
+    // The assumed cost of a check until the first one has been measured.
+    Duration initial_cost = std::chrono::microseconds(150);
     std::size_t max_waiting = 1024;
     std::size_t max_waiting_per_source = 32;
     Duration max_wait = std::chrono::milliseconds(1000);
-    int max_consecutive_failures = 3;  // after that many invalid signatures a source is to be closed
+    // The number of consecutive invalid signatures after which a source should be closed.
+    int max_consecutive_failures = 3;
   };
   explicit CheckQueue(Limits limits);
 
-  // What the caller has to do with a check it wants to run.
+  // What the caller has to do with a check.
   enum class Admission {
-    kRunNow,   // run it at once, then call record_check()
-    kWait,     // take_next() or take_overdue() returns it later
-    kRejected  // there is no space for it
+    kRunNow,   // Run it now, then call record_check().
+    kWait,     // It was queued; take_next() or take_overdue() will return it.
+    kRejected  // The queue is full.
   };
+  // Decides on a new check of a source, and queues it unless it may run now or is rejected.
   Admission admit(CheckId id, SourceId source, Time now);
-  // Removes and returns the next check that may run now; record_check() has to follow.
+  // Removes and returns the next check that may run now; the caller must call record_check() after it.
   [[nodiscard]] std::optional<CheckId> take_next(Time now);
-  // Removes and returns the checks that have waited for longer than `max_wait`.
+  // Removes and returns the checks that have waited for `max_wait` or longer.
   [[nodiscard]] std::vector<CheckId> take_overdue(Time now);
-  // When take_next() or take_overdue() may return something at the earliest; nothing if no check waits.
+  // The earliest time at which take_next() or take_overdue() may return a check; nothing if none is waiting.
   [[nodiscard]] std::optional<Time> next_wake_time(Time now) const;
-  // Removes a waiting check; does nothing if it does not wait.
+  // Removes a waiting check; does nothing if the check is not waiting.
   void cancel(CheckId id);
 
-  // Records the outcome and cost of a check that has run. Returns whether its source has sent so many invalid
-  // signatures in a row that it should be closed.
+  // Records the result and cost of a check that has run. Returns true if its source has reached
+  // `max_consecutive_failures` and should be closed.
   bool record_check(SourceId source, Duration cost, bool is_valid, Time now);
-  // Forgets a source that has gone, with its waiting checks.
+  // Removes a source that was closed, with its waiting checks.
   void remove_source(SourceId source);
 
-  // For a rejected caller: how long the present queue will take.
+  // The estimated time until the current queue is processed, for the callers of rejected checks.
   [[nodiscard]] Duration retry_after() const;
   [[nodiscard]] std::size_t waiting_count() const { return source_by_check_.size(); }
-  // Exponentially weighted average of the measured costs of a check.
+  // The exponentially weighted moving average of the measured cost of a check.
   [[nodiscard]] Duration average_cost() const { return average_cost_; }
 
  private:
-  // In the order in which they are served.
+  // In the order in which the classes are served.
   enum class SourceClass { kProven, kUnproven, kFailing };
   static constexpr std::array kSourceClasses{SourceClass::kProven, SourceClass::kUnproven,
                                              SourceClass::kFailing};
@@ -99,8 +106,8 @@
   void charge(SourceClass source_class, Duration cost);
   void schedule_source(SourceId id, Source& source);
   [[nodiscard]] std::deque<SourceId>& scheduled_sources(SourceClass source_class);
-  // The source that is next in that class, or null; drops the ids of sources that have nothing there any
-  // more.
+  // The next source of that class that has a waiting check, or null. Removes the ids of sources that have
+  // none, or have changed their class.
   Source* next_scheduled_source(SourceClass source_class);
   [[nodiscard]] bool has_waiting_up_to(SourceClass source_class);
   [[nodiscard]] bool has_waiting(SourceId id) const;
--- a/src/policy/denial.h
+++ b/src/policy/denial.h
@@ -1,45 +1,45 @@
-// The reasons for which a credential or a request is refused, and how they are shown.
+// The reasons for denying a credential or a request, with their codes and messages.
 #pragma once
 
 #include <string_view>
 
 namespace rookproxy::policy {
 
-// Why access is denied. The order is that of the table of descriptions.
+// Why access is denied, in the order of the table of descriptions.
 enum class Denial {
-  kNone,                  // nothing is denied
-  kNoCredentials,         // neither a token nor a certificate was presented
-  kMalformed,             // not a token, or larger than a token may be
-  kAlgorithmNotAccepted,  // "none", an HMAC, or an algorithm other than that of the key
-  kCriticalExtension,     // the token requires an extension that is not supported
-  kUnknownKey,            // no key has that id, or the key is not in force
-  kInvalidSignature,      // the signature does not verify
-  kUntrustedIssuer,       // issued by an issuer that is not configured
-  kWrongAudience,         // intended for another audience
-  kNoExpiry,              // without an expiry, or with an impossible one
-  kNotYetValid,           // its validity has not started
-  kExpired,               // its validity has ended
-  kRevoked,               // revoked before its expiry
-  kRevocationUnknown,     // the revocation list is missing or out of date
-  kNoSubject,             // without a subject
-  kWrongUser,             // its subject is not the user who logs in
-  kUntrustedCertificate,  // the certificate has no trusted issuer, or is not for this use
-  kUnmappedIdentity,      // no identity is configured for this certificate or user
-  kUnknownTenant,         // the tenant is not configured
-  kNoKnownRole,           // none of the roles is configured
-  kClassNotAllowed,       // no role allows requests of this class
-  kWriteNotAllowed,       // no role allows writes
-  kWriteInReadClass,      // the statement writes, and its class is for reads
-  kUnresolvedTables,      // the statement's tables could not be determined
-  kSchemaNotAllowed,      // the statement names a schema that the tenant does not own
-  kBusy,                  // too many credentials wait to be checked; says nothing against this one
+  kNone,                  // Access is not denied.
+  kNoCredentials,         // Neither a token nor a certificate was presented.
+  kMalformed,             // The token cannot be parsed or is too large.
+  kAlgorithmNotAccepted,  // The algorithm is "none", an HMAC, or not that of the key.
+  kCriticalExtension,     // The token requires an extension that is not supported.
+  kUnknownKey,            // No key has that id, or the key is not in force.
+  kInvalidSignature,      // The signature does not verify.
+  kUntrustedIssuer,       // The issuer is not configured.
+  kWrongAudience,         // The token was issued for another audience.
+  kNoExpiry,              // The expiry is missing or impossible, or the lifetime is too long.
+  kNotYetValid,           // The validity period has not started.
+  kExpired,               // The validity period is over.
+  kRevoked,               // The credential was revoked before its expiry.
+  kRevocationUnknown,     // The revocation list is missing or out of date.
+  kNoSubject,             // The credential has no subject.
+  kWrongUser,             // The subject of the token is not the user who logs in.
+  kUntrustedCertificate,  // The certificate has no trusted issuer, or is not for this use.
+  kUnmappedIdentity,      // No identity is configured for this certificate or user.
+  kUnknownTenant,         // The tenant is not configured.
+  kNoKnownRole,           // None of the roles is configured.
+  kClassNotAllowed,       // No role allows requests of this class.
+  kWriteNotAllowed,       // No role allows writes in this class.
+  kWriteInReadClass,      // The statement writes, and its class is for reads.
+  kUnresolvedTables,      // The tables of the statement could not be determined.
+  kSchemaNotAllowed,      // The statement uses a schema that the tenant does not own.
+  kBusy,                  // Too many credentials are waiting for their check; this one was not checked.
 };
 constexpr Denial kFirstDenial = Denial::kNoCredentials;
 constexpr Denial kLastDenial = Denial::kBusy;
 
-// A short code, as "expired", for audit records, metrics and clients.
+// A short code such as "expired", for audit records, metrics and clients.
 [[nodiscard]] std::string_view reason_code(Denial denial);
-// A sentence for the client and the log.
+// A message for clients and the log.
 [[nodiscard]] std::string_view reason_message(Denial denial);
 
 }  // namespace rookproxy::policy
--- a/src/policy/discovery_path.cpp
+++ b/src/policy/discovery_path.cpp
@@ -19,13 +19,14 @@
   const bool is_unresponsive = unanswered_on_all_sockets_ >= kServerUnresponsiveThreshold;
   ++unanswered_on_socket_;
   ++unanswered_on_all_sockets_;
-  // A refusal says more than no response at all, so it is not replaced by that.
+  // A refusal is the more specific fault, so it is not replaced by a missing response.
   if (!is_unresponsive || reported_fault_ == Event::kConnectionRefused) return Event::kNone;
   return report_fault(Event::kServerUnresponsive);
 }
 
 DiscoveryPath::Event DiscoveryPath::on_response(bool is_first_poll, bool is_usable) {
-  // The first poll of the only new socket was answered: the server was there, the previous path was not.
+  // The first poll of the only new socket was answered, so the path of the previous socket had failed, not
+  // the server.
   const bool path_failed =
       is_usable && is_first_poll && sockets_opened_ == 1 && reported_fault_ == Event::kNone;
   new_socket_threshold_ = kInitialThreshold;
--- a/src/policy/drain.cpp
+++ b/src/policy/drain.cpp
@@ -5,7 +5,7 @@
 namespace rookproxy::policy {
 namespace {
 
-// A busy iteration of the event loop, or a timer that fires late.
+// The longest expected delay of an event loop iteration or a timer.
 constexpr Duration kIterationDelay = std::chrono::milliseconds(30);
 
 }  // namespace
--- a/src/policy/drain.h
+++ b/src/policy/drain.h
@@ -1,21 +1,21 @@
-// Decides until when work may be sent to an engine that is draining or was removed.
+// Decides until when attempts may start on an engine that is draining or was removed.
 #pragma once
 
 #include "base/time.h"
 
 namespace rookproxy::policy {
 
-// How long before the end of a grace period the last attempt may start.
+// Returns how long before the end of a drain grace period the last attempt may start.
 //
-// The grace period counts from when service discovery sent the response that announced the drain; this side
-// may have received that response up to `max_pause` later, since one lost response is followed by the next
-// poll. An attempt that is decided on at the last moment also leaves one loop iteration later. Attempts that
-// wait for a connection need no margin: they are cancelled at the limit. `max_pause` is the longest time
-// between two polls, and 0 where nothing is polled because an operator lists the engines.
+// The grace period starts when service discovery sends the response that announces the drain. If that
+// response is lost, this process receives the announcement with the next poll, up to `max_pause` later. An
+// attempt may also be sent one event loop iteration after the decision. Attempts that wait for a connection
+// need no margin, since they are cancelled at the limit. `max_pause` is the longest time between two polls,
+// and 0 if the engines are configured and service discovery is not polled.
 [[nodiscard]] Duration drain_margin(Duration max_pause);
 
-// The latest time at which an attempt may start, for a drain announced at `announced_at`. It is never earlier
-// than that: with a grace period shorter than the margin no further attempt starts.
+// The latest time at which an attempt may start, for a drain announced at `announced_at`. If the grace period
+// is shorter than the margin, this is `announced_at`, and no further attempt starts.
 [[nodiscard]] Time latest_drain_start(Time announced_at, Duration grace_period, Duration margin);
 
 }  // namespace rookproxy::policy
--- a/src/policy/identity.h
+++ b/src/policy/identity.h
@@ -1,4 +1,4 @@
-// Who a caller is, as shown by a credential.
+// The identity of a caller, as established by a credential.
 #pragma once
 
 #include <optional>
@@ -9,28 +9,32 @@
 
 namespace rookproxy::policy {
 
-// The kind of credential that showed an identity.
+// The kind of credential that established an identity.
 enum class CredentialKind { kNone, kToken, kCertificate, kPassword };
 
-// What a credential has shown. It holds names rather than pointers into a policy, so it outlives a reload.
+// An authenticated identity. It holds names rather than pointers into a policy, so it stays valid when the
+// policy is reloaded.
 struct Identity {
   CredentialKind credential_kind = CredentialKind::kNone;
   std::string subject;
   std::string tenant;
   std::vector<std::string> roles;
-  // When the credential expires, clock leeway included; absent if it does not expire by itself.
+  // When the credential expires, including the clock leeway; absent if it does not expire.
   std::optional<Time> not_after;
-  // Until when the revocation list says whether it was revoked; absent if there is no such bound.
+  // Until when the revocation list is valid for the credential; absent if that is not limited.
   std::optional<Time> revocation_known_until;
-  // For the audit: a key's id or a certificate's serial number; never a secret.
+  // The id of a key or the serial number of a certificate, for the audit log; never a secret.
   std::string credential_id;
 };
 
 // The fields of a verified certificate that authorization needs.
 struct CertificateInfo {
-  std::string subject;                         // as "CN=a,O=b" (RFC 2253)
-  std::vector<std::string> alternative_names;  // as "URI:...", "DNS:..." or "email:..."
-  std::string serial;                          // hexadecimal
+  // In the form "CN=a,O=b" (RFC 2253).
+  std::string subject;
+  // In the form "URI:...", "DNS:..." or "email:...".
+  std::vector<std::string> alternative_names;
+  // The serial number in hexadecimal.
+  std::string serial;
   Time not_after{};
 };
 
--- a/src/policy/poll_schedule.cpp
+++ b/src/policy/poll_schedule.cpp
@@ -5,10 +5,10 @@
 namespace rookproxy::policy {
 namespace {
 
-// By how much of the interval a pause may be shorter or longer than it.
+// The largest deviation of a pause from the interval, as a fraction of the interval.
 constexpr double kJitter = 0.1;
 
-// A pause of 0 would poll without end.
+// Guards against polling in a busy loop.
 constexpr Duration kMinPause(1);
 
 }  // namespace
--- a/src/policy/poll_schedule.h
+++ b/src/policy/poll_schedule.h
@@ -1,25 +1,25 @@
 // Decides when service discovery is polled next.
 //
-// All dispatchers are configured with the same interval, and a release or a recovering network starts many at
-// once. If they polled in step, a hundred of them would poll within the same ten milliseconds, and a server
-// of fixed capacity would respond to the last of them late or never.
+// All dispatchers have the same poll interval, and a release or a recovering network starts many of them at
+// the same time. Without jitter they would poll at the same moments and overload the service discovery
+// server.
 #pragma once
 
 #include "base/time.h"
 
 namespace rookproxy::policy {
 
-// Pauses between polls, with jitter that spreads the dispatchers over the interval.
+// Computes the pauses between polls, with jitter that spreads the dispatchers over the interval.
 class PollSchedule {
  public:
-  // `interval` is the mean time between two polls, over 0.
+  // `interval` is the mean time between two polls and must be positive.
   explicit PollSchedule(Duration interval) : interval_(interval) {}
 
-  // The pause after a poll; `random` is uniform in [0, 1). The first pause puts the dispatcher anywhere in
-  // the interval; later ones vary by a tenth, so that dispatchers that fall into step separate again.
+  // Returns the pause after a poll; `random` is uniform in [0, 1). The first pause is uniform over the
+  // interval; later ones vary by 10 % around it, so that dispatchers that have synchronized separate again.
   [[nodiscard]] Duration next_pause(double random);
 
-  // The longest pause: 1.1 intervals, by which an engine's drain is noticed at the latest.
+  // The longest pause: 1.1 intervals. Without lost responses a drain is noticed within this time.
   [[nodiscard]] Duration max_pause() const;
 
  private:
--- a/src/policy/revocation_status.cpp
+++ b/src/policy/revocation_status.cpp
@@ -10,8 +10,8 @@
   return now < *crl->next_update + grace ? RevocationStatus::kInGracePeriod : RevocationStatus::kExpired;
 }
 
-bool may_replace(const std::optional<CrlTimes>& former, const CrlTimes& replacement) {
-  return !former || replacement.this_update >= former->this_update;
+bool may_replace(const std::optional<CrlTimes>& previous, const CrlTimes& replacement) {
+  return !previous || replacement.this_update >= previous->this_update;
 }
 
 }  // namespace rookproxy::policy
--- a/src/policy/revocation_status.h
+++ b/src/policy/revocation_status.h
@@ -1,4 +1,4 @@
-// Whether a certificate revocation list can be relied on at a given time (RFC 5280, 5.1.2.4 and 5.1.2.5).
+// Decides whether a certificate revocation list is valid at a given time (RFC 5280, 5.1.2.4 and 5.1.2.5).
 #pragma once
 
 #include <optional>
@@ -7,30 +7,32 @@
 
 namespace rookproxy::policy {
 
-// The times that a list carries.
+// The validity times of a revocation list.
 struct CrlTimes {
   Time this_update{};
-  std::optional<Time> next_update;  // absent: the issuer announces no successor, so the list does not expire
+  // Absent if the issuer announces no next list; this list then does not expire.
+  std::optional<Time> next_update;
 };
 
-// How far a list can be relied on.
+// Whether a revocation list can be used.
 enum class RevocationStatus {
   kFresh,
-  kInGracePeriod,  // its successor is overdue: still relied on, with a warning
-  kExpired,        // no longer relied on: no certificate is accepted
+  kInGracePeriod,  // The next list is overdue; this one is still used, with a warning.
+  kExpired,        // The list is no longer used, and no certificate is accepted.
   kMissing,
-  kNotYetValid  // issued in the future: some clock is wrong
+  kNotYetValid  // The list was issued in the future, so a clock is wrong.
 };
 
-// The status of a list at `now`. `grace` follows its next update; `leeway` allows for clocks that differ.
+// Returns the status of a list at `now`. The grace period `grace` starts at the list's next update; `leeway`
+// allows for clock differences.
 [[nodiscard]] RevocationStatus revocation_status(const std::optional<CrlTimes>& crl, Time now, Duration grace,
                                                  Duration leeway);
-// Whether certificates have to be refused under that status.
+// Whether all certificates must be refused under that status.
 [[nodiscard]] inline bool fails_closed(RevocationStatus status) {
   return status != RevocationStatus::kFresh && status != RevocationStatus::kInGracePeriod;
 }
-// Whether a list may replace the former one. An older list must not: it could lack certificates that were
-// revoked since.
-[[nodiscard]] bool may_replace(const std::optional<CrlTimes>& former, const CrlTimes& replacement);
+// Whether a list may replace the previous one. An older list must not, since it may lack certificates that
+// have been revoked since it was issued.
+[[nodiscard]] bool may_replace(const std::optional<CrlTimes>& previous, const CrlTimes& replacement);
 
 }  // namespace rookproxy::policy
--- a/src/policy/shutdown.cpp
+++ b/src/policy/shutdown.cpp
@@ -7,22 +7,22 @@
 
 using std::chrono::milliseconds;
 
-// By the platform's protocol, new connections come for 0.4 s after SIGTERM, and requests on open connections
-// for 0.2 s more.
+// According to the platform's protocol, new connections arrive until 0.4 s after SIGTERM, and requests on
+// open connections for another 0.2 s.
 constexpr Duration kConnectionPeriod = milliseconds(400);
 constexpr Duration kRequestPeriod = milliseconds(600);
 constexpr Duration kMaxCountedDeadline = milliseconds(3000);
 constexpr Duration kKillGracePeriod = milliseconds(700);
-// A client sends a request within 2 s, so one that is being received is waited for no longer.
+// The longest time a client takes to send a request, and so the longest wait for one being received.
 constexpr Duration kMaxReceiveTime = milliseconds(2000);
-// Added to the protocol's periods where the deadlines allow it.
+// Added to the periods of the protocol if the deadlines allow it.
 constexpr Duration kConnectionSlack = milliseconds(100);
 constexpr Duration kRequestSlack = milliseconds(400);
-// The process exits this long before SIGKILL may come.
+// How long before the earliest SIGKILL the process exits.
 constexpr Duration kExitMargin = milliseconds(150);
-// The end of a connection takes this long to reach the client and to come back.
+// The time allowed for a closed connection to be closed by the client as well.
 constexpr Duration kCloseTime = milliseconds(250);
-// Draining input ends after this even if events never cease.
+// The longest time for draining input, if events keep arriving.
 constexpr Duration kMaxInputDrainTime = milliseconds(50);
 
 ShutdownAction while_closing_clients(const ShutdownTimes& times, const ShutdownState& state) {
--- a/src/policy/statement_analysis.h
+++ b/src/policy/statement_analysis.h
@@ -1,4 +1,4 @@
-// What a statement does, as far as authorization needs to know. src/sql finds it out.
+// The analysis of a statement that authorization needs; src/sql produces it.
 #pragma once
 
 #include <string>
@@ -6,17 +6,17 @@
 
 namespace rookproxy::policy {
 
-// Whether a statement only reads. One whose effect is not known counts as a write.
+// Whether a statement only reads. A statement whose effect is unknown counts as a write.
 enum class StatementEffect { kReads, kWrites };
 
 // The result of analyzing a statement.
 struct StatementAnalysis {
   StatementEffect effect = StatementEffect::kWrites;
-  // False if not all tables could be determined; `unresolved_reason` then says why.
+  // False if not all tables could be determined; `unresolved_reason` then holds the reason.
   bool tables_resolved = false;
   std::string unresolved_reason;
-  // Each schema whose tables or functions it names, once. An empty name stands for a table without a schema
-  // in a session without a default schema.
+  // The schemas of the tables and functions that the statement uses, without duplicates. An empty name stands
+  // for a table without a schema in a session without a default schema.
   std::vector<std::string> schemas;
 };
 
--- a/src/policy/token_cache.cpp
+++ b/src/policy/token_cache.cpp
@@ -1,6 +1,6 @@
 #include "policy/token_cache.h"
 
-#define XXH_INLINE_ALL  // avoids a shared library for one function
+#define XXH_INLINE_ALL  // Avoids linking the shared library.
 #include <xxhash.h>
 
 #include <algorithm>
@@ -9,10 +9,10 @@
 namespace rookproxy::policy {
 namespace {
 
-// Estimate of an entry's fixed part: its nodes in list and index, and its claims.
+// The estimated size of an entry without its token and roles: its nodes in list and index, and its claims.
 constexpr std::size_t kEntryOverheadBytes = 512;
 
-// The token and the role names are held twice: in the entry and in its claims.
+// Counts the token and the role names twice: in the entry and in its claims.
 std::size_t entry_bytes(std::string_view token, const VerifiedCredential& credential) {
   std::size_t bytes = kEntryOverheadBytes + 2 * token.size();
   for (const auto& role : credential.identity.roles) bytes += 2 * (sizeof(std::string) + role.size());
@@ -84,7 +84,7 @@
 
 std::size_t TokenCache::revalidate(const std::vector<KeyMetadata>& keys, const TokenRules& rules,
                                    const RevocationList& revocations, Time now) {
-  // A signature that was invalid may verify with another key.
+  // A signature that was invalid may be valid under the new keys.
   std::fill(invalid_entries_.begin(), invalid_entries_.end(), InvalidEntry());
   std::size_t removed = 0;
   for (auto entry = entries_.begin(); entry != entries_.end();) {
@@ -94,7 +94,7 @@
       erase(entry);
       ++removed;
     } else {
-      // The validity of the key itself may have changed.
+      // The validity period of the key may have changed.
       auto renewed = std::make_shared<VerifiedCredential>(*entry->credential);
       renewed->identity = identity_from_claims(renewed->claims, rules, keys[key.key_index]);
       entry->credential = std::move(renewed);
--- a/src/policy/token_cache.h
+++ b/src/policy/token_cache.h
@@ -1,8 +1,8 @@
-// A bounded cache of tokens that were verified, and of some whose signature is known to be invalid.
+// A bounded cache of verified tokens, and of hashes of tokens with invalid signatures.
 //
-// A verified token leaves when it expires, when its key leaves the set or changes, when it is revoked, or
-// when it is the least recently used one and there is no space. Tokens are compared whole; the hash only says
-// where to look.
+// A verified token is removed when it expires, when its key is removed from the key set or changes, or when
+// it is revoked; the least recently used token is evicted when the cache is full. A hash locates the entry,
+// and the whole token is compared.
 #pragma once
 
 #include <cstddef>
@@ -19,30 +19,33 @@
 
 namespace rookproxy::policy {
 
-// Not thread-safe; the clock is the caller's.
+// Not thread-safe. The caller provides the time.
 class TokenCache {
  public:
   // Bounds of the cache.
   struct Limits {
     std::size_t max_entries = 10'000;
-    std::size_t max_bytes = 16U << 20U;  // of verified tokens, each with its claims
-    std::size_t invalid_entries = 1024;  // hashes of tokens with invalid signatures
+    // The size of all verified tokens with their claims.
+    std::size_t max_bytes = 16U << 20U;
+    // The number of hashes of tokens with invalid signatures.
+    std::size_t invalid_entries = 1024;
     Duration invalid_lifetime = std::chrono::seconds(5);
   };
-  // `seed` is that of the hash and must not be known to those who send tokens.
+  // `seed` is the seed of the hash function and must be unknown to clients.
   TokenCache(Limits limits, std::uint64_t seed);
 
   // The credential of a verified token, or null if the token is not cached or has expired.
   [[nodiscard]] std::shared_ptr<const VerifiedCredential> find(std::string_view token, Time now);
-  // Adds or replaces a verified token; a token larger than the whole cache is not kept.
+  // Adds or replaces a verified token. A token larger than the whole cache is not stored.
   void put(std::string_view token, std::shared_ptr<const VerifiedCredential> credential);
 
-  // Whether the token's signature was found invalid within `invalid_lifetime`.
+  // Whether the token's signature was found invalid within the last `invalid_lifetime`. False negatives are
+  // possible, since another token may have taken the entry.
   [[nodiscard]] bool is_known_invalid(std::string_view token, Time now) const;
   void put_invalid(std::string_view token, Time now);
 
-  // To be called when other keys, rules or revocations are in force: validates every entry against them.
-  // Returns how many were removed.
+  // To be called when keys, rules or revocations have changed: validates every entry against them, removes
+  // the invalid ones and returns their number.
   std::size_t revalidate(const std::vector<KeyMetadata>& keys, const TokenRules& rules,
                          const RevocationList& revocations, Time now);
   [[nodiscard]] std::size_t size() const { return index_.size(); }
@@ -67,10 +70,13 @@
 
   Limits limits_;
   std::uint64_t seed_;
-  EntryList entries_;                                                  // the least recently used last
-  std::unordered_multimap<std::uint64_t, EntryList::iterator> index_;  // by hash
+  // Ordered from the most to the least recently used entry.
+  EntryList entries_;
+  // Entries by hash.
+  std::unordered_multimap<std::uint64_t, EntryList::iterator> index_;
   std::size_t bytes_ = 0;
-  std::vector<InvalidEntry> invalid_entries_;  // a token's slot follows from its hash; the latest one stays
+  // Indexed by the token's hash modulo the size. A new entry replaces the previous one at its index.
+  std::vector<InvalidEntry> invalid_entries_;
 };
 
 }  // namespace rookproxy::policy
--- a/src/policy/token_validation.cpp
+++ b/src/policy/token_validation.cpp
@@ -7,7 +7,8 @@
 namespace rookproxy::policy {
 namespace {
 
-// The year 2514. Later times would overflow 64 bits of microseconds sooner or later, and are no real expiry.
+// A time in the year 2514. Later ones are treated as invalid, so that no conversion to microseconds overflows
+// 64 bits.
 constexpr double kMaxUnixSeconds = 17'179'869'184.0;
 constexpr double kMicrosecondsPerSecond = 1e6;
 
@@ -71,7 +72,7 @@
   const auto expires = time_from_unix_seconds(claims.expires);
   if (!expires) return Denial::kNoExpiry;
   if (now >= *expires + rules.leeway) return Denial::kExpired;
-  // A claim that is present with an impossible time must not pass as an absent one.
+  // A claim with an invalid time must not be treated as absent.
   const auto not_before = time_from_unix_seconds(claims.not_before);
   const auto issued_at = time_from_unix_seconds(claims.issued_at);
   if (claims.not_before && (!not_before || now + rules.leeway < *not_before)) return Denial::kNotYetValid;
@@ -104,7 +105,7 @@
   if (const auto expires = time_from_unix_seconds(claims.expires)) {
     identity.not_after = *expires + rules.leeway;
   }
-  // A token is valid no longer than the key that signed it.
+  // A token does not outlive the key that signed it.
   if (key.not_after) {
     const Time key_end = *key.not_after + rules.leeway;
     identity.not_after = std::min(identity.not_after.value_or(key_end), key_end);
--- a/src/policy/unanswered_polls.cpp
+++ b/src/policy/unanswered_polls.cpp
@@ -5,7 +5,7 @@
 namespace rookproxy::policy {
 
 void UnansweredPolls::on_poll_sent(Time at) {
-  if (sent_at_.size() == kMaxPolls) sent_at_.erase(sent_at_.begin() + 1);  // the first one has to stay
+  if (sent_at_.size() == kMaxPolls) sent_at_.erase(sent_at_.begin() + 1);  // The first one is kept.
   sent_at_.push_back(at);
 }
 
@@ -15,7 +15,7 @@
   std::erase_if(sent_at_, [sent_at](Time other) { return other <= sent_at; });
 }
 
-Time UnansweredPolls::announced_since(Duration max_pause, Time now) const {
+Time UnansweredPolls::earliest_announcement(Duration max_pause, Time now) const {
   return sent_at_.empty() ? now : std::min(now, sent_at_.front() + max_pause);
 }
 
--- a/src/policy/unanswered_polls.h
+++ b/src/policy/unanswered_polls.h
@@ -1,5 +1,5 @@
-/// Decides since when the content of an endpoint list counts as announced, from the polls that went
-/// unanswered before it.
+// Determines the earliest time at which the content of an endpoint list may have been announced, from the
+// polls that were not answered before it.
 #pragma once
 
 #include <cstddef>
@@ -10,25 +10,26 @@
 
 namespace rookproxy::policy {
 
-/// The polls that were sent after the last one that was answered with the newest list. Any of them may have
-/// been answered by a response that was lost on its way, and what it announced binds from then on. So only a
-/// response with the newest list ends the wait: one with an older list says nothing of what was announced.
+// Tracks the polls that were sent after the last one that was answered with the newest list. The response to
+// any of them may have been lost, and a grace period starts when the response that announces it is sent. Only
+// a response with the newest list answers a poll here; an older list does not show what has been announced.
 class UnansweredPolls {
  public:
   void on_poll_sent(Time at);
-  /// The poll sent at `sent_at` was answered with the newest list. Of two responses that overtake each other
-  /// the one to the later poll counts.
+  // To be called when the poll sent at `sent_at` was answered with the newest list. If responses arrive out
+  // of order, the one to the later poll counts.
   void on_answered(Time sent_at);
 
-  /// Since when a list received at `now` may have been announced to this process. `max_pause` is the longest
-  /// time between two polls, which drain_margin() covers already.
-  [[nodiscard]] Time announced_since(Duration max_pause, Time now) const;
+  // The earliest time at which a list received at `now` may have been announced, apart from `max_pause`, the
+  // longest time between two polls, which drain_margin() accounts for.
+  [[nodiscard]] Time earliest_announcement(Duration max_pause, Time now) const;
 
  private:
-  // Those behind the first one only matter once a late response moves it forward.
+  // The first poll is always kept; later ones are needed only when a late response removes it.
   static constexpr std::size_t kMaxPolls = 64;
 
-  std::vector<Time> sent_at_;  // of the unanswered polls, in order
+  // The times at which the unanswered polls were sent, in order.
+  std::vector<Time> sent_at_;
   std::optional<Time> last_answered_;
 };
 
--- a/tests/discovery/endpoint_list_tracker_test.cpp
+++ b/tests/discovery/endpoint_list_tracker_test.cpp
@@ -109,7 +109,7 @@
 TEST_CASE("endpoint lists: two responses to one poll are one opinion") {
   EndpointListTracker lists({3, parse_list("ab")}, Time(0s));
   CHECK(lists.take({2, parse_list("a"), Time(1s), Time(1s)}) == Ordering::kFirstContradicting);
-  CHECK(lists.take({2, parse_list("a"), Time(1s), Time(1100ms)}) == Ordering::kOvertaken);
+  CHECK(lists.take({2, parse_list("a"), Time(1s), Time(1100ms)}) == Ordering::kStale);
   CHECK(format_list(lists.usable_endpoints()) == "ab");
   CHECK(lists.take({2, parse_list("a"), Time(2s), Time(2s)}) == Ordering::kContradicting);
   CHECK(format_list(lists.usable_endpoints()) == "aB");
--- a/tests/policy/authorization_test.cpp
+++ b/tests/policy/authorization_test.cpp
@@ -1,4 +1,4 @@
-// Authorization: which caller may send which statement in which class.
+// Tests which caller may send which statement in which request class.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <string>
@@ -34,13 +34,13 @@
 
 }  // namespace
 
-TEST_CASE("access: a student reads his tenant's lookups, and nothing else") {
+TEST_CASE("authorization: a read-only role may only read its tenant's schemas in its classes") {
   const auto student = test::make_identity("student");
   CHECK(authorize_statement(student, "lookup", "SELECT a FROM marks_17.pupils") == Denial::kNone);
   CHECK(authorize_statement(student, "report", "SELECT a FROM marks_17.pupils") == Denial::kClassNotAllowed);
   CHECK(authorize_statement(student, "load", "INSERT INTO marks_17.pupils VALUES (1)") ==
         Denial::kClassNotAllowed);
-  // What the statement does decides, not what its sender calls it.
+  // The effect of the statement decides, not the class that the caller states.
   CHECK(authorize_statement(student, "lookup", "INSERT INTO marks_17.pupils VALUES (1)") ==
         Denial::kWriteInReadClass);
   CHECK(
@@ -54,7 +54,7 @@
   CHECK(authorize_statement(student, "lookup", "SELECT 1") == Denial::kNone);
 }
 
-TEST_CASE("access: only officers load, and only their own tenant's data") {
+TEST_CASE("authorization: a write needs a role that grants class and writes, and a schema of the tenant") {
   CHECK(authorize_statement(test::make_identity("officer"), "load",
                             "INSERT INTO marks_17.pupils VALUES (1)") == Denial::kNone);
   CHECK(authorize_statement(test::make_identity("officer"), "lookup",
@@ -68,48 +68,48 @@
         Denial::kUnresolvedTables);
   CHECK(authorize_statement(test::make_identity("teacher"), "load",
                             "INSERT INTO marks_17.pupils VALUES (1)") == Denial::kClassNotAllowed);
-  // Two roles do not add up to a right that neither has.
-  auto both = test::make_identity("student");
-  both.roles = {"student", "teacher"};
-  CHECK(authorize_statement(both, "load", "INSERT INTO marks_17.pupils VALUES (1)") ==
+  // Two roles together do not grant a right that neither of them grants.
+  auto two_roles = test::make_identity("student");
+  two_roles.roles = {"student", "teacher"};
+  CHECK(authorize_statement(two_roles, "load", "INSERT INTO marks_17.pupils VALUES (1)") ==
         Denial::kClassNotAllowed);
 }
 
-TEST_CASE("access: an identity is judged anew each time") {
-  auto one = test::make_identity("student");
-  one.not_after = kNow;
-  CHECK(authorize_statement(one, "lookup", "SELECT 1") == Denial::kExpired);
+TEST_CASE("authorization: an expired, unknown or incomplete identity is denied") {
+  auto expired = test::make_identity("student");
+  expired.not_after = kNow;
+  CHECK(authorize_statement(expired, "lookup", "SELECT 1") == Denial::kExpired);
   CHECK(authorize_statement(test::make_identity("janitor"), "lookup", "SELECT 1") == Denial::kNoKnownRole);
   CHECK(authorize_statement(test::make_identity("student", "mekelle"), "lookup", "SELECT 1") ==
         Denial::kUnknownTenant);
   CHECK(authorize_statement(Identity(), "lookup", "SELECT 1") == Denial::kNoCredentials);
-  auto nobody = test::make_identity("student");
-  nobody.subject.clear();
-  CHECK(authorize_statement(nobody, "lookup", "SELECT 1") == Denial::kNoSubject);
+  auto no_subject = test::make_identity("student");
+  no_subject.subject.clear();
+  CHECK(authorize_statement(no_subject, "lookup", "SELECT 1") == Denial::kNoSubject);
 }
 
-TEST_CASE("access: groups bound what a pattern stands for") {
+TEST_CASE("authorization: a schema that matches a prefix must be in a group of its tenant") {
   const Tenant tenant = example_policy().tenants[0];
   CHECK(tenant.owns_schema("marks_1"));
   CHECK(tenant.owns_schema("marks_40"));
   CHECK(tenant.owns_schema("marks_a_77"));
   CHECK(tenant.owns_schema("staging"));
-  for (const char* other :
+  for (const char* schema_name :
        {"marks_0", "marks_41", "marks_", "marks_x", "marks_017", "marks_1x", "marks_+1",
         "marks_99999999999999999999", "Marks_1", "staging2", "stagin", "", "information_schema"}) {
-    INFO(other);
-    CHECK_FALSE(tenant.owns_schema(other));
+    INFO(schema_name);
+    CHECK_FALSE(tenant.owns_schema(schema_name));
   }
 }
 
-TEST_CASE("access: each denial has a word of its own and a text") {
-  std::vector<std::string_view> words;
+TEST_CASE("denial: each one has a unique reason code and a message") {
+  std::vector<std::string_view> codes;
   for (int i = static_cast<int>(kFirstDenial); i <= static_cast<int>(kLastDenial); ++i) {
-    const auto word = reason_code(static_cast<Denial>(i));
-    CHECK_FALSE(word.empty());
+    const auto code = reason_code(static_cast<Denial>(i));
+    CHECK_FALSE(code.empty());
     CHECK_FALSE(reason_message(static_cast<Denial>(i)).empty());
-    CHECK(std::find(words.begin(), words.end(), word) == words.end());
-    words.push_back(word);
+    CHECK(std::find(codes.begin(), codes.end(), code) == codes.end());
+    codes.push_back(code);
   }
 }
 
--- a/tests/policy/credentials.h
+++ b/tests/policy/credentials.h
@@ -1,4 +1,4 @@
-// Identities and tokens that the tests of credentials start from.
+// Identities and tokens for the tests of credentials.
 #pragma once
 
 #include <chrono>
@@ -9,10 +9,10 @@
 
 namespace rookproxy::test {
 
-// The time at which these tests take place.
+// The current time in these tests.
 inline const Time kNow{std::chrono::hours(500'000)};
 
-// A caller with that role, valid for another minute.
+// An identity with that role that is valid for one more minute.
 inline policy::Identity make_identity(std::string role, std::string tenant = "addis") {
   policy::Identity identity;
   identity.credential_kind = policy::CredentialKind::kToken;
@@ -27,7 +27,7 @@
   return {{"https://id"}, "rookproxy", std::chrono::seconds(5), std::chrono::seconds(0)};
 }
 
-// Claims that satisfy make_rules(), issued a minute ago and valid for another.
+// Claims that satisfy make_rules(), issued one minute ago and valid for one more minute.
 inline policy::TokenClaims make_claims() {
   const double now = static_cast<double>(kNow.time_since_epoch().count()) / 1e6;
   policy::TokenClaims claims;
--- a/tests/policy/discovery_path_test.cpp
+++ b/tests/policy/discovery_path_test.cpp
@@ -1,4 +1,4 @@
-// When a new socket is opened for polls, and what operators are told.
+// Tests when a new socket is opened for polls, and which events are reported.
 #include "policy/discovery_path.h"
 
 #include <catch2/catch.hpp>
@@ -11,49 +11,51 @@
 
 using namespace std::chrono_literals;
 
-TEST_CASE("discovery path: new sockets and logged events, by what was answered") {
+TEST_CASE("discovery path: unanswered polls lead to new sockets and are reported once") {
   struct Case {
-    // q: a query; a: a response to the first on its socket; l: to another; s: a malformed one; r: refused.
+    // q: a poll; a: a response to the first poll of its socket; l: to a later poll; s: a malformed response;
+    // r: a refused poll.
     std::string steps;
-    // F: a new socket; P: path unresponsive; S: server unresponsive; R: refused; X: malformed; A: recovered.
-    std::string reported;
+    // F: a new socket; P: path unresponsive; S: server unresponsive; R: connection refused; X: malformed
+    // response; A: recovered.
+    std::string expected;
   };
-  const std::string names = "-SRXPA";
-  for (const auto& [steps, reported] : {
+  const std::string event_letters = "-SRXPA";
+  for (const auto& [steps, expected] : {
            Case{"qaqlqlqlql", ""},
-           Case{"qaqqlqqlqql", ""},        // one lost now and then
-           Case{"qaqqqaqlql", "FP"},       // two lost, and a new socket is answered at once
-           Case{"qaqqqqlqa", "F"},         // not at once: whether path or server is at fault is unknown
-           Case{"qaqqlqqqaqqqa", "FPFP"},  // every time
+           Case{"qaqqlqqlqql", ""},        // Single lost responses.
+           Case{"qaqqqaqlql", "FP"},       // Two lost, and the first poll of the new socket is answered.
+           Case{"qaqqqqlqa", "F"},         // A later one is answered: the fault is unknown.
+           Case{"qaqqlqqqaqqqa", "FPFP"},  // The path fails twice.
            Case{"qaqqqqqqqaql", "FFSA"},
-           Case{"qaqqqqqqql", "FFSA"},  // late
+           Case{"qaqqqqqqql", "FFSA"},  // A late response.
            Case{"qqqqqqqqqqqqqqqqqqqqqqqqqqqqqqqqqqqqqqq", "FFSFF"},
-           Case{"qaqrqrqrqrqrqrqa", "RFFA"},  // refused is not unresponsive
+           Case{"qaqrqrqrqrqrqrqa", "RFFA"},  // Refusals are not reported as unresponsive.
            Case{"qaqrqlqrql", "RARA"},
-           Case{"qaqsqsqsqsql", "XA"},  // a malformed response shows that the path works
+           Case{"qaqsqsqsqsql", "XA"},  // A malformed response shows that the path works.
            Case{"qaqqqqqqqsql", "FFSXA"},
        }) {
     INFO(steps);
     DiscoveryPath path;
-    std::string got;
+    std::string events;
     const auto record = [&](DiscoveryPath::Event event) {
-      if (event != DiscoveryPath::Event::kNone) got += names[static_cast<std::size_t>(event)];
+      if (event != DiscoveryPath::Event::kNone) events += event_letters[static_cast<std::size_t>(event)];
     };
     for (const char step : steps) {
       if (step == 'q' && path.needs_new_socket()) {
         path.on_socket_opened();
-        got += 'F';
+        events += 'F';
       }
       if (step == 'q') record(path.on_poll_sent());
       if (step == 'r') record(path.on_refused());
       if (step != 'q' && step != 'r') record(path.on_response(step == 'a', step != 's'));
     }
-    CHECK(got == reported);
+    CHECK(events == expected);
   }
-  DiscoveryPath none;  // without a new socket the fault is reported all the same
-  std::string got;
-  for (int i = 0; i < 20; ++i) got += names[static_cast<std::size_t>(none.on_poll_sent())];
-  CHECK(got == "------S-------------");
+  DiscoveryPath path_alone;  // The fault is also reported if no new socket is opened.
+  std::string events;
+  for (int i = 0; i < 20; ++i) events += event_letters[static_cast<std::size_t>(path_alone.on_poll_sent())];
+  CHECK(events == "------S-------------");
 }
 
 }  // namespace
--- a/tests/policy/endpoint_list_version_test.cpp
+++ b/tests/policy/endpoint_list_version_test.cpp
@@ -1,4 +1,4 @@
-// Which of two endpoint lists is the newer one.
+// Tests which of two endpoint lists is the newer one.
 #include "policy/endpoint_list_version.h"
 
 #include <catch2/catch.hpp>
@@ -11,65 +11,63 @@
 
 using namespace std::chrono_literals;
 
-TEST_CASE("list version: ordered by serial and by when it was polled") {
-  using Place = EndpointListVersion::Ordering;
+TEST_CASE("list version: lists are ordered by version and by the time of their poll") {
+  using Order = EndpointListVersion::Ordering;
   struct Step {
-    std::uint32_t serial;
+    std::uint32_t version;
     Duration polled_at;
     Duration now;
-    Place place;
+    Order expected;
   };
   struct Case {
-    std::uint32_t first;
+    std::uint32_t initial_version;
     std::vector<Step> steps;
   };
-  for (const auto& [first, steps] : {
-           Case{1, {{1, 0s, 1s, Place::kSame}, {2, 1s, 1s, Place::kNewer}, {2, 1s, 2s, Place::kSame}}},
-           // Overtaken on its way, however late.
-           Case{
-               5,
-               {{6, 2s, 3s, Place::kNewer}, {5, 1s, 4s, Place::kOvertaken}, {5, 3s, 30s, Place::kOvertaken}}},
-           // The numbers wrap round.
-           Case{0xffffffff, {{0, 1s, 1s, Place::kNewer}, {0xffffffff, 2s, 2s, Place::kFirstContradicting}}},
-           Case{0, {{0x7fffffff, 1s, 1s, Place::kNewer}, {0x80000000, 2s, 2s, Place::kNewer}}},
-           // A server that lags now and then is never followed,
+  for (const auto& [initial_version, steps] : {
+           Case{1, {{1, 0s, 1s, Order::kSame}, {2, 1s, 1s, Order::kNewer}, {2, 1s, 2s, Order::kSame}}},
+           // A response to an earlier poll is stale, however late it arrives.
+           Case{5, {{6, 2s, 3s, Order::kNewer}, {5, 1s, 4s, Order::kStale}, {5, 3s, 30s, Order::kStale}}},
+           // Versions wrap around.
+           Case{0xffffffff, {{0, 1s, 1s, Order::kNewer}, {0xffffffff, 2s, 2s, Order::kFirstContradicting}}},
+           Case{0, {{0x7fffffff, 1s, 1s, Order::kNewer}, {0x80000000, 2s, 2s, Order::kNewer}}},
+           // Lists of a server that lags at times are never used.
            Case{9,
-                {{8, 1s, 1s, Place::kFirstContradicting},
-                 {8, 7s, 7s, Place::kContradicting},
-                 {9, 7s, 7s, Place::kSame},
-                 {8, 9s, 9s, Place::kFirstContradicting},
-                 {8, 15s, 15s, Place::kContradicting}}},
-           // one that starts anew is, once no newer list can be on its way,
+                {{8, 1s, 1s, Order::kFirstContradicting},
+                 {8, 7s, 7s, Order::kContradicting},
+                 {9, 7s, 7s, Order::kSame},
+                 {8, 9s, 9s, Order::kFirstContradicting},
+                 {8, 15s, 15s, Order::kContradicting}}},
+           // A server that restarted its versions is used once no newer list can be in transit.
            Case{9,
-                {{2, 1s, 1s, Place::kFirstContradicting},
-                 {3, 7999ms, 7999ms, Place::kContradicting},
-                 {3, 8s, 8s, Place::kServerRestarted},
-                 {3, 9s, 9s, Place::kSame},
-                 {4, 9s, 9s, Place::kNewer}}},
-           // and its former numbers are newer ones again.
+                {{2, 1s, 1s, Order::kFirstContradicting},
+                 {3, 7999ms, 7999ms, Order::kContradicting},
+                 {3, 8s, 8s, Order::kServerRestarted},
+                 {3, 9s, 9s, Order::kSame},
+                 {4, 9s, 9s, Order::kNewer}}},
+           // After that its previous versions count as newer.
            Case{9,
-                {{2, 1s, 1s, Place::kFirstContradicting},
-                 {2, 8s, 8s, Place::kServerRestarted},
-                 {9, 8s, 9s, Place::kNewer}}},
+                {{2, 1s, 1s, Order::kFirstContradicting},
+                 {2, 8s, 8s, Order::kServerRestarted},
+                 {9, 8s, 9s, Order::kNewer}}},
        }) {
-    EndpointListVersion order(first, Time(0s));
+    EndpointListVersion versions(initial_version, Time(0s));
     for (const auto& step : steps) {
-      INFO(step.serial << " at " << step.now.count());
-      CHECK(order.classify(step.serial, true, Time(step.polled_at), Time(step.now)) == step.place);
+      INFO(step.version << " at " << step.now.count());
+      CHECK(versions.classify(step.version, true, Time(step.polled_at), Time(step.now)) == step.expected);
     }
   }
 }
 
-TEST_CASE("list version: another list under the newest version is no newer one") {
-  using Place = EndpointListVersion::Ordering;
-  EndpointListVersion order(5, Time(0s));
-  CHECK(order.classify(5, false, Time(1s), Time(1s)) == Place::kFirstContradicting);
-  CHECK(order.classify(5, false, Time(2s), Time(2s)) == Place::kContradicting);
-  CHECK(order.classify(5, true, Time(3s), Time(3s)) == Place::kSame);
-  CHECK(order.classify(5, false, Time(3s), Time(4s)) == Place::kOvertaken);
-  CHECK(order.classify(5, false, Time(4s), Time(4s)) == Place::kFirstContradicting);
-  CHECK(order.classify(5, false, Time(11s), Time(11s)) == Place::kServerRestarted);
-  CHECK(order.classify(6, false, Time(12s), Time(12s)) == Place::kNewer);
+TEST_CASE("list version: other content under the newest version contradicts the newest list") {
+  using Order = EndpointListVersion::Ordering;
+  EndpointListVersion versions(5, Time(0s));
+  CHECK(versions.classify(5, false, Time(1s), Time(1s)) == Order::kFirstContradicting);
+  CHECK(versions.classify(5, false, Time(2s), Time(2s)) == Order::kContradicting);
+  CHECK(versions.classify(5, true, Time(3s), Time(3s)) == Order::kSame);
+  CHECK(versions.classify(5, false, Time(3s), Time(4s)) == Order::kStale);
+  CHECK(versions.classify(5, false, Time(4s), Time(4s)) == Order::kFirstContradicting);
+  CHECK(versions.classify(5, false, Time(11s), Time(11s)) == Order::kServerRestarted);
+  CHECK(versions.classify(6, false, Time(12s), Time(12s)) == Order::kNewer);
 }
 
 }  // namespace
--- a/tests/policy/poll_schedule_test.cpp
+++ b/tests/policy/poll_schedule_test.cpp
@@ -1,4 +1,4 @@
-// When service discovery is polled, over a whole cluster in virtual time.
+// Tests the poll times of many dispatchers in virtual time.
 #include "policy/poll_schedule.h"
 
 #include <algorithm>
@@ -11,7 +11,7 @@
 
 using namespace std::chrono_literals;
 
-// When the polls of so many dispatchers that start at the same moment are sent, in order.
+// The sorted poll times of dispatchers that start at the same time.
 std::vector<Duration> poll_times(int dispatchers, Duration interval, Duration until) {
   std::vector<Duration> times;
   std::uniform_real_distribution<double> distribution(0, 1);
@@ -24,18 +24,18 @@
   return times;
 }
 
-TEST_CASE("poll schedule: dispatchers that start at one moment do not poll in step") {
+TEST_CASE("poll schedule: the polls of dispatchers that start at the same time are spread") {
   const auto times = poll_times(100, 200ms, 20s);
-  std::size_t most = 0;
+  std::size_t most_in_10ms = 0;
   for (auto from = times.begin(); from != times.end(); ++from) {
-    if (*from < 200ms) continue;  // each one's first poll is immediate: it waits for the list
+    if (*from < 200ms) continue;  // The first poll of each dispatcher is not delayed.
     const auto to = std::upper_bound(from, times.end(), *from + Duration(10ms));
-    most = std::max(most, static_cast<std::size_t>(to - from));
+    most_in_10ms = std::max(most_in_10ms, static_cast<std::size_t>(to - from));
   }
-  CHECK(most <= 20);  // 5 if they were spread evenly; 100 in step
+  CHECK(most_in_10ms <= 20);  // 5 with even spacing, 100 without jitter.
 }
 
-TEST_CASE("poll schedule: the rate is kept, and no pause is long") {
+TEST_CASE("poll schedule: the mean interval is kept, and pauses stay within 10 % of it") {
   const auto times = poll_times(100, 200ms, 20s);
   CHECK(times.size() > 9'800);
   CHECK(times.size() < 10'300);
@@ -48,12 +48,12 @@
   }
 }
 
-TEST_CASE("poll schedule: a random number or an interval at the edge still gives a pause") {
+TEST_CASE("poll schedule: a boundary value of the random number or interval still gives a pause") {
   PollSchedule schedule(1us);
   CHECK(schedule.next_pause(0) >= Duration(1));
   CHECK(schedule.next_pause(-1) >= Duration(1));
   PollSchedule zero(0us);
-  CHECK(zero.next_pause(0.5) >= Duration(1));  // never a loop without a wait
+  CHECK(zero.next_pause(0.5) >= Duration(1));  // Guards against a busy loop.
 }
 
 }  // namespace
--- a/tests/policy/revocation_status_test.cpp
+++ b/tests/policy/revocation_status_test.cpp
@@ -1,4 +1,4 @@
-// Revocation lists: how far one can be relied on.
+// Tests whether a certificate revocation list can be used.
 #include <catch2/catch.hpp>
 #include <optional>
 
@@ -14,15 +14,16 @@
 
 }  // namespace
 
-TEST_CASE("revocation: a list that is missing or too old fails closed, after its grace") {
+TEST_CASE(
+    "revocation status: a missing, future or expired list fails closed, one in its grace period does not") {
   const CrlTimes crl{kNow - 60s, kNow};
-  const auto judge = [&](Time now) { return revocation_status(crl, now, 30s, 5s); };
-  CHECK(judge(kNow - 1s) == RevocationStatus::kFresh);
-  CHECK(judge(kNow) == RevocationStatus::kInGracePeriod);
-  CHECK(judge(kNow + 29s) == RevocationStatus::kInGracePeriod);
-  CHECK(judge(kNow + 30s) == RevocationStatus::kExpired);
-  CHECK(judge(kNow - 66s) == RevocationStatus::kNotYetValid);
-  CHECK(judge(kNow - 65s) == RevocationStatus::kFresh);
+  const auto status_at = [&](Time now) { return revocation_status(crl, now, 30s, 5s); };
+  CHECK(status_at(kNow - 1s) == RevocationStatus::kFresh);
+  CHECK(status_at(kNow) == RevocationStatus::kInGracePeriod);
+  CHECK(status_at(kNow + 29s) == RevocationStatus::kInGracePeriod);
+  CHECK(status_at(kNow + 30s) == RevocationStatus::kExpired);
+  CHECK(status_at(kNow - 66s) == RevocationStatus::kNotYetValid);
+  CHECK(status_at(kNow - 65s) == RevocationStatus::kFresh);
   CHECK(revocation_status(std::nullopt, kNow, 30s, 5s) == RevocationStatus::kMissing);
   CHECK(revocation_status(CrlTimes{kNow - 60s, {}}, kNow + 1000h, 30s, 5s) == RevocationStatus::kFresh);
   CHECK(fails_closed(RevocationStatus::kExpired));
--- a/tests/policy/token_cache_test.cpp
+++ b/tests/policy/token_cache_test.cpp
@@ -1,4 +1,4 @@
-// The cache of verified tokens: its bounds, and what leaves it.
+// Tests the bounds of the token cache and the removal of its entries.
 #include <catch2/catch.hpp>
 #include <memory>
 #include <string>
@@ -15,22 +15,22 @@
 
 }  // namespace
 
-TEST_CASE("token cache: it holds what is good, within its bounds, and forgets what is over") {
+TEST_CASE("token cache: size is bounded, and expired, revoked and changed-key tokens are removed") {
   TokenCache cache({3, 1u << 20, 16, 5s}, 42);
-  const auto entry = [](Duration life, const std::string& key = "k") {
-    auto one = std::make_shared<VerifiedCredential>();
-    one->claims = test::make_claims();
-    one->identity = test::make_identity("student");
-    one->identity.not_after = kNow + life;
-    one->key_id = key;
-    one->key_fingerprint = "p-" + key;
-    return one;
+  const auto entry = [](Duration lifetime, const std::string& key = "k") {
+    auto credential = std::make_shared<VerifiedCredential>();
+    credential->claims = test::make_claims();
+    credential->identity = test::make_identity("student");
+    credential->identity.not_after = kNow + lifetime;
+    credential->key_id = key;
+    credential->key_fingerprint = "p-" + key;
+    return credential;
   };
   cache.put("a", entry(10s));
   cache.put("b", entry(20s, "other"));
   cache.put("c", entry(30s));
   CHECK(cache.find("a", kNow));
-  cache.put("d", entry(30s));  // 'b' is the longest unused
+  cache.put("d", entry(30s));  // 'b' is the least recently used one.
   CHECK(cache.size() == 3);
   CHECK_FALSE(cache.find("b", kNow));
   CHECK_FALSE(cache.find("aa", kNow));
@@ -38,7 +38,7 @@
   CHECK_FALSE(cache.find("a", kNow + 10s));
   CHECK(cache.size() == 2);
   cache.put("e", entry(30s, "other"));
-  // A key that is gone takes its tokens along, and one that came back changed under its id as well.
+  // The tokens of a key with a new fingerprint are removed.
   CHECK(cache.revalidate(
             {{"k", Algorithm::kEs256, {}, {}, "p-k"}, {"other", Algorithm::kEs256, {}, {}, "changed"}},
             test::make_rules(), {}, kNow) == 1);
@@ -48,7 +48,7 @@
                          kNow) == 2);
   CHECK(cache.size() == 0);
   CHECK(cache.bytes() == 0);
-  // Never more bytes than allowed, whatever the tokens' sizes.
+  // The size limit holds for tokens of all sizes.
   TokenCache small({1000, 10'000, 16, 5s}, 1);
   for (int i = 0; i < 300; ++i) {
     small.put(std::string(static_cast<std::size_t>(i * 37 % 900), 'x') + std::to_string(i), entry(10s));
--- a/tests/policy/unanswered_polls_test.cpp
+++ b/tests/policy/unanswered_polls_test.cpp
@@ -1,4 +1,4 @@
-// Since when a list counts as announced.
+// Tests the earliest time at which a list may have been announced.
 #include "policy/unanswered_polls.h"
 
 #include <catch2/catch.hpp>
@@ -11,12 +11,14 @@
 
 using namespace std::chrono_literals;
 
-TEST_CASE("drains: since when a list counts as announced, by what went unanswered before it") {
+TEST_CASE("unanswered polls: the earliest announcement follows the first poll without the newest list") {
   struct Case {
-    std::string steps;  // a poll in each second from 1 s on; o: answered with the newest list, x: not
-    Duration reported;  // of a list that is received at 10 s
+    // One poll per second from 1 s on; o: answered with the newest list; x: not.
+    std::string steps;
+    // The earliest announcement of a list that is received at 10 s.
+    Duration expected;
   };
-  for (const auto& [steps, reported] : {Case{"", 10s}, Case{"oooo", 10s}, Case{"xoxo", 10s},
+  for (const auto& [steps, expected] : {Case{"", 10s}, Case{"oooo", 10s}, Case{"xoxo", 10s},
                                         Case{"oooxxxxx", 4220ms}, Case{"x", 1220ms}, Case{"oox", 3220ms}}) {
     INFO(steps);
     UnansweredPolls polls;
@@ -25,19 +27,19 @@
       polls.on_poll_sent(sent_at);
       if (steps[i] == 'o') polls.on_answered(sent_at);
     }
-    CHECK(polls.announced_since(220ms, Time(10s)) == Time(reported));
+    CHECK(polls.earliest_announcement(220ms, Time(10s)) == Time(expected));
   }
   UnansweredPolls recent;
   recent.on_poll_sent(Time(9950ms));
-  CHECK(recent.announced_since(220ms, Time(10s)) == Time(10s));
-  UnansweredPolls overtaken;  // a late response to an earlier poll opens no closed one again
+  CHECK(recent.earliest_announcement(220ms, Time(10s)) == Time(10s));
+  UnansweredPolls overtaken;  // A late response to an earlier poll changes nothing.
   for (const auto at : {1s, 2s, 3s}) overtaken.on_poll_sent(Time(at));
   overtaken.on_answered(Time(3s));
   overtaken.on_answered(Time(1s));
-  CHECK(overtaken.announced_since(220ms, Time(10s)) == Time(10s));
-  UnansweredPolls outage;  // however long: the first poll is not forgotten
+  CHECK(overtaken.earliest_announcement(220ms, Time(10s)) == Time(10s));
+  UnansweredPolls outage;  // The first poll of a long outage is kept.
   for (int i = 1; i <= 1000; ++i) outage.on_poll_sent(Time(std::chrono::milliseconds(i)));
-  CHECK(outage.announced_since(220ms, Time(10s)) == Time(221ms));
+  CHECK(outage.earliest_announcement(220ms, Time(10s)) == Time(221ms));
 }
 
 }  // namespace
