--- a/src/dispatcher/active_settings.cpp
+++ b/src/dispatcher/active_settings.cpp
@@ -6,12 +6,12 @@
 namespace rookproxy {
 namespace {
 
-// The table of classes while it is prepared, and which of its entries are in use.
+// The table of classes being prepared, and which of its entries are in use.
 struct ClassTable {
   std::vector<routing::ClassSettings> classes;
   std::vector<bool> in_use;
 
-  // Puts the class in the first free entry.
+  // Stores the class in the first free entry and returns its index.
   routing::ClassIndex insert(routing::ClassSettings cls) {
     const auto free = std::find(in_use.begin(), in_use.end(), false);
     const auto index = static_cast<std::size_t>(free - in_use.begin());
@@ -51,7 +51,7 @@
       changed.push_back(std::move(cls));
     }
   }
-  // Only now is it known which entries are free.
+  // Inserted last, when all entries of unchanged classes are marked as in use.
   for (auto& cls : changed) {
     const std::string name = cls.name;
     index_by_name[name] = table.insert(std::move(cls));
@@ -59,7 +59,7 @@
   table.remove_unused_at_end();
   Prepared prepared{configured, configured, std::move(index_by_name)};
   prepared.active.classes = std::move(table.classes);
-  // The limit holds for what all processes send together.
+  // The limit applies to the sum of what all processes send.
   if (auto& slow_start = prepared.active.slow_start) {
     slow_start->overload_factor /= static_cast<double>(process_count);
   }
--- a/src/dispatcher/active_settings.h
+++ b/src/dispatcher/active_settings.h
@@ -1,4 +1,4 @@
-// The settings in force, with indexes of classes that stay valid while requests of a class are open.
+// The settings in force, with class indexes that stay valid while requests of a class are open.
 #pragma once
 
 #include <cstddef>
@@ -14,32 +14,32 @@
 
 namespace rookproxy {
 
-// Gives each class an index. A class whose settings change gets a new index, to which its name refers from
-// then on; requests that are open stay with the previous index, which is reused once no request refers to it.
+// Assigns an index to each class. A class whose settings change gets a new index, which its name refers to
+// from then on. Open requests keep the previous index, which is reused when no request refers to it any more.
 class ActiveSettings {
  public:
   using ClassIndexByName = std::map<std::string, routing::ClassIndex, std::less<>>;
 
-  // Settings that were prepared and are not in force yet.
+  // Settings that are prepared but not in force yet.
   struct Prepared {
-    // As the operator configured them.
+    // The settings as configured.
     routing::Settings configured;
-    // The same with the table of classes that open requests refer to.
+    // The same settings with the table of all classes that are in use, including those of open requests.
     routing::Settings active;
     ClassIndexByName class_index_by_name;
   };
 
-  // Prepares settings for `process_count` processes that share this dispatcher's work. Changes nothing.
+  // Prepares settings for `process_count` processes that share the work of this dispatcher. Changes nothing.
   [[nodiscard]] Prepared prepare(const routing::Settings& configured, std::size_t process_count) const;
 
-  // Puts prepared settings in force. No request may be added or removed after they were prepared.
+  // Puts prepared settings in force. No request may be added or removed between prepare() and this call.
   void activate(Prepared prepared);
 
-  // The settings in force as the operator configured them.
+  // The settings in force, as configured.
   [[nodiscard]] const routing::Settings& configured() const { return configured_; }
-  // The settings in force with the table of all classes that are in use.
+  // The settings in force, with the table of all classes that are in use.
   [[nodiscard]] const routing::Settings& active() const { return active_; }
-  // The reference is valid until settings are activated.
+  // The settings of the class. The reference is valid until the next activate().
   [[nodiscard]] const routing::ClassSettings& class_settings(routing::ClassIndex index) const {
     return active_.classes[index];
   }
@@ -48,9 +48,9 @@
   [[nodiscard]] std::optional<std::uint32_t> find_tenant(std::string_view name) const;
   [[nodiscard]] bool has_tenants() const { return !tenant_index_by_name_.empty(); }
 
-  // A request of the class is open from now on, and its index stays valid as long.
+  // Counts an open request of the class, whose index stays valid until remove_request().
   void add_request(routing::ClassIndex index) { ++open_requests_[index]; }
-  // The request is no longer open.
+  // Ends the effect of one add_request().
   void remove_request(routing::ClassIndex index) { --open_requests_[index]; }
 
  private:
@@ -58,7 +58,8 @@
 
   routing::Settings configured_;
   routing::Settings active_;
-  std::vector<std::size_t> open_requests_;  // by class index
+  // The number of open requests by class index.
+  std::vector<std::size_t> open_requests_;
   ClassIndexByName class_index_by_name_;
   std::map<std::string, std::uint32_t, std::less<>> tenant_index_by_name_;
 };
--- a/src/dispatcher/attempt_rules.h
+++ b/src/dispatcher/attempt_rules.h
@@ -1,7 +1,7 @@
-// Applies the rules on attempts (policy/attempt_guard.h) to the dispatcher's requests, engines and settings.
+// Applies the rules of policy/attempt_guard.h to the dispatcher's requests, engines and settings.
 //
-// The decision module keeps these rules itself. They are checked once more here, so that they hold whatever
-// it decides.
+// The router follows these rules itself. The dispatcher checks them independently, so that they hold even if
+// the router makes a wrong decision.
 #pragma once
 
 #include <cstdint>
@@ -21,16 +21,16 @@
   AttemptRules(const ActiveSettings& settings, const EngineRegistry& engines)
       : settings_(settings), engines_(engines) {}
 
-  // Why the request's next attempt must not be sent to the engine at `now`; nothing if it may. `request` is
-  // null if it is not known.
+  // Returns why the request's next attempt must not be sent to the engine at `now`; nothing if it may.
+  // `request` is null if the request is unknown.
   [[nodiscard]] std::optional<policy::BlockReason> check_send(const Request* request, EngineId engine,
                                                               Time now) const;
 
-  // Why the first byte of the request's attempt `number` must not leave at `now`; nothing if it may.
+  // Returns why the request's attempt `number` must not start at `now`; nothing if it may.
   [[nodiscard]] std::optional<policy::BlockReason> check_start(const Request& request, std::uint32_t number,
                                                                Time now) const;
 
-  // From when on the request's attempt `number` must not start.
+  // Returns the time from which the request's attempt `number` must not start.
   [[nodiscard]] Time latest_start(const Request& request, std::uint32_t number) const;
 
   // Whether the client may be told that its request did not run.
@@ -38,7 +38,8 @@
 
  private:
   [[nodiscard]] policy::RetryRule retry_rule(const Request& request) const;
-  // The limits on the request's attempt `number`, which may be the next one, to the engine.
+  // Returns the limits on the request's attempt `number` to the engine; `number` may be that of the next
+  // attempt.
   [[nodiscard]] policy::AttemptGuard guard(const Request& request, EngineId engine, std::size_t number) const;
 
   const ActiveSettings& settings_;
--- a/src/dispatcher/dispatcher.cpp
+++ b/src/dispatcher/dispatcher.cpp
@@ -11,11 +11,12 @@
 namespace rookproxy {
 namespace {
 
-// The subsystems of log messages.
+// The message ids of log lines.
 constexpr std::string_view kLogId = "dispatcher";
 constexpr std::string_view kRouterLogId = "routing";
 
-// A decision module that kept reacting to its own actions must not hold up the loop's iteration for ever.
+// Bounds the rounds in which the router reacts to events that result from its own actions, so that the event
+// loop is not blocked.
 constexpr int kMaxRoundsPerIteration = 16;
 
 }  // namespace
@@ -37,7 +38,7 @@
 
 void Dispatcher::change_settings(const routing::Settings& settings, std::vector<std::string> zones,
                                  DispatcherLimits limits) {
-  process_events();  // events that came before the change are decided by the previous settings
+  process_events();  // Events before the change are handled under the previous settings.
   engines_.set_zones(std::move(zones));
   limits_ = limits;
   loop_.cancel(settings_transition_timer_);
@@ -53,9 +54,9 @@
 
 void Dispatcher::apply_settings(const routing::Settings& settings) {
   ActiveSettings::Prepared prepared = settings_.prepare(settings, process_count_);
-  router_.update_settings(prepared.active);  // throws before anything is changed
+  router_.update_settings(prepared.active);  // If this throws, nothing has been changed yet.
   settings_.activate(std::move(prepared));
-  // Metrics of a class are shown as 0 from the start.
+  // Creates the metrics of each class, so that they are shown as 0 before the first request.
   for (const auto& cls : settings_.active().classes) metrics_.by_class[cls.name];
   routing::EngineList list = engines_.update_for_settings();
   if (!engines_.empty()) queue_event(std::move(list));
@@ -89,8 +90,8 @@
          requests_.unanswered() >= limits_.max_unanswered_requests;
 }
 
-// No attempt was sent, so the request may be rejected. The handler gets the response after submit() returned,
-// like any other.
+// Rejects a request that has no attempts. The response is deferred, since handlers get no response within
+// submit().
 void Dispatcher::reject_overloaded(RequestKey key) {
   loop_.defer([this, key] {
     finish(key, Response::rejected(overload_retry_after(), ResponseCause::kOverloaded));
@@ -98,15 +99,15 @@
   });
 }
 
-// Whatever the decision module does, the client has its response before it stops waiting. After a stall this
-// timer and the module's own are due in the same iteration, and the module decides first.
+// Ensures that the client gets a response before its deadline, whatever the router does. After a stall this
+// timer and the router's own may be due in the same iteration; the router then decides first.
 void Dispatcher::schedule_deadline(RequestKey key, Time deadline) {
   const Time at = deadline + limits_.response_margin / 2;
   requests_.find(key)->deadline_timer = loop_.run_at(at, [this, key] {
     process_events();
     const Request* request = requests_.find(key);
     if (!request || request->is_completed) return;
-    log_.write(LogLevel::kWarning, kLogId, "deadline passed without a decision", {});
+    log_.write(LogLevel::kWarning, kLogId, "deadline passed without a routing decision; request failed", {});
     finish(key, Response::failed(ResponseCause::kDeadline));
     queue_event(routing::ClientDisconnected{key});
   });
@@ -157,8 +158,8 @@
 
 // ---- connections to engines
 
-// Uses the clock itself: the iteration may have started long ago, and timers that would have cancelled the
-// attempt run at its end.
+// Reads the clock instead of using the loop's time: the iteration may have started long ago, and timers that
+// would have cancelled the attempt may be overdue.
 bool Dispatcher::may_start(AttemptKey key) {
   const Attempt* attempt = requests_.find_attempt(key);
   if (!attempt || !attempt->in_flight) return false;
@@ -207,10 +208,11 @@
     }
     release_ended(events);
   }
-  if (!events_.empty()) loop_.run_at(loop_.now(), [] {});  // the next iteration takes up the rest
+  if (!events_.empty()) loop_.run_at(loop_.now(), [] {});  // Continues in the next iteration.
 }
 
-// Requests stay in the table until the decision module has handled what ended them.
+// Releases the requests that these events or the router's actions have ended, now that the router has handled
+// them.
 void Dispatcher::release_ended(const std::vector<routing::Event>& events) {
   for (const auto& event : events) {
     if (const auto* ended = std::get_if<routing::AttemptEnded>(&event)) release_if_done(ended->request);
@@ -227,10 +229,10 @@
   const auto reason = attempt_rules_.check_send(request, action.engine, loop_.now());
   if (reason) {
     ++metrics_.attempts_blocked[static_cast<std::size_t>(*reason)];
-    log_.write(LogLevel::kWarning, kLogId, "send held back: " + std::string(to_text(*reason)), {});
+    log_.write(LogLevel::kWarning, kLogId, "attempt not sent: " + std::string(to_text(*reason)), {});
   }
   if (!request) return;
-  // The module counts the attempt, so it is recorded even if it ends at once.
+  // The router counts the attempt, so it is recorded even if it is not sent.
   const AttemptKey key = add_attempt(action, *request);
   if (reason) return end_attempt(key, {Outcome::kNotSent, std::nullopt, ""});
   Time deadline = request->incoming.deadline;
@@ -251,9 +253,9 @@
   }
 }
 
-// The module learns of the cancelled attempt's end after a delay, as in the simulator. When it learnt of it
-// at once, it sent a reader straight back behind the load that the reader had been taken away from: six
-// attempts in 5 ms, all spent before any other engine could have capacity.
+// Reports the end of the cancelled attempt to the router after a delay. Without it, the router could spend
+// all attempts of a request within a few milliseconds, by sending each one to an engine that runs a load and
+// cancelling it.
 void Dispatcher::execute(const routing::Cancel& action) {
   const AttemptKey key{action.request, action.attempt};
   Attempt* attempt = requests_.find_attempt(key);
@@ -269,11 +271,11 @@
   const Request* request = requests_.find(action.request);
   if (!request) return;
   if (!attempt_rules_.may_reject(*request)) {
-    log_.write(LogLevel::kError, kLogId, "refusal of a request that may have run turned into a failure", {});
+    log_.write(LogLevel::kError, kLogId,
+               "router rejected a request that may have run; sending a failure instead", {});
     return finish(action.request, Response::failed(ResponseCause::kDecision));
   }
-  // The module names no time where clients are not known to heed it. They are told one all the same, for
-  // those that do.
+  // The router sets no time if clients are not known to honor it. The default is sent for those that do.
   const Duration retry_after =
       action.retry_after ? from_routing_duration(*action.retry_after) : limits_.default_retry_after;
   finish(action.request, Response::rejected(retry_after, ResponseCause::kDecision));
@@ -290,7 +292,7 @@
 
 void Dispatcher::execute(const routing::Probe& action) { engines_.start_probe(action.engine); }
 
-// Service discovery always follows the list's changes.
+// Service discovery always reports changes of the list, so there is nothing to subscribe to.
 void Dispatcher::execute(const routing::SubscribeEngineList&) {}
 
 void Dispatcher::execute(const routing::Log& action) {
@@ -313,34 +315,35 @@
   return {action.request, number};
 }
 
-// An attempt that must not start after some time before its deadline is cancelled then if it is unsent.
+// Schedules the timeout of an attempt. If the attempt must not start from some time before its deadline on,
+// it is cancelled at that time if it is unsent.
 void Dispatcher::schedule_attempt_end(AttemptKey key, const Request& request, Time deadline) {
   const Time latest_start = attempt_rules_.latest_start(request, key.number);
   TimerId& timer = requests_.find_attempt(key)->timer;
   if (latest_start >= deadline) {
-    timer = time_out_attempt_at(key, deadline);
+    timer = schedule_attempt_timeout(key, deadline);
     return;
   }
   timer = loop_.run_at(latest_start, [this, key, deadline] {
     if (cancel_unsent_attempt(key)) return;
-    requests_.find_attempt(key)->timer = time_out_attempt_at(key, deadline);
+    requests_.find_attempt(key)->timer = schedule_attempt_timeout(key, deadline);
   });
 }
 
-TimerId Dispatcher::time_out_attempt_at(AttemptKey key, Time deadline) {
+TimerId Dispatcher::schedule_attempt_timeout(AttemptKey key, Time deadline) {
   return loop_.run_at(deadline, [this, key] { time_out_attempt(key); });
 }
 
 void Dispatcher::time_out_attempt(AttemptKey key) {
   const Attempt* attempt = requests_.find_attempt(key);
   if (!attempt || !attempt->in_flight) return;
-  // An attempt of which no byte has left never ran. It must not count against the engine either, as a failed
-  // connection would: the module would take the engine for unreachable.
+  // An unsent attempt never ran. It is not reported as a failed connection, since the router would treat the
+  // engine as unreachable.
   const Outcome outcome = transport_->cancel(key) ? Outcome::kNotSent : Outcome::kNoResponse;
   end_attempt(key, {outcome, std::nullopt, ""});
 }
 
-// If no byte of the attempt has left, it ends as one that never ran.
+// Cancels the attempt if no byte of it has been sent; it then never ran.
 bool Dispatcher::cancel_unsent_attempt(AttemptKey key) {
   if (!transport_->cancel_if_unsent(key)) return false;
   end_attempt(key, {Outcome::kNotSent, std::nullopt, ""});
@@ -350,7 +353,7 @@
 void Dispatcher::end_attempt(AttemptKey key, AttemptResult result) {
   Request* request = requests_.find(key.request);
   Attempt* attempt = requests_.find_attempt(key);
-  if (!attempt || !attempt->in_flight) return;  // a second end of the same attempt
+  if (!attempt || !attempt->in_flight) return;  // The attempt is unknown or has ended already.
   loop_.cancel(attempt->timer);
   RequestTable::end_attempt(*request, *attempt, result.outcome);
   request_log_.attempt_ended(*request, key.number, engines_.endpoint(attempt->engine).id, result.outcome,
@@ -366,7 +369,7 @@
   if (result.outcome == Outcome::kServed && !request->is_completed) {
     finish(key.request, Response::served(std::move(result.body)));
   }
-  // The handler may have submitted further requests, which moves the table's content.
+  // Looked up again: the handler may have submitted further requests, which invalidates pointers.
   const Request* current = requests_.find(key.request);
   event.completed = current == nullptr || current->is_completed;
   queue_event(event);
@@ -391,10 +394,9 @@
     const std::string& class_name = class_settings(request->incoming.class_index).name;
     request_log_.request_completed(*request, class_name, response, loop_.now());
   }
-  // A response that nobody receives is not counted.
+  // The response to a client that has disconnected is not counted.
   if (handler) respond(key, *handler, request->correlation_id, std::move(response));
-  // Attempts that are unsent end at once, whatever the class. Those that have started are the decision
-  // module's to cancel or not.
+  // Unsent attempts are cancelled for all classes. The router decides whether started ones are cancelled.
   for (std::uint32_t number = 0; requests_.find_attempt({key, number}); ++number) {
     if (requests_.find_attempt({key, number})->in_flight) cancel_unsent_attempt({key, number});
   }
--- a/src/dispatcher/dispatcher.h
+++ b/src/dispatcher/dispatcher.h
@@ -1,6 +1,6 @@
-// Joins frontends, connections to engines and service discovery with the decision module: events go into the
-// module, and its actions are carried out. Knows no wire protocol and decides nothing itself, except that the
-// rules on attempts, rejections and deadlines hold whatever the module decides.
+// Connects frontends, engine connections and service discovery with the router: passes their events to the
+// router and executes its actions. Independent of wire protocols. It makes no routing decisions, but enforces
+// the rules on attempts, rejections and deadlines whatever the router decides.
 #pragma once
 
 #include <algorithm>
@@ -21,15 +21,15 @@
 #include "dispatcher/request.h"
 #include "dispatcher/request_log.h"
 #include "dispatcher/request_table.h"
-#include "dispatcher/routing_time.h"  // for the callers that convert settings
+#include "dispatcher/routing_time.h"  // Used by callers that convert settings.
 #include "log/log.h"
 #include "net/event_loop.h"
 #include "rookproxy/routing/router.h"
 
 namespace rookproxy {
 
-// The dispatcher of one process. It is used by the event loop's thread alone, and everything it is given by
-// reference must outlive it.
+// The dispatcher of one process. Only the event loop's thread may use it. All objects passed by reference
+// must outlive it.
 class Dispatcher final : public EngineTransportCallbacks {
  public:
   // `zones` are the names of the settings' zones, by index. Throws routing::InvalidSettings.
@@ -38,7 +38,7 @@
   Dispatcher(const Dispatcher&) = delete;
   Dispatcher& operator=(const Dispatcher&) = delete;
 
-  // Must be called before any other function that is not const.
+  // Must be called before any other non-const function.
   void set_transport(EngineTransport& transport) {
     transport_ = &transport;
     engines_.set_transport(transport);
@@ -46,17 +46,19 @@
 
   // ---- settings
 
-  // Applies other settings: first the stricter of both, then the new ones alone once all clients use them.
-  // Requests that are open keep the rules under which they came. Throws routing::InvalidSettings.
+  // Changes the settings. During a transition period, in which clients may still use the previous settings,
+  // the stricter ones of both apply; afterwards only the new ones. Open requests keep the rules under which
+  // they were submitted. Throws routing::InvalidSettings.
   void change_settings(const routing::Settings& settings, std::vector<std::string> zones,
                        DispatcherLimits limits);
-  // Whether clients may still use settings that were in force before the last change.
+  // Whether the transition period of the last change is not over yet.
   [[nodiscard]] bool in_settings_transition() const { return in_settings_transition_; }
-  // Tells how many processes share this dispatcher's work: each has its part of the buffered bytes and of
-  // what an engine in slow start may be sent.
+  // Sets the number of processes that share the work of this dispatcher. The limits on buffered bytes and on
+  // the load of an engine in slow start are divided among them.
   void set_process_count(std::size_t count);
 
-  // An index is valid until the caller returns to the event loop, or as long as a request of it is open.
+  // Returns the index of a class, which is valid until the caller returns to the event loop, or longer while
+  // a request of that class is open.
   [[nodiscard]] std::optional<routing::ClassIndex> find_class(std::string_view name) const {
     return settings_.find_class(name);
   }
@@ -71,24 +73,27 @@
 
   // ---- frontends
 
-  // Takes a request. The handler gets exactly one response, not within this call, unless it cancels before.
+  // Submits a request. The handler gets exactly one response, after this call has returned, unless the
+  // request is cancelled before. `correlation_id` is passed to the handler with the response.
   RequestKey submit(const IncomingRequest& incoming, ResponseHandler& handler, std::uint64_t correlation_id);
-  // The client disconnected: its handler gets no response.
+  // Cancels a request whose client has disconnected. Its handler gets no response.
   void cancel_request(RequestKey key);
-  // Counts a response that a frontend gave to what never became a request, but whose class is known.
+  // Counts a response that a frontend sent without submitting a request, if the class is known.
   void record_rejection(routing::ClassIndex class_index, ResponseStatus status, std::string_view tenant = "");
-  // The delay for rejections due to overload: no longer than clients are ready to wait.
+  // The retry delay for rejections due to overload, at most the default one.
   [[nodiscard]] Duration overload_retry_after() const {
     return std::min<Duration>(std::chrono::seconds(1), limits_.default_retry_after);
   }
-  // Includes requests that have their response, or whose clients disconnected, while attempts still run.
+  // The number of open requests, including those that were answered or cancelled while attempts are in
+  // flight.
   [[nodiscard]] std::size_t open_request_count() const { return requests_.size(); }
   [[nodiscard]] Gauges gauges() const;
 
   // ---- service discovery
 
-  // Takes the endpoint list; engines that are not on it are removed. `is_cached`: it was known before the
-  // process started. `announced_at`: since when its content may count as announced; absent: now.
+  // Replaces the endpoint list; engines that are not in it are removed. `is_cached`: the list was known
+  // before the process started. `announced_at`: the earliest time at which its content may have been
+  // announced; absent: now.
   void update_endpoints(const std::vector<EngineEndpoint>& endpoints, bool is_cached,
                         std::optional<Time> announced_at = std::nullopt);
 
@@ -99,8 +104,8 @@
   void on_attempt_update(AttemptKey key, routing::AttemptUpdateKind kind, double amount) override;
   void on_probe_ended(EngineId engine, Outcome outcome, std::optional<LoadReport> report) override;
 
-  // Hands the events that have come in to the decision module and carries out its actions. To be called at
-  // the end of each iteration of the event loop.
+  // Passes the queued events to the router and executes its actions. To be called at the end of each
+  // iteration of the event loop.
   void process_events();
 
  private:
@@ -114,7 +119,7 @@
   void queue_event(routing::Event event) { events_.push_back(std::move(event)); }
   void release_ended(const std::vector<routing::Event>& events);
 
-  // Each carries out one action of the decision module.
+  // Each function executes one kind of action of the router.
   void execute(const routing::Send& action);
   void execute(const routing::SetExecutionOptions& action);
   void execute(const routing::Cancel& action);
@@ -127,7 +132,7 @@
 
   AttemptKey add_attempt(const routing::Send& action, Request& request);
   void schedule_attempt_end(AttemptKey key, const Request& request, Time deadline);
-  TimerId time_out_attempt_at(AttemptKey key, Time deadline);
+  TimerId schedule_attempt_timeout(AttemptKey key, Time deadline);
   void time_out_attempt(AttemptKey key);
   bool cancel_unsent_attempt(AttemptKey key);
   void end_attempt(AttemptKey key, AttemptResult result);
@@ -150,9 +155,9 @@
   EngineRegistry engines_{loop_, log_, settings_, limits_};
   AttemptRules attempt_rules_{settings_, engines_};
   RequestLog request_log_;
-  // What has come in since process_events() was called last.
+  // The events since the last call of process_events().
   std::vector<routing::Event> events_;
-  // Kept between calls for its memory alone.
+  // A member so that its memory is reused.
   std::vector<routing::Action> actions_;
 };
 
--- a/src/dispatcher/engine_endpoint.h
+++ b/src/dispatcher/engine_endpoint.h
@@ -1,4 +1,4 @@
-// An engine as service discovery lists it.
+// An engine as listed by service discovery.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,7 @@
 
 namespace rookproxy {
 
-// One engine of the endpoint list. The id stays with the engine; its address may pass to another engine.
+// One engine of the endpoint list. The id is permanent; the address may later be reused by another engine.
 struct EngineEndpoint {
   std::string id;
   SocketAddress address;
@@ -20,7 +20,7 @@
   std::string machine_type;
   std::uint32_t cell = 0;
   double weight = 1;
-  // When its process started; absent: long ago.
+  // When its process started; absent if unknown, which is treated as long ago.
   std::optional<Time> started_at;
   bool operator==(const EngineEndpoint&) const = default;
 };
--- a/src/dispatcher/engine_registry.cpp
+++ b/src/dispatcher/engine_registry.cpp
@@ -12,7 +12,7 @@
 namespace rookproxy {
 namespace {
 
-// The index of zones and machine types that the settings do not name.
+// The index of zones and machine types that are not in the settings.
 constexpr std::uint32_t kUnknownIndex = UINT32_MAX - 1;
 
 std::uint32_t zone_index(const std::vector<std::string>& zones, const std::string& name) {
@@ -20,7 +20,7 @@
   return found == zones.end() ? kUnknownIndex : static_cast<std::uint32_t>(found - zones.begin());
 }
 
-// Of several machine types with one name the last one counts.
+// If several machine types have the same name, the last one is used.
 std::uint32_t machine_type_index(const std::vector<routing::MachineTypeSettings>& types,
                                  const std::string& name) {
   std::uint32_t index = kUnknownIndex;
@@ -75,18 +75,19 @@
   const EngineId id = position->second;
   if (is_new) engines_.emplace_back();
   Engine& engine = engines_[id];
-  // The grace period counts from the first announcement, not from the latest.
+  // The grace period starts with the first announcement, not with later ones.
   const bool was_serving = is_new || engine.is_serving();
   if (endpoint.state != routing::EngineState::kServing && was_serving) start_drain(id, announced_at);
-  // A new start at the same address is another process: connections to the former one are dead.
-  const bool is_moved = is_new || engine.endpoint.address != endpoint.address ||
-                        engine.endpoint.started_at != endpoint.started_at || engine.is_removed();
-  const routing::EngineState former_state = std::exchange(engine.endpoint, endpoint).state;
+  // A new start time at the same address is another process; connections to the previous one must not be
+  // used.
+  const bool needs_new_address = is_new || engine.endpoint.address != endpoint.address ||
+                                 engine.endpoint.started_at != endpoint.started_at || engine.is_removed();
+  const routing::EngineState previous_state = std::exchange(engine.endpoint, endpoint).state;
   if (engine.is_serving()) engine.stopped = false;
-  if (!is_new && former_state != endpoint.state) log_state_change(engine, former_state, announced_at);
+  if (!is_new && previous_state != endpoint.state) log_state_change(engine, previous_state, announced_at);
   if (engine.is_removed()) {
     transport_->stop_new_attempts(id);
-  } else if (is_moved) {
+  } else if (needs_new_address) {
     transport_->set_engine_address(id, endpoint.address);
   }
   return id;
@@ -97,20 +98,21 @@
     Engine& engine = engines_[id];
     if (is_listed[id] || engine.is_removed()) continue;
     if (engine.is_serving()) start_drain(id, announced_at);
-    const routing::EngineState former_state =
+    const routing::EngineState previous_state =
         std::exchange(engine.endpoint.state, routing::EngineState::kRemoved);
-    log_state_change(engine, former_state, announced_at);
+    log_state_change(engine, previous_state, announced_at);
     transport_->stop_new_attempts(id);
   }
 }
 
-void EngineRegistry::log_state_change(const Engine& engine, routing::EngineState former, Time announced_at) {
-  if (!state_log_budget_.allow(loop_.now())) return;
-  const std::uint64_t suppressed = state_log_budget_.take_suppressed();
+void EngineRegistry::log_state_change(const Engine& engine, routing::EngineState previous,
+                                      Time announced_at) {
+  if (!state_log_limiter_.allow(loop_.now())) return;
+  const std::uint64_t suppressed = state_log_limiter_.take_suppressed();
   log_.write(LogLevel::kInfo, "dispatcher", "engine state changed",
              {{"engine", engine.endpoint.id},
               {"address", engine.endpoint.address.to_string()},
-              {"from", std::string(to_text(former))},
+              {"from", std::string(to_text(previous))},
               {"to", std::string(to_text(engine.endpoint.state))},
               {"announced_ms", milliseconds_field(loop_.now() - announced_at)},
               {"left_out", std::to_string(suppressed)}});
@@ -121,7 +123,7 @@
   schedule_drain_end(id);
 }
 
-// An attempt that still waits for its connection when the grace period ends must not leave afterwards.
+// Stops attempts that still wait for a connection when the grace period ends.
 void EngineRegistry::schedule_drain_end(EngineId id) {
   const Time since = engines_[id].closing_since;
   loop_.run_at(latest_drain_start(engines_[id]), [this, id, since] {
@@ -130,9 +132,9 @@
   });
 }
 
-// An attempt that waits for a draining engine goes to another engine at once if one serves. It gains nothing
-// by waiting, and the grace period is only known to within what service discovery lost or delayed: a server
-// that lags repeats the present list after the drain was announced elsewhere.
+// If an engine is serving, attempts that wait for a connection to a draining engine are stopped at once, so
+// that they can be sent elsewhere. The grace period may in fact be over earlier than known here, since a
+// response that announced the drain may have been lost or a lagging server may have repeated an older list.
 void EngineRegistry::stop_draining_engines() {
   if (!has_serving_engine()) return;
   for (EngineId id = 0; id < engines_.size(); ++id) {
@@ -158,7 +160,7 @@
 Time EngineRegistry::accepts_attempts_until(EngineId id) const {
   const Engine& engine = engines_[id];
   if (engine.is_serving()) return Time::max();
-  // The address of a removed engine may be another's by now.
+  // The address of a removed engine may belong to another engine.
   if (engine.is_removed()) return Time::min();
   return engine.stopped ? engine.closing_since : latest_drain_start(engine);
 }
--- a/src/dispatcher/engine_registry.h
+++ b/src/dispatcher/engine_registry.h
@@ -1,4 +1,4 @@
-// The engines that service discovery has listed, by the ids that the decision module knows them by.
+// The engines that service discovery has listed, by the ids that the router uses.
 #pragma once
 
 #include <cstddef>
@@ -18,9 +18,9 @@
 
 namespace rookproxy {
 
-// Keeps the engines, tells the transport their addresses and when attempts must no longer start on them. Ids
-// are dense from 0, and an engine keeps its id for as long as the process runs. Refers to the dispatcher's
-// settings and limits, which must outlive it.
+// Keeps the engines and tells the transport their addresses and when attempts must no longer start on them.
+// Ids are consecutive from 0, and an engine keeps its id until the process exits. The dispatcher's settings
+// and limits must outlive the registry.
 class EngineRegistry {
  public:
   EngineRegistry(EventLoop& loop, Logger& log, const ActiveSettings& settings, const DispatcherLimits& limits)
@@ -30,38 +30,38 @@
   // The names of the settings' zones, by index.
   void set_zones(std::vector<std::string> zones) { zones_ = std::move(zones); }
 
-  // Takes the endpoint list, announced at `announced_at`; engines that are not on it are removed. Returns the
-  // list for the decision module.
+  // Replaces the endpoint list with one that was announced at `announced_at`; engines that are not in it are
+  // removed. Returns the list for the router.
   [[nodiscard]] routing::EngineList update(const std::vector<EngineEndpoint>& endpoints, bool is_cached,
                                            Time announced_at);
-  // Returns the list under changed settings, in which zones and machine types may have other indexes, and
-  // applies a drain grace period that may have become shorter.
+  // To be called when settings have changed: applies the new drain grace period, which may be shorter, and
+  // returns the list for the router, in which zones and machine types may have other indexes.
   [[nodiscard]] routing::EngineList update_for_settings();
 
   [[nodiscard]] bool contains(EngineId id) const { return id < engines_.size(); }
   [[nodiscard]] const EngineEndpoint& endpoint(EngineId id) const { return engines_[id].endpoint; }
-  // Whether no engine was ever listed.
+  // Whether no engine has ever been listed.
   [[nodiscard]] bool empty() const { return engines_.empty(); }
-  // How many engines are listed now.
+  // The number of engines in the current list.
   [[nodiscard]] std::size_t listed_count() const;
   // Until when attempts may start on the engine: Time::max() while it serves, Time::min() once it is removed.
-  // On one that drains they may start until the end of its grace period, unless another engine serves.
+  // On a draining engine they may start until the end of its grace period, unless another engine is serving.
   [[nodiscard]] Time accepts_attempts_until(EngineId id) const;
 
-  // Sends a probe, unless one is in flight or the engine is unknown.
+  // Sends a probe unless one is in flight or the engine is unknown.
   void start_probe(EngineId id);
-  // Returns how long the probe took; nothing if none was in flight.
+  // Ends the probe in flight and returns its duration; nothing if there is none.
   [[nodiscard]] std::optional<Duration> end_probe(EngineId id);
 
  private:
   struct Engine {
-    // As it was listed last; its state is kRemoved if it is no longer listed.
+    // The engine as it was last listed; the state is kRemoved if it is no longer listed.
     EngineEndpoint endpoint;
-    // When it was announced that the engine drains or was removed.
+    // When the engine's drain or removal was announced.
     Time closing_since{};
-    // No attempt may start on it any more, though it drains and its grace period is not over.
+    // Whether no attempt may start on the engine although its drain grace period is not over.
     bool stopped = false;
-    // When the probe that is in flight was sent.
+    // When the probe in flight was sent.
     std::optional<Time> probe_sent_at;
 
     [[nodiscard]] bool is_serving() const { return endpoint.state == routing::EngineState::kServing; }
@@ -77,11 +77,11 @@
   void stop_draining_engine(EngineId id);
   [[nodiscard]] bool has_serving_engine() const;
   [[nodiscard]] Time latest_drain_start(const Engine& engine) const;
-  void log_state_change(const Engine& engine, routing::EngineState former, Time announced_at);
+  void log_state_change(const Engine& engine, routing::EngineState previous, Time announced_at);
   [[nodiscard]] routing::EngineEntry entry(EngineId id) const;
 
-  // A release may replace many engines at once.
-  static constexpr int kStateLinesPerSecond = 40;
+  // Limits the log lines on state changes, since a release may replace many engines at the same time.
+  static constexpr int kMaxStateLinesPerSecond = 40;
 
   EventLoop& loop_;
   Logger& log_;
@@ -91,7 +91,7 @@
   std::vector<std::string> zones_;
   std::unordered_map<std::string, EngineId> ids_;
   std::vector<Engine> engines_;
-  LogRateLimiter state_log_budget_{kStateLinesPerSecond};
+  LogRateLimiter state_log_limiter_{kMaxStateLinesPerSecond};
 };
 
 }  // namespace rookproxy
--- a/src/dispatcher/engine_transport.h
+++ b/src/dispatcher/engine_transport.h
@@ -17,7 +17,8 @@
 using routing::LoadReport;
 using routing::Outcome;
 
-// Identifies an attempt: its request, and its number in the order in which that request's attempts were sent.
+// Identifies an attempt by its request and its number, counted from 0 in the order in which the request's
+// attempts were sent.
 struct AttemptKey {
   RequestKey request = 0;
   std::uint32_t number = 0;
@@ -29,7 +30,7 @@
   AttemptKey key;
   EngineId engine = 0;
   std::shared_ptr<const Query> query;
-  // The dispatcher cancels the attempt at this time.
+  // When the dispatcher cancels the attempt.
   Time deadline{};
   std::optional<double> memory_grant_mb;
   int priority = 1;
@@ -39,39 +40,40 @@
 struct AttemptResult {
   Outcome outcome = Outcome::kError;
   std::optional<LoadReport> report;
-  // Served: the result; error: the engine's message.
+  // The result if the attempt was served; the engine's message if it ended with an error.
   std::string body;
 };
 
-// Connections to engines, as the dispatcher uses them. No call of it calls back into the dispatcher.
+// The dispatcher's interface to engine connections. No function calls back into the dispatcher.
 class EngineTransport {
  public:
+  // Sends an attempt, which waits for a connection if necessary. EngineTransportCallbacks reports its end.
   virtual void send(const AttemptRequest& attempt) = 0;
-  // Ends an attempt, which is then not reported. Returns whether no byte of it had left.
+  // Ends an attempt without reporting it. Returns whether no byte of it had been sent.
   virtual bool cancel(AttemptKey key) = 0;
-  // Does the same if no byte of it has left; otherwise the attempt continues, and the result is false.
+  // Does the same if no byte of the attempt has been sent; otherwise the attempt continues, and the result is
+  // false.
   virtual bool cancel_if_unsent(AttemptKey key) = 0;
   virtual void set_priority(AttemptKey key, int priority) = 0;
   virtual void probe(EngineId engine) = 0;
-  // Tells an engine's address, also when it changes or a new process listens there: connections that are open
-  // take no further attempts.
+  // Sets an engine's address. Also called when the address has changed or another process listens there; open
+  // connections are then not used for further attempts.
   virtual void set_engine_address(EngineId engine, const SocketAddress& address) = 0;
-  // The engine's drain grace period is nearly over, or the engine was removed: attempts of which no byte has
-  // left must not leave any more.
+  // Ends the attempts of which no byte has been sent, since the engine is draining or was removed.
   virtual void stop_new_attempts(EngineId engine) = 0;
 
  protected:
   ~EngineTransport() = default;
 };
 
-// What connections ask and report. The dispatcher acts on reports at the end of the loop's iteration.
+// The callbacks of engine connections. The dispatcher handles reports at the end of the loop's iteration.
 class EngineTransportCallbacks {
  public:
-  // Asked right before an attempt's first byte is handed to the kernel; changes nothing. If the result is
-  // false, the attempt ends as not sent.
+  // Called right before an attempt's first byte is passed to the kernel. If the result is false, the attempt
+  // must not start and ends as not sent.
   virtual bool may_start(AttemptKey key) = 0;
   virtual void on_attempt_ended(AttemptKey key, AttemptResult result) = 0;
-  // `amount`: the share that is done, or the megabytes that are missing, depending on the kind.
+  // `amount`: the completed share or the missing memory in megabytes, depending on the kind.
   virtual void on_attempt_update(AttemptKey key, routing::AttemptUpdateKind kind, double amount) = 0;
   virtual void on_probe_ended(EngineId engine, Outcome outcome, std::optional<LoadReport> report) = 0;
 
--- a/src/dispatcher/limits.h
+++ b/src/dispatcher/limits.h
@@ -1,4 +1,4 @@
-// Limits and margins of the dispatcher that are not part of the decision module's settings.
+// Limits and margins of the dispatcher that are not part of the routing settings.
 #pragma once
 
 #include <chrono>
@@ -10,19 +10,19 @@
 
 // Limits and margins of one dispatcher process.
 struct DispatcherLimits {
-  // Bytes of queries that are buffered; beyond this new requests are rejected at once.
+  // The total size of buffered queries; requests that would exceed it are rejected.
   std::size_t max_buffered_bytes = 32u << 20;
   std::size_t max_unanswered_requests = 20'000;
-  // Responses are sent this long before the client stops waiting, so that they arrive in time.
+  // How long before the client's deadline responses are sent, so that they arrive in time.
   Duration response_margin = std::chrono::milliseconds(8);
-  // The last attempt starts this long before an engine's drain grace period ends (policy/drain.h).
+  // How long before the end of an engine's drain grace period the last attempt may start (policy/drain.h).
   Duration drain_margin = std::chrono::milliseconds(250);
-  // The decision module learns of a cancelled attempt's end this much later; the settings tell it as the
-  // simulator's time between two batches.
+  // The delay after which the end of a cancelled attempt is reported to the router. The settings give it to
+  // the router as the simulator's time between two batches.
   Duration cancel_report_delay = std::chrono::milliseconds(5);
-  // Sent with a rejection for which the decision module names no time.
+  // Sent with rejections for which the router sets no retry time.
   Duration default_retry_after = std::chrono::seconds(1);
-  // Clients use changed settings this long after the change at the latest, with room to spare.
+  // The time after a settings change within which all clients use the new settings.
   Duration settings_transition_time = std::chrono::milliseconds(2000);
 };
 
--- a/src/dispatcher/metrics.h
+++ b/src/dispatcher/metrics.h
@@ -1,5 +1,5 @@
-// The metrics that operators read. Each is counted in one place, where its event happens; src/admin formats
-// them. All of them are used by the event loop's thread alone.
+// The metrics for operators. Each is updated in the one place where its event happens; src/admin formats
+// them. Only the event loop's thread may use them.
 #pragma once
 
 #include <array>
@@ -16,34 +16,34 @@
 
 namespace rookproxy {
 
-// Responses by their outcome.
+// The number of responses by status.
 struct ClassMetrics {
   std::uint64_t served = 0;
   std::uint64_t rejected = 0;
   std::uint64_t failed = 0;
 };
 
-// Counters by the name of a class.
+// Counters by class name.
 using MetricsByClass = std::map<std::string, ClassMetrics, std::less<>>;
 
-// Authentication of callers, where it is enabled.
+// Metrics of the authentication of clients.
 struct AuthMetrics {
   bool enabled = false;
-  // Keys in the key set, also those outside their validity period.
+  // The number of keys in the key set, including those outside their validity period.
   std::size_t key_count = 0;
   std::uint64_t signature_checks_cached = 0;
   std::uint64_t signature_checks_run = 0;
   std::uint64_t signature_checks_failed = 0;
-  // Processor time of the checks that were run.
+  // The CPU time of the signature checks that were run.
   std::chrono::microseconds signature_check_time{};
-  // Denied requests by the denial's reason code.
+  // The number of denied requests by the reason code of the denial.
   std::map<std::string, std::uint64_t> denied_by_code;
 };
 
-// Polls of service discovery, by what came of them.
+// Metrics of service discovery: polls, and responses by their result.
 struct DiscoveryMetrics {
   std::uint64_t polls = 0;
-  // Usable responses by the version of their list beside the newest one known.
+  // Usable responses, by the version of their list compared to the newest known list.
   std::uint64_t newer_lists = 0;
   std::uint64_t same_lists = 0;
   std::uint64_t older_lists = 0;
@@ -51,27 +51,28 @@
   std::uint64_t unusable_responses = 0;
 };
 
-// Counters since the process started. Those of a class that was removed stay, so that sums never decrease.
+// Counters since the process started. The counters of removed classes are kept, so that sums never decrease.
 struct Metrics {
   MetricsByClass by_class;
-  // By tenant and class. Only tenants that a file names, in [access] or the settings: clients add none.
+  // Counters by tenant and class, only for tenants that are configured in [access] or the settings, so that
+  // clients cannot add entries.
   std::map<std::string, MetricsByClass, std::less<>> by_tenant;
   AuthMetrics auth;
-  // Attempts written to engines to their last byte.
+  // Attempts that were completely written to engines.
   std::uint64_t attempts_written = 0;
-  // Attempts that were stopped before their first byte, by policy::BlockReason.
+  // Attempts that were stopped before their first byte was sent, by policy::BlockReason.
   std::array<std::uint64_t, policy::kBlockReasonCount> attempts_blocked{};
-  // Attempts that started at engines that drain, within the grace period.
+  // Attempts that started on draining engines, within the grace period.
   std::uint64_t attempts_at_draining_engines = 0;
   DiscoveryMetrics discovery;
-  // Configurations accepted and refused at SIGHUP.
+  // Configurations accepted and rejected at SIGHUP.
   std::uint64_t config_reloads = 0;
   std::uint64_t config_reload_errors = 0;
 };
 
-// Values at the moment of reading.
+// Current values.
 struct Gauges {
-  // Requests whose clients wait for a response.
+  // Requests whose clients are waiting for a response.
   std::size_t requests_in_progress = 0;
   std::size_t engines_listed = 0;
   std::size_t engines_avoided = 0;
--- a/src/dispatcher/request.h
+++ b/src/dispatcher/request.h
@@ -1,4 +1,4 @@
-// A client's request and its response, independent of every wire protocol.
+// A client's request and its response, independent of wire protocols.
 #pragma once
 
 #include <cstdint>
@@ -14,35 +14,35 @@
 
 namespace rookproxy {
 
-// Identifies a request in the dispatcher. Keys sort by arrival and are never reused.
+// Identifies a request in the dispatcher. Keys increase in the order of arrival and are never reused.
 using RequestKey = SlotKey;
 
-// What is sent to an engine. Upstream connections read it; the dispatcher only passes it on.
+// The query to be sent to an engine. Engine connections read it; the dispatcher only passes it on.
 struct Query {
-  // Only statements and executions run anything; the platform's protocol has statements alone.
+  // Only statements and executions run on an engine. The platform's protocol has statements only.
   enum class Kind { kStatement, kPrepare, kExecute, kUseSchema };
 
-  // The client's identifier for the request, passed on unchanged.
+  // The client's id of the request, passed on unchanged.
   std::string id;
-  // The class as the client named it, passed on unchanged.
+  // The class as stated by the client, passed on unchanged.
   std::string class_name;
-  // By it engines recognize repeated requests of a keyed class; empty: none.
+  // The key by which engines recognize repeated requests of a keyed class; empty: none.
   std::string idempotency_key;
-  // The statement's bytes as they were received.
+  // The bytes of the statement as received.
   std::string statement;
   Kind kind = Kind::kStatement;
   // Parameters of an execution, encoded in the frontend's protocol.
   std::string parameters;
-  // Long data of an execution, each with its parameter's number.
+  // Long data of an execution, with the number of its parameter.
   std::vector<std::pair<std::uint16_t, std::string>> long_data;
   // The client's default schema; empty: none.
   std::string schema;
-  // An engine that has started a write must not be stopped halfway.
+  // Whether it may write; an engine must not be stopped while it runs a write.
   bool writes = false;
-  // Whether the result is wanted as tab-separated lines or as the engine's own packets.
+  // Whether the result is returned as tab-separated lines or as the engine's packets.
   bool rows_as_text_lines = true;
 
-  // The memory its contents take.
+  // The size of its contents, for the limit on buffered bytes.
   [[nodiscard]] std::size_t bytes() const {
     std::size_t sum = statement.size() + parameters.size();
     for (const auto& [parameter, data] : long_data) sum += data.size();
@@ -50,38 +50,38 @@
   }
 };
 
-// A request as a frontend submits it.
+// A request as submitted by a frontend.
 struct IncomingRequest {
   std::shared_ptr<const Query> query;
   routing::ClassIndex class_index = 0;
   std::uint64_t table_group = 0;
   // When the client stops waiting.
   Time deadline;
-  // Time of one thread.
+  // The CPU time of a single thread.
   std::optional<Duration> estimated_work;
   std::optional<double> estimated_memory_mb;
-  // The client marked it as a retry of its own.
+  // Whether the client marked it as a retry.
   bool is_client_retry = false;
-  // The caller's tenant, authenticated or as the request states it; empty: none.
+  // The client's tenant, as authenticated or as stated in the request; empty: none.
   std::string tenant;
 };
 
-// How a request ended for its client.
+// The status of a response for the client.
 enum class ResponseStatus { kServed, kRejected, kFailed };
 
-// What a response that was not served is due to.
+// Why a request was not served.
 enum class ResponseCause { kNone, kDecision, kDeadline, kEngineError, kOverloaded, kShuttingDown };
 
 // The one response to a request.
 struct Response {
   ResponseStatus status = ResponseStatus::kFailed;
-  // Served: the whole result as the upstream connection read it.
+  // The complete result of a served request, as read by the engine connection.
   std::string body;
-  // Rejected: when the client should try again.
+  // The time after which the client of a rejected request should try again.
   std::optional<Duration> retry_after;
-  // For messages and logs.
+  // The cause, for messages and logs.
   ResponseCause cause = ResponseCause::kNone;
-  // Failed by an engine's error: the engine's message, if it sent one.
+  // The engine's message for a request that failed with an engine error, if there is one.
   std::string detail;
 
   [[nodiscard]] static Response served(std::string body) {
@@ -98,8 +98,9 @@
 // Receives the responses of the requests it submitted; implemented by frontends.
 class ResponseHandler {
  public:
-  // `correlation_id` is the number the handler gave when it submitted the request. Returns the status that
-  // its client is told, which may differ from the response's: a result may not fit the frontend's protocol.
+  // `correlation_id` is the number that the handler passed to Dispatcher::submit(). Returns the status sent
+  // to the client, which differs from that of the response if the result does not fit the frontend's
+  // protocol.
   virtual ResponseStatus on_response(std::uint64_t correlation_id, Response response) = 0;
 
  protected:
--- a/src/dispatcher/request_log.cpp
+++ b/src/dispatcher/request_log.cpp
@@ -51,19 +51,20 @@
 
 }  // namespace
 
-bool RequestLog::take_line(Time now) {
-  if (!log_.is_enabled(LogLevel::kInfo) || !budget_.allow(now)) return false;
-  const std::uint64_t suppressed = budget_.take_suppressed();
+bool RequestLog::reserve_line(Time now) {
+  if (!log_.is_enabled(LogLevel::kInfo) || !rate_limiter_.allow(now)) return false;
+  const std::uint64_t suppressed = rate_limiter_.take_suppressed();
   if (suppressed > 0) {
-    log_.write(LogLevel::kInfo, kLogId, "request lines left out", {{"count", std::to_string(suppressed)}});
+    log_.write(LogLevel::kInfo, kLogId, "request log lines suppressed",
+               {{"count", std::to_string(suppressed)}});
   }
   return true;
 }
 
 void RequestLog::attempt_starts_at_draining_engine(const Request& request, std::uint32_t number,
                                                    std::string_view engine, Duration remaining, Time now) {
-  if (!take_line(now)) return;
-  log_.write(LogLevel::kInfo, kLogId, "attempt starts at a draining engine",
+  if (!reserve_line(now)) return;
+  log_.write(LogLevel::kInfo, kLogId, "attempt starts on a draining engine",
              {{"request", request.incoming.query->id},
               {"attempt", std::to_string(number)},
               {"engine", std::string(engine)},
@@ -73,15 +74,15 @@
 
 void RequestLog::attempt_blocked(const Request& request, std::string_view engine, policy::BlockReason reason,
                                  Time now) {
-  if (!take_line(now)) return;
-  log_.write(LogLevel::kInfo, kLogId, "attempt not begun: " + std::string(policy::to_text(reason)),
+  if (!reserve_line(now)) return;
+  log_.write(LogLevel::kInfo, kLogId, "attempt not started: " + std::string(policy::to_text(reason)),
              {{"request", request.incoming.query->id}, {"engine", std::string(engine)}});
 }
 
 void RequestLog::attempt_ended(const Request& request, std::uint32_t number, std::string_view engine,
                                routing::Outcome outcome, Time now) {
-  if (outcome == routing::Outcome::kServed || !take_line(now)) return;
-  log_.write(LogLevel::kInfo, kLogId, "attempt ended without a response",
+  if (outcome == routing::Outcome::kServed || !reserve_line(now)) return;
+  log_.write(LogLevel::kInfo, kLogId, "attempt not served",
              {{"request", request.incoming.query->id},
               {"attempt", std::to_string(number)},
               {"engine", std::string(engine)},
@@ -91,7 +92,7 @@
 
 void RequestLog::request_completed(const Request& request, std::string_view class_name,
                                    const Response& response, Time now) {
-  if (response.status == ResponseStatus::kServed || !take_line(now)) return;
+  if (response.status == ResponseStatus::kServed || !reserve_line(now)) return;
   const bool is_rejected = response.status == ResponseStatus::kRejected;
   log_.write(LogLevel::kInfo, kLogId, is_rejected ? "request rejected" : "request failed",
              {{"request", request.incoming.query->id},
--- a/src/dispatcher/request_log.h
+++ b/src/dispatcher/request_log.h
@@ -1,4 +1,4 @@
-/// Logs what becomes of requests that do not go the usual way.
+// Logs requests and attempts that are not served, and attempts that start on draining engines.
 #pragma once
 
 #include <cstdint>
@@ -13,34 +13,35 @@
 
 namespace rookproxy {
 
-/// Writes one line for each request that is not served, for each attempt that ends without a response and for
-/// each attempt at an engine that drains, up to a number of lines a second. Every line has the client's id of
-/// the request. The logger must outlive it.
+// Writes one line for each request that is not served, for each attempt that is blocked or not served, and
+// for each attempt that starts on a draining engine, up to a limit per second. Each line has the client's id
+// of the request. The logger must outlive it.
 class RequestLog {
  public:
   explicit RequestLog(Logger& log) : log_(log) {}
 
-  /// The first byte of an attempt leaves for an engine that drains; attempts may start for `remaining` more.
+  // To be called when an attempt starts on a draining engine; `remaining` is the rest of the time in which
+  // attempts may start on it.
   void attempt_starts_at_draining_engine(const Request& request, std::uint32_t number,
                                          std::string_view engine, Duration remaining, Time now);
-  /// An attempt must not start; it never ran.
+  // To be called when an attempt must not start.
   void attempt_blocked(const Request& request, std::string_view engine, policy::BlockReason reason, Time now);
-  /// An attempt ended with `outcome`; nothing is written if it was served.
+  // To be called when an attempt has ended. Writes nothing if it was served.
   void attempt_ended(const Request& request, std::uint32_t number, std::string_view engine,
                      routing::Outcome outcome, Time now);
-  /// A request is answered with `response`; nothing is written if it was served.
+  // To be called when a request is answered. Writes nothing if it was served.
   void request_completed(const Request& request, std::string_view class_name, const Response& response,
                          Time now);
 
  private:
-  // Of the 200 lines that the logger writes in a second.
-  static constexpr int kLinesPerSecond = 40;
+  // Leaves a part of the logger's own limit, 200 lines per second, to other log lines.
+  static constexpr int kMaxLinesPerSecond = 40;
 
-  // Whether one more line may be written.
-  [[nodiscard]] bool take_line(Time now);
+  // Whether another line may be written, which is then counted.
+  [[nodiscard]] bool reserve_line(Time now);
 
   Logger& log_;
-  LogRateLimiter budget_{kLinesPerSecond};
+  LogRateLimiter rate_limiter_{kMaxLinesPerSecond};
 };
 
 }  // namespace rookproxy
--- a/src/dispatcher/request_table.h
+++ b/src/dispatcher/request_table.h
@@ -1,4 +1,4 @@
-// The requests that are open, their attempts, and what they take of the process's limits.
+// The open requests, their attempts, and their use of the limits of the process.
 #pragma once
 
 #include <cstddef>
@@ -15,8 +15,8 @@
 
 namespace rookproxy {
 
-// An attempt to run a request on an engine. The engine's location is kept as it was when the attempt was
-// sent, by the zone's name: settings may number zones anew.
+// An attempt to run a request on an engine. The engine's location is that at the time at which the attempt
+// was sent; the zone is stored by name, since zone indexes may change with the settings.
 struct Attempt {
   EngineId engine = 0;
   std::string zone_name;
@@ -24,24 +24,24 @@
   Time sent_at;
   bool in_flight = true;
   bool may_have_run = true;
-  // Ends the attempt, or cancels it while it is unsent.
+  // Ends the attempt at its deadline, or cancels it earlier if it is unsent and must not start any more.
   TimerId timer{};
 };
 
-// A request that is open: it has no response yet, or attempts of it are in flight.
+// An open request: one that has no response yet, or has attempts in flight.
 struct Request {
-  // As submitted, with the deadline moved forward by the response margin.
+  // The request as submitted, with a deadline that is earlier by the response margin.
   IncomingRequest incoming;
-  // Null once the response was sent or the client disconnected.
+  // Null after the response was sent or the client disconnected.
   ResponseHandler* handler = nullptr;
   std::uint64_t correlation_id = 0;
   bool is_completed = false;
   int attempts_in_flight = 0;
   int priority = 1;
   std::optional<double> memory_grant_mb;
-  // By number.
+  // Attempts by number.
   std::vector<Attempt> attempts;
-  // Responds if the decision module has not done so by the deadline.
+  // Fails the request if the router has not ended it by the deadline.
   TimerId deadline_timer{};
   std::size_t buffered_bytes = 0;
   std::string last_error;
@@ -50,21 +50,21 @@
   [[nodiscard]] bool may_have_run() const;
 };
 
-// Open requests by key. Pointers into the table are valid until a request is added or released.
+// The open requests by key. Pointers into the table are valid until a request is added or released.
 class RequestTable {
  public:
   RequestKey add(Request request);
 
   [[nodiscard]] Request* find(RequestKey key) { return requests_.find(key); }
   [[nodiscard]] const Request* find(RequestKey key) const { return requests_.find(key); }
-  // Null if the request or the attempt is unknown.
+  // Returns null if the request or the attempt is unknown.
   [[nodiscard]] Attempt* find_attempt(AttemptKey key);
 
-  // Marks a request of this table as completed; it no longer counts as unanswered.
+  // Marks a request of this table as completed, so that it no longer counts as unanswered.
   void complete(Request& request);
   // Marks an attempt of the request as ended.
   static void end_attempt(Request& request, Attempt& attempt, Outcome outcome);
-  // Takes out a request that is completed and has no attempt in flight; nothing if there is none.
+  // Removes and returns the request if it is completed and has no attempt in flight.
   std::optional<Request> release_if_done(RequestKey key);
 
   [[nodiscard]] std::size_t size() const { return requests_.size(); }
--- a/src/dispatcher/routing_time.h
+++ b/src/dispatcher/routing_time.h
@@ -1,4 +1,4 @@
-// Converts between the project's time types and the decision module's microseconds, for all of src.
+// Converts between the time types of src and the microseconds of the routing library.
 #pragma once
 
 #include "base/time.h"
@@ -6,16 +6,16 @@
 
 namespace rookproxy {
 
-// A point in time as the decision module's microseconds.
+// Converts a point in time to microseconds.
 inline routing::Time to_routing_time(Time at) { return at.time_since_epoch().count(); }
 
-// A duration as the decision module's microseconds.
+// Converts a duration to microseconds.
 inline routing::Time to_routing_duration(Duration duration) { return duration.count(); }
 
-// A point in time that the decision module returned.
+// Converts a point in time returned by the router.
 inline Time from_routing_time(routing::Time at) { return Time(Duration(at)); }
 
-// A duration that the decision module returned.
+// Converts a duration returned by the router.
 inline Duration from_routing_duration(routing::Time duration) { return Duration(duration); }
 
 }  // namespace rookproxy
--- a/src/dispatcher/stricter_settings.cpp
+++ b/src/dispatcher/stricter_settings.cpp
@@ -8,9 +8,9 @@
 using routing::ClassSettings;
 using routing::Idempotency;
 
-// Of two keyed classes the narrower scope and the shorter window apply.
+// For two keyed classes the narrower scope and the shorter window apply.
 void restrict_keyed_retries(ClassSettings& cls, const ClassSettings& previous) {
-  // Scopes are ordered from all engines over a zone to a cell.
+  // Scopes are ordered from the widest (all engines) to the narrowest (a cell).
   const auto& scope = previous.idempotency_scope;
   if (scope && (!cls.idempotency_scope || *scope > *cls.idempotency_scope)) cls.idempotency_scope = scope;
   const auto& window = previous.idempotency_window;
@@ -22,7 +22,7 @@
 void restrict_retries(ClassSettings& cls, const ClassSettings& previous) {
   if (previous.idempotency == Idempotency::kKeyed && cls.idempotency == Idempotency::kKeyed) {
     restrict_keyed_retries(cls, previous);
-  } else if (previous.idempotency > cls.idempotency) {  // ordered by what they forbid
+  } else if (previous.idempotency > cls.idempotency) {  // Ordered by strictness.
     cls.idempotency = previous.idempotency;
     cls.idempotency_scope = previous.idempotency_scope;
     cls.idempotency_window = previous.idempotency_window;
@@ -41,13 +41,13 @@
   }
 }
 
-// A tenant that was removed keeps its quota while its clients still name it.
+// A removed tenant keeps its quota while clients may still send requests for it.
 void keep_removed_tenants(std::vector<routing::TenantSettings>& tenants,
                           const std::vector<routing::TenantSettings>& previous) {
   for (const auto& previous_tenant : previous) {
-    const bool stays = std::any_of(tenants.begin(), tenants.end(),
-                                   [&](const auto& tenant) { return tenant.name == previous_tenant.name; });
-    if (!stays) tenants.push_back(previous_tenant);
+    const bool is_kept = std::any_of(tenants.begin(), tenants.end(),
+                                     [&](const auto& tenant) { return tenant.name == previous_tenant.name; });
+    if (!is_kept) tenants.push_back(previous_tenant);
   }
 }
 
--- a/src/dispatcher/stricter_settings.h
+++ b/src/dispatcher/stricter_settings.h
@@ -1,15 +1,16 @@
-// The settings that are in force while clients may still use the previous ones.
+// The settings during a transition, while clients may still use the previous ones.
 #pragma once
 
 #include "rookproxy/routing/router.h"
 
 namespace rookproxy {
 
-// Joins two settings into the stricter of both.
+// Merges two settings so that the result satisfies both.
 //
-// Until clients use changed settings they still send requests by the previous ones, and either may be held
-// against this process. The stricter of both therefore apply to retries, their number, and how long attempts
-// are sent to a draining engine. Classes and tenants that were removed stay; all else is as in `updated`.
+// After a change, clients send requests under the previous settings for a while, and the dispatcher must
+// satisfy the previous and the updated settings. Therefore the stricter value of both applies to retries, the
+// number of attempts, and the time in which attempts are sent to a draining engine. Removed classes and
+// tenants are kept; everything else is taken from `updated`.
 [[nodiscard]] routing::Settings merge_stricter(const routing::Settings& previous,
                                                const routing::Settings& updated);
 
--- a/tests/dispatcher/dispatcher_test.cpp
+++ b/tests/dispatcher/dispatcher_test.cpp
@@ -1,4 +1,4 @@
-// The dispatcher between a frontend and engines that the test plays.
+// Tests the dispatcher with a simulated frontend and simulated engines.
 #include "dispatcher/dispatcher.h"
 
 #include <algorithm>
@@ -19,7 +19,7 @@
 
 namespace {
 
-constexpr auto kUp = EngineState::kServing;
+constexpr auto kServingState = EngineState::kServing;
 
 routing::Settings example_settings() {
   return read_config(read_toml(ROOKPROXY_ROOT "/deploy/mysql.toml")).settings;
@@ -37,7 +37,7 @@
   return endpoint;
 }
 
-// The dispatcher between a frontend and a transport that only record what they are told.
+// A dispatcher whose frontend and engine connections only record calls.
 struct DispatcherFixture final : ResponseHandler, EngineTransport {
   explicit DispatcherFixture(const routing::Settings& settings = example_settings())
       : log(log_text, LogLevel::kDebug, "h", "a"),
@@ -109,10 +109,10 @@
 
 }  // namespace
 
-TEST_CASE("dispatcher: a reader that waits behind a load is not sent on in the same instant") {
-  // Guards against six attempts in 5 ms: the module learnt of its cancel at once and sent straight back.
+TEST_CASE("dispatcher: a read cancelled because of a load is not resent in the same iteration") {
+  // Guards against a request that spends all its attempts within a few milliseconds.
   DispatcherFixture fixture;
-  fixture.update_endpoints({make_endpoint("a", kUp), make_endpoint("b", kUp)});
+  fixture.update_endpoints({make_endpoint("a", kServingState), make_endpoint("b", kServingState)});
   const RequestKey key = fixture.submit("lookup");
   REQUIRE(fixture.attempts.size() == 1);
   fixture.dispatcher.on_attempt_update({key, 0}, routing::AttemptUpdateKind::kWaitingForLoad, 2);
@@ -123,33 +123,33 @@
   CHECK(fixture.attempts[1].engine != fixture.attempts[0].engine);
 }
 
-TEST_CASE("dispatcher: an attempt that is cancelled unsent does not count against its engine") {
-  // Guards against an engine taken for unreachable because a client left during a connect.
+TEST_CASE("dispatcher: an attempt cancelled before it was sent does not eject its engine") {
+  // Guards against an engine that is treated as unreachable because a client disconnected during a connect.
   DispatcherFixture fixture;
   fixture.attempts_are_unsent = true;
-  fixture.update_endpoints({make_endpoint("a", kUp)});
+  fixture.update_endpoints({make_endpoint("a", kServingState)});
   fixture.dispatcher.cancel_request(fixture.submit("lookup"));
   fixture.dispatcher.process_events();
   CHECK(fixture.run_until([&] { return fixture.cancelled.size() == 1; }));
-  fixture.submit("load");  // would wait if 'a' were ejected
+  fixture.submit("load");  // It would be held if 'a' were ejected.
   CHECK(fixture.attempts.size() == 2);
 }
 
-TEST_CASE("dispatcher: after a stall past a deadline the module decides, not the deadline timer") {
-  // Guards against the timer responding in the module's place when both are due in one iteration.
+TEST_CASE("dispatcher: after a stall past the deadline the router responds, not the deadline timer") {
+  // Guards against the dispatcher's timer preempting the router when both are due in the same iteration.
   DispatcherFixture fixture;
-  fixture.update_endpoints({make_endpoint("a", kUp)});
+  fixture.update_endpoints({make_endpoint("a", kServingState)});
   fixture.submit("lookup", 400ms);
   REQUIRE(fixture.attempts.size() == 1);
   fixture.loop.run_at(fixture.loop.now(), [] { std::this_thread::sleep_for(500ms); });
   CHECK(fixture.run_until([&] { return !fixture.responses.empty(); }));
   CHECK(fixture.responses.size() == 1);
-  CHECK(fixture.log_text.str().find("without a decision") == std::string::npos);
+  CHECK(fixture.log_text.str().find("without a routing decision") == std::string::npos);
 }
 
-TEST_CASE("dispatcher: one response, whatever comes twice or late") {
+TEST_CASE("dispatcher: repeated and late ends of attempts cause no second response") {
   DispatcherFixture fixture;
-  fixture.update_endpoints({make_endpoint("a", kUp)});
+  fixture.update_endpoints({make_endpoint("a", kServingState)});
   const RequestKey key = fixture.submit("lookup");
   fixture.end_attempt({key, 0}, Outcome::kServed, "rows");
   fixture.end_attempt({key, 0}, Outcome::kServed, "rows again");
@@ -163,8 +163,8 @@
 
 TEST_CASE("dispatcher: unsent attempts for a draining engine are stopped before the grace period ends") {
   DispatcherFixture fixture;
-  fixture.update_endpoints({make_endpoint("a", kUp)});
-  fixture.update_endpoints({make_endpoint("a", EngineState::kDraining)});  // and no engine serves
+  fixture.update_endpoints({make_endpoint("a", kServingState)});
+  fixture.update_endpoints({make_endpoint("a", EngineState::kDraining)});  // No engine is serving now.
   const Time announced_at = fixture.loop.now();
   CHECK(fixture.stopped_engines.empty());
   CHECK(fixture.run_until([&] { return !fixture.stopped_engines.empty(); }));
@@ -172,22 +172,23 @@
   CHECK(fixture.loop.now() - announced_at >= 1s);
 }
 
-TEST_CASE("dispatcher: unsent attempts for a draining engine are stopped at once where another serves") {
-  // Guards against attempts that wait on while the grace period, which may have begun unheard, runs out.
+TEST_CASE("dispatcher: unsent attempts for a draining engine are stopped at once if another engine serves") {
+  // Guards against attempts that keep waiting although the grace period may have started with a lost
+  // response.
   DispatcherFixture fixture;
-  fixture.update_endpoints({make_endpoint("a", kUp)});
+  fixture.update_endpoints({make_endpoint("a", kServingState)});
   fixture.update_endpoints({make_endpoint("a", EngineState::kDraining)});
   CHECK(fixture.stopped_engines.empty());
-  fixture.update_endpoints({make_endpoint("a", EngineState::kDraining), make_endpoint("b", kUp)});
+  fixture.update_endpoints({make_endpoint("a", EngineState::kDraining), make_endpoint("b", kServingState)});
   CHECK(fixture.stopped_engines == std::vector<EngineId>{0});
-  fixture.update_endpoints({make_endpoint("a", kUp), make_endpoint("b", kUp)});
-  fixture.update_endpoints({make_endpoint("a", EngineState::kDraining), make_endpoint("b", kUp)});
-  CHECK(fixture.stopped_engines == std::vector<EngineId>{0, 0});  // a second drain as well
+  fixture.update_endpoints({make_endpoint("a", kServingState), make_endpoint("b", kServingState)});
+  fixture.update_endpoints({make_endpoint("a", EngineState::kDraining), make_endpoint("b", kServingState)});
+  CHECK(fixture.stopped_engines == std::vector<EngineId>{0, 0});  // Also for a second drain.
 }
 
-TEST_CASE("dispatcher: a request beyond the buffer limit is rejected at once, with a time to retry") {
+TEST_CASE("dispatcher: a request beyond the buffer limit is rejected with a retry time and never sent") {
   DispatcherFixture fixture;
-  fixture.update_endpoints({make_endpoint("a", kUp)});
+  fixture.update_endpoints({make_endpoint("a", kServingState)});
   auto query = std::make_shared<Query>();
   query->statement.assign(64u << 20, 'x');
   IncomingRequest incoming;
@@ -200,11 +201,11 @@
   CHECK(fixture.attempts.empty());
 }
 
-TEST_CASE("dispatcher: open requests keep their rules, and class indexes are reused once they are free") {
-  // Guards against a second run of a request that came as a load, and against a table that grows with each
-  // SIGHUP.
+TEST_CASE("dispatcher: open requests keep their class settings, and unused class indexes are reused") {
+  // Guards against running a write twice after a settings change, and against a class table that grows with
+  // each reload.
   DispatcherFixture fixture;
-  fixture.update_endpoints({make_endpoint("a", kUp), make_endpoint("b", kUp)});
+  fixture.update_endpoints({make_endpoint("a", kServingState), make_endpoint("b", kServingState)});
   auto settings = example_settings();
   const RequestKey load = fixture.submit("load", 9s);
   const RequestKey read = fixture.submit("lookup", 9s);
@@ -216,29 +217,29 @@
   fixture.end_attempt({load, 0}, Outcome::kConnectionLost);
   fixture.end_attempt({read, 0}, Outcome::kConnectionLost);
   fixture.dispatcher.process_events();
-  REQUIRE(fixture.responses.size() == 1);  // that of the load
+  REQUIRE(fixture.responses.size() == 1);  // The response to the load.
   CHECK(fixture.responses[0].status == ResponseStatus::kFailed);
   CHECK(fixture.run_until([&] { return fixture.attempts.size() == 3; }));
   CHECK(fixture.attempts[2].key.request == read);
   fixture.end_attempt(fixture.attempts[2].key, Outcome::kServed, "rows");
   fixture.dispatcher.process_events();
-  routing::ClassIndex highest = 0;
+  routing::ClassIndex highest_index = 0;
   for (int i = 0; i < 50; ++i) {
     settings.max_attempts = 2 + i % 3;
     fixture.dispatcher.change_settings(settings, {"addis-dc1"}, limits);
     fixture.run_for(5ms);
-    highest =
-        std::max({highest, *fixture.dispatcher.find_class("lookup"), *fixture.dispatcher.find_class("load")});
+    highest_index = std::max(
+        {highest_index, *fixture.dispatcher.find_class("lookup"), *fixture.dispatcher.find_class("load")});
   }
-  CHECK(highest < 6);
+  CHECK(highest_index < 6);
   CHECK(fixture.dispatcher.class_settings(*fixture.dispatcher.find_class("lookup")).idempotency ==
         routing::Idempotency::kNonIdempotent);
   CHECK(fixture.metrics.by_class["load"].failed == 1);
   CHECK(fixture.metrics.by_class["lookup"].served == 1);
 }
 
-TEST_CASE("dispatcher: two processes of one dispatcher share the slow-start budget of an engine") {
-  // Guards against an engine in slow start that both overload during an upgrade.
+TEST_CASE("dispatcher: two processes share the slow-start limit of an engine") {
+  // Guards against overloading an engine in slow start while two processes run during an upgrade.
   const auto sent_by_one_of = [](std::size_t process_count) {
     auto settings = example_settings();
     settings.slow_start = routing::SlowStart{0.3, 15'000'000, 3, 1'500'000};
@@ -246,7 +247,7 @@
     fixture.dispatcher.set_process_count(process_count);
     fixture.update_endpoints({});
     fixture.run_for(50ms);
-    fixture.update_endpoints({make_endpoint("a", kUp, fixture.loop.now())});
+    fixture.update_endpoints({make_endpoint("a", kServingState, fixture.loop.now())});
     for (int i = 0; i < 100; ++i) {
       IncomingRequest incoming;
       incoming.query = std::make_shared<Query>();
@@ -259,9 +260,9 @@
     }
     return fixture.attempts.size();
   };
-  const std::size_t by_one_of_one = sent_by_one_of(1);
-  const std::size_t by_one_of_two = sent_by_one_of(2);
-  CHECK(by_one_of_one > 10);
-  CHECK(by_one_of_two > 4);
-  CHECK(by_one_of_two <= by_one_of_one / 2 + 1);
+  const std::size_t sent_by_only_process = sent_by_one_of(1);
+  const std::size_t sent_by_one_of_two = sent_by_one_of(2);
+  CHECK(sent_by_only_process > 10);
+  CHECK(sent_by_one_of_two > 4);
+  CHECK(sent_by_one_of_two <= sent_by_only_process / 2 + 1);
 }
--- a/tests/dispatcher/stricter_settings_test.cpp
+++ b/tests/dispatcher/stricter_settings_test.cpp
@@ -1,4 +1,4 @@
-// The settings in force while clients may still use the previous ones.
+// Tests the settings during a transition, while clients may still use the previous ones.
 #include "dispatcher/stricter_settings.h"
 
 #include <catch2/catch.hpp>
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-TEST_CASE("stricter settings: of previous and updated settings the stricter rules apply") {
+TEST_CASE("stricter settings: the stricter value of previous and updated settings applies") {
   routing::Settings previous;
   previous.max_attempts = 2;
   previous.classes = {make_class("a", kNonIdempotent), make_class("removed", kIdempotent),
