--- a/src/cluster/cluster_config.h
+++ b/src/cluster/cluster_config.h
@@ -9,25 +9,26 @@
 
 namespace rookproxy::cluster {
 
-// Bounds that keep a plan small enough for one datagram beside its ballot and its authentication code.
+// Limits under which a plan fits into one datagram together with its ballot and authentication code.
 inline constexpr std::size_t kMaxZones = 8;
 inline constexpr std::size_t kMaxRetirements = 4;
 
-// The phase of one zone.
-enum class ZoneState : std::uint8_t { kServing = 0, kStrained = 1, kAway = 2, kReturning = 3 };
+// The state of one zone.
+enum class ZoneState : std::uint8_t { kServing = 0, kOverloaded = 1, kUnavailable = 2, kReturning = 3 };
 
-// What the plan says about one zone. Zones and sites are identified by their position in the operator's
-// file; the plan carries that file's fingerprint, so that dispatchers with another file do not misread it.
+// The part of the plan that concerns one zone. Zones and sites are identified by their position in the
+// operator's file. The plan carries a fingerprint of that file, so that dispatchers with a different file do
+// not misread it.
 struct ZonePlan {
   std::uint8_t zone = 0;
   ZoneState state = ZoneState::kServing;
-  std::uint8_t share = 100;  // percent of its usual traffic, 0 to 100
-  std::uint8_t step = 0;     // of its return to service
-  Time since{};              // start of this state or step, in whole milliseconds; Time{}: not set
+  std::uint8_t share = 100;  // Percentage of the zone's usual traffic, 0 to 100.
+  std::uint8_t step = 0;     // The step of the zone's return to service.
+  Time since{};              // Start of this state or step in whole milliseconds; Time{} if not set.
   bool operator==(const ZonePlan&) const = default;
 };
 
-// The phase of the retirement of one site.
+// The state of the retirement of one site.
 enum class RetirementState : std::uint8_t {
   kMoving = 0,
   kPaused = 1,
@@ -36,20 +37,20 @@
   kStopped = 4
 };
 
-// What the plan says about the retirement of one site.
+// The part of the plan that concerns the retirement of one site.
 struct RetirementPlan {
   std::uint8_t site = 0;
   RetirementState state = RetirementState::kMoving;
-  std::uint8_t weight = 100;  // percent of its configured weight, 0 to 100
-  std::uint32_t order = 0;    // number of the operator's order in force
-  Time since{};               // start of this state, in whole milliseconds; Time{}: not set
+  std::uint8_t weight = 100;  // Percentage of the site's configured weight, 0 to 100.
+  std::uint32_t order = 0;    // The number of the operator's order in force.
+  Time since{};               // Start of this state in whole milliseconds; Time{} if not set.
   bool operator==(const RetirementPlan&) const = default;
 };
 
 // The plan of one epoch. Consensus decides at most one plan for each epoch.
 struct ClusterConfig {
-  std::uint32_t epoch = 0;        // 0: the settings that every dispatcher starts with
-  std::uint32_t fingerprint = 0;  // of the operator's list of zones and sites
+  std::uint32_t epoch = 0;        // Epoch 0 is the initial plan of every dispatcher.
+  std::uint32_t fingerprint = 0;  // Identifies the operator's list of zones and sites.
   std::vector<ZonePlan> zones;
   std::vector<RetirementPlan> retirements;
   bool operator==(const ClusterConfig&) const = default;
--- a/src/cluster/consensus.cpp
+++ b/src/cluster/consensus.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-// The least time between two queries of a member that has fallen behind.
+// The minimum time between two queries for a newer plan.
 constexpr Duration kCatchUpInterval(100'000);
 
 ConsensusSettings with_valid_member_count(ConsensusSettings settings) {
@@ -18,13 +18,14 @@
   return settings;
 }
 
-// Members that start at the same moment do not query in step.
-Elapsed first_query_time(const ConsensusSettings& settings, RandomPauses& random) {
+// Spreads the first queries of members that start at the same time.
+Elapsed first_query_time(const ConsensusSettings& settings, JitterSource& random) {
   const auto interval = static_cast<std::uint64_t>(settings.recovery_query_interval.count());
   return Elapsed(static_cast<Elapsed::rep>(random.below(interval + 1)));
 }
 
-// Replies to an earlier process's queries must not look like replies to this one's.
+// Derived from the incarnation, so that replies to queries of an earlier process are not taken for replies to
+// queries of this one.
 std::uint32_t first_query_number(const ConsensusSettings& settings) {
   return static_cast<std::uint32_t>(XXH3_64bits_withSeed(&settings.process_incarnation,
                                                          sizeof settings.process_incarnation, settings.self));
@@ -60,7 +61,7 @@
   advance_clock(now);
   Outbox outbox(settings_.self, settings_.member_count);
   const ConsensusContext context = make_context(outbox, incarnation);
-  // First what has expired: a process that was stopped finds old messages.
+  // Timers run first: a process that was stopped may find old messages in its socket.
   run_timers(context);
   if (from >= settings_.member_count || from == settings_.self) return outbox.take();
   std::visit(
@@ -141,7 +142,7 @@
 void Consensus::start_proposal(const ConsensusContext& context) {
   const std::optional<Ballot> ballot = proposer_.start_round(context);
   if (!ballot) return;
-  // This member votes for its own ballot first: so no later process of it uses this ballot again.
+  // This member votes for its own ballot first, so that no later process of it uses this ballot again.
   acceptor_.promise(next_epoch(), *ballot);
   context.outbox.broadcast(Prepare{next_epoch(), *ballot});
   record_promise(settings_.self, acceptor_.accepted_ballot(), acceptor_.accepted_plan(), context);
@@ -173,15 +174,15 @@
   acceptor_.start_next_instance();
   proposer_.on_plan_learned(plan_, context);
   recovery_.on_plan_learned();
-  // The lease stays: it says that a majority held no plan newer than the one known here, which a newer plan
-  // only confirms.
+  // The lease stays valid: it states that a majority held no plan newer than the known one, which also holds
+  // for a newer known plan.
   renewal_.on_plan_learned(context);
   if (!was_voting && is_voting()) on_voting_resumed(context.now);
 }
 
 // ---- Messages of Paxos ------------------------------------------------------------------------------------
 
-// Checks a request for a vote, and replies to it unless it may be granted.
+// Checks whether a request for a vote may be granted, and replies to it if not.
 bool Consensus::can_vote_for(MemberId from, std::uint32_t epoch, const Ballot& ballot,
                              const ConsensusContext& context) {
   if (epoch <= plan_.epoch) {
@@ -251,11 +252,11 @@
 // ---- Queries, recovery and the lease ----------------------------------------------------------------------
 
 std::uint32_t Consensus::next_query_number() {
-  if (++query_number_ == 0) ++query_number_;  // 0 stands for no number
+  if (++query_number_ == 0) ++query_number_;  // 0 means no number.
   return query_number_;
 }
 
-// A message has shown that others know a newer plan.
+// Called when a message has shown that another member knows a newer plan.
 void Consensus::request_newer_plan(MemberId from, const ConsensusContext& context) {
   if (context.now < next_catch_up_at_) return;
   next_catch_up_at_ = context.now + kCatchUpInterval;
@@ -297,7 +298,7 @@
   const std::uint32_t number = next_query_number();
   renewal_.start_query(number, context.now);
   context.outbox.broadcast(RecoveryQuery{number, plan_.epoch});
-  try_grant_lease(context);  // a cluster of one member needs no reply
+  try_grant_lease(context);  // A cluster of one member needs no reply.
 }
 
 void Consensus::try_grant_lease(const ConsensusContext& context) {
--- a/src/cluster/consensus.h
+++ b/src/cluster/consensus.h
@@ -1,13 +1,13 @@
 // Consensus on the cluster's plan: a replicated register that only a majority of the configured members can
-// change. Single-decree Paxos with one instance per epoch (Lamport, "Paxos Made Simple", 2001); epoch n + 1
-// is proposed, and voted in, only by members that know the plan of epoch n.
+// change. Single-decree Paxos with one instance per epoch (Lamport, "Paxos Made Simple", 2001). Only members
+// that know the plan of epoch n propose and vote in epoch n + 1.
 //
-// Nothing is stored on disk. docs/consensus-proof.md shows why a vote that a restarted process has forgotten
-// does no harm, and what is lost when a majority restarts at once; docs/fleet-decisions.md has the table of
-// states and the figures.
+// Nothing is stored on disk. docs/consensus-proof.md shows why it is safe that a restarted process does not
+// know its earlier votes, and what is lost when a majority restarts at once. docs/fleet-decisions.md has the
+// state table and measurements.
 //
-// One member must never have two processes that vote at a time: the one that hands over calls retire() before
-// its successor starts.
+// A member must never have two voting processes at a time: a process calls retire() before its successor
+// starts.
 #pragma once
 
 #include <cstdint>
@@ -27,57 +27,58 @@
 
 namespace rookproxy::cluster {
 
-// How a call of Consensus::propose ended. What becomes of a started proposal is told by proposal_state().
+// The result of a call of Consensus::propose. proposal_state() reports the outcome of a started proposal.
 enum class ProposeResult : std::uint8_t {
   kStarted = 0,
-  kBusy = 1,        // an own proposal is in progress: wait for its end
-  kWrongEpoch = 2,  // not the one after the known plan's
-  kNotVoting = 3,   // not recovered yet, or retired: let another member propose
-  kTooLarge = 4     // more entries than a plan may have
+  kBusy = 1,        // Another proposal of this member is in progress.
+  kWrongEpoch = 2,  // The epoch is not the one after the known plan's.
+  kNotVoting = 3,   // The member has not recovered yet, or has retired; another member has to propose.
+  kTooLarge = 4     // The plan has more entries than allowed.
 };
 
-// The result of Consensus::propose, and the messages to be sent in either case.
+// The result of Consensus::propose, and the messages to send whatever the result.
 struct ProposeOutcome {
   ProposeResult result = ProposeResult::kStarted;
   std::vector<OutgoingMessage> messages;
 };
 
-// One member. Free of I/O: it is driven by messages and by time, and returns the messages to be sent. Not
-// thread-safe.
+// One member of the cluster. Performs no I/O: the caller passes in messages and the time, and sends the
+// messages that are returned. Not thread-safe.
 class Consensus {
  public:
-  // Knows `initial_plan` as epoch 0. Sends nothing before the first on_timer().
+  // The member starts with `initial_plan` as epoch 0, and sends nothing before the first on_timer().
   Consensus(const ConsensusSettings& settings, ClusterConfig initial_plan, Time now);
 
-  // Handles a message; `incarnation` is the sender's, as authenticated by the transport. Membership's
-  // messages change nothing but the time.
+  // Handles a message. `incarnation` is the sender's, as authenticated by the transport. A message that
+  // Membership handles only advances the clock.
   [[nodiscard]] std::vector<OutgoingMessage> receive(Time now, MemberId from, Incarnation incarnation,
                                                      const MessageBody& body);
-  // Call it at next_due(), or earlier.
+  // Runs the timers that have expired. To be called at next_due() or earlier.
   [[nodiscard]] std::vector<OutgoingMessage> on_timer(Time now);
   [[nodiscard]] Time next_due() const;
 
-  // Proposes a plan, whose epoch must be the known plan's plus 1.
+  // Proposes a plan. Its epoch must be the one after the known plan's.
   [[nodiscard]] ProposeOutcome propose(Time now, const ClusterConfig& next_plan);
   [[nodiscard]] ProposalState proposal_state() const { return proposer_.state(); }
 
-  // The members that membership believes to be alive, with this one or without it; decides who renews leases.
+  // Sets the members that membership considers alive; this member may be omitted. Determines which member
+  // renews leases.
   void set_alive_members(const std::vector<MemberId>& alive) { renewal_.set_alive(alive, settings_); }
-  // Never votes or proposes again: a successor of this process takes its place.
+  // The member never votes or proposes again in this process: its successor takes over.
   void retire() { acceptor_.retire(); }
 
   // The last plan learned. Without a quorum it may be outdated.
   [[nodiscard]] const ClusterConfig& plan() const { return plan_; }
   [[nodiscard]] std::uint32_t epoch() const { return plan_.epoch; }
-  // Whether all parts of the plan may be acted on (spill and shifted affinity included). Without the lease,
+  // Whether all parts of the plan may be applied, including spill and shifted affinity. Without the lease,
   // those fall back to the settings, and only the conservative parts (returning zones, retirements) stay in
-  // force. A clock that goes back ends the lease.
+  // force. The lease ends if the clock goes back.
   [[nodiscard]] bool lease_holds(Time now) const;
-  // Whether a majority has been heard of within a lease's duration, though it may hold another epoch.
+  // Whether a majority has responded within the lease duration, possibly with a plan of another epoch.
   [[nodiscard]] bool has_quorum(Time now) const;
-  // Whether it would vote in the epoch after the known one.
+  // Whether this member votes in the epoch after the known one.
   [[nodiscard]] bool is_voting() const { return acceptor_.is_voting(plan_.epoch); }
-  // What this member may have voted for.
+  // The votes of this member.
   [[nodiscard]] const Acceptor& acceptor() const { return acceptor_; }
   [[nodiscard]] const ConsensusMetrics& metrics() const { return metrics_; }
   [[nodiscard]] Time last_event_time() const { return clock_.last_event_time(); }
@@ -122,19 +123,19 @@
 
   ConsensusSettings settings_;
   MonotonicClock clock_;
-  RandomPauses random_;
+  JitterSource random_;
   ConsensusMetrics metrics_;
 
   ClusterConfig plan_;
   Elapsed learned_at_{};
-  Elapsed next_catch_up_at_{};  // no query for a newer plan before then
+  Elapsed next_catch_up_at_{};  // The earliest time of the next query for a newer plan.
 
   Acceptor acceptor_;
   Proposer proposer_;
   PlanLease lease_;
   LeaseRenewal renewal_;
   VoteRecovery recovery_;
-  std::uint32_t query_number_;  // of the last query, for renewal or recovery
+  std::uint32_t query_number_;  // The number of the last query, for renewal or for recovery.
 };
 
 }  // namespace rookproxy::cluster
--- a/src/cluster/gossip_selector.cpp
+++ b/src/cluster/gossip_selector.cpp
@@ -21,7 +21,7 @@
           static_cast<unsigned>(std::ceil(3 * std::log2(static_cast<double>(settings.member_count) + 1)))),
       next_member_(first_member) {}
 
-bool GossipSelector::is_about_third(MemberId member, MemberId to, const MemberTable& table) const {
+bool GossipSelector::is_third_party(MemberId member, MemberId to, const MemberTable& table) const {
   return member != to && member != self_ && table[member].state.has_value();
 }
 
@@ -30,7 +30,7 @@
   std::vector<MemberId> changed;
   for (std::size_t i = 0; i < table.size(); ++i) {
     const auto member = static_cast<MemberId>((next_member_ + i) % table.size());
-    if (!is_about_third(member, to, table)) continue;
+    if (!is_third_party(member, to, table)) continue;
     if (table[member].transmissions < max_transmissions_) changed.push_back(member);
   }
   std::stable_sort(changed.begin(), changed.end(), [&](MemberId left, MemberId right) {
@@ -40,7 +40,7 @@
   return changed;
 }
 
-std::vector<GossipUpdate> GossipSelector::select(MemberId to, std::size_t limit, bool repairs,
+std::vector<GossipUpdate> GossipSelector::select(MemberId to, std::size_t limit, bool with_anti_entropy,
                                                  MemberTable& table) {
   std::vector<GossipUpdate> updates;
   if (!table.contains(to) || to == self_ || limit == 0) return updates;
@@ -55,11 +55,11 @@
     updates.push_back(update_about(member, table));
     ++table[member].transmissions;
   }
-  if (!repairs) return updates;
+  if (!with_anti_entropy) return updates;
   for (std::size_t i = 0; i < table.size() && updates.size() < room; ++i) {
     const auto member = static_cast<MemberId>(next_member_);
     next_member_ = (next_member_ + 1) % table.size();
-    if (!is_about_third(member, to, table)) continue;
+    if (!is_third_party(member, to, table)) continue;
     if (std::find(changed.begin(), changed.end(), member) == changed.end()) {
       updates.push_back(update_about(member, table));
     }
--- a/src/cluster/lease_renewal.cpp
+++ b/src/cluster/lease_renewal.cpp
@@ -19,7 +19,7 @@
 }
 
 Elapsed LeaseRenewal::next_query_due(const ConsensusSettings& settings) const {
-  return query_ ? kNever : base_ + rank_delay(settings);
+  return query_ ? kNever : rank_zero_due_ + rank_delay(settings);
 }
 
 Elapsed LeaseRenewal::query_deadline(const ConsensusSettings& settings) const {
@@ -48,10 +48,11 @@
 }
 
 std::optional<Elapsed> LeaseRenewal::try_grant(std::uint32_t known_epoch, const ConsensusContext& context) {
-  const std::size_t confirmations = query_->agreeing.count() + 1;  // with this member's own
+  const std::size_t confirmations = query_->agreeing.count() + 1;  // With this member's own.
   if (query_->is_quorum_reached || confirmations < context.settings.majority()) return std::nullopt;
   query_->is_quorum_reached = true;
-  // Only to those that have replied in time: by their own clocks, too, they were queried not long ago.
+  // The lease is granted only to members that have replied in time, whose clocks confirm that the query is
+  // recent.
   const Lease lease = make_lease(known_epoch, context);
   for (std::size_t member = 0; member < context.settings.member_count; ++member) {
     if (query_->replied[member]) context.outbox.send(static_cast<MemberId>(member), lease);
@@ -64,9 +65,10 @@
   const Query query = *query_;
   query_.reset();
   if (!query.is_quorum_reached) {
-    // The members take turns, so that without a quorum, too, one member queries per takeover delay.
+    // The members take turns, so that one member queries per takeover delay even without a quorum.
     const Duration all_turns = static_cast<int>(alive_count_) * settings.takeover_delay;
-    base_ = query.sent_at + std::max(settings.lease_renewal_interval, all_turns) - rank_delay(settings);
+    rank_zero_due_ =
+        query.sent_at + std::max(settings.lease_renewal_interval, all_turns) - rank_delay(settings);
     return false;
   }
   if (!query.is_instance_open && !is_instance_open_here) {
@@ -81,14 +83,14 @@
 }
 
 void LeaseRenewal::on_renewed(const ConsensusContext& context) {
-  base_ = context.now + context.settings.lease_renewal_interval;
+  rank_zero_due_ = context.now + context.settings.lease_renewal_interval;
 }
 
 void LeaseRenewal::on_plan_learned(const ConsensusContext& context) {
   instance_open_since_.reset();
   if (!query_) return;
   query_.reset();
-  base_ = context.now - rank_delay(context.settings);  // due at once
+  rank_zero_due_ = context.now - rank_delay(context.settings);  // Due at once.
 }
 
 }  // namespace rookproxy::cluster
--- a/src/cluster/member_table.cpp
+++ b/src/cluster/member_table.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// The start of a process, in microseconds, lies far below.
+// An upper bound that start times in microseconds do not reach.
 constexpr Incarnation kIncarnationLimit = Incarnation{1} << 62;
 
 }  // namespace
@@ -47,7 +47,8 @@
 bool MemberTable::apply(const GossipUpdate& update, Time now) {
   const MemberRecord& record = records_[update.member];
   if (update.incarnation < record.incarnation) return false;
-  // Of one incarnation the worse state wins. An unknown member that has an incarnation was failed.
+  // For the same incarnation, the worse state takes precedence. An unknown member that has an incarnation was
+  // considered failed before it was forgotten.
   const MemberState known = record.state.value_or(MemberState::kFailed);
   if (update.incarnation > record.incarnation || update.state > known) {
     set_state(update.member, update.state, update.incarnation, now);
@@ -58,11 +59,12 @@
 void MemberTable::record_sender(MemberId member, Incarnation incarnation, Time now) {
   MemberRecord& record = records_[member];
   if (incarnation > record.incarnation) {
-    // A member that only refutes a suspicion has a table already.
+    // A member that refutes a suspicion already has a table.
     if (record.state != MemberState::kSuspect) record.needs_full_table = true;
     set_state(member, MemberState::kAlive, incarnation, now);
   }
-  // It started with a clock behind its predecessor's. Once it is told, it takes a higher incarnation.
+  // A process whose clock is behind its predecessor's starts with a stale incarnation. It takes a higher one
+  // once it is informed.
   record.has_stale_incarnation = incarnation < record.incarnation;
 }
 
--- a/src/cluster/member_table.h
+++ b/src/cluster/member_table.h
@@ -1,4 +1,4 @@
-// What one member knows about the others: state and incarnation of each.
+// The membership table of one member: the state and incarnation of each of the others.
 #pragma once
 
 #include <cstddef>
@@ -12,10 +12,10 @@
 
 namespace rookproxy::cluster {
 
-// Whether an incarnation can be that of a process, and leaves room for refutations.
+// Whether an incarnation is in the range of a process's incarnations, which leaves room for refutations.
 [[nodiscard]] bool is_valid_incarnation(Incarnation incarnation);
 
-// A change of what is known about a member; no state: unknown.
+// A change of a member's state. No state means that the member is unknown.
 struct MemberChange {
   MemberId member = 0;
   std::optional<MemberState> before;
@@ -23,24 +23,24 @@
   bool operator==(const MemberChange&) const = default;
 };
 
-// What is known about one member. Small, since there is one for every configured member.
+// The record of one member. Kept small, since there is one for every configured member.
 struct MemberRecord {
-  Incarnation incarnation = 0;             // 0: never heard of; kept when a failed member is forgotten
-  Time state_deadline{};                   // suspect: then failed; failed: then forgotten
-  std::uint16_t transmissions = 0;         // times that its last change was gossiped
-  std::optional<MemberState> state;        // nothing: unknown
-  bool suspected_locally : 1 = false;      // the suspicion is this member's own
-  bool needs_full_table : 1 = false;       // new here: its next message carries as much as fits
-  bool has_stale_incarnation : 1 = false;  // its last message had an older incarnation than is known
-  bool has_acked : 1 = false;              // a ping since the start or the last stall
+  Incarnation incarnation = 0;             // 0 if never known; kept when a failed member is forgotten.
+  Time state_deadline{};                   // When a suspect fails, or when a failed member is forgotten.
+  std::uint16_t transmissions = 0;         // The number of times that the last change was gossiped.
+  std::optional<MemberState> state;        // Nothing if the member is unknown.
+  bool suspected_locally : 1 = false;      // Whether this process itself has raised the suspicion.
+  bool needs_full_table : 1 = false;       // The next message to this new member carries all that fits.
+  bool has_stale_incarnation : 1 = false;  // Its last message had an older incarnation than the known one.
+  bool has_acked : 1 = false;              // It has acked a ping since the start or the last stall.
 
-  // Alive or suspect: a single lost datagram must not count.
+  // Suspects count as alive, since a single lost datagram may cause a suspicion.
   [[nodiscard]] bool counts_as_alive() const {
     return state == MemberState::kAlive || state == MemberState::kSuspect;
   }
 };
 
-// A record for every configured member, this one included (whose record stays unused).
+// Holds a record for every configured member. The record of this member itself stays unused.
 class MemberTable {
  public:
   explicit MemberTable(const MembershipSettings& settings);
@@ -50,30 +50,31 @@
   const MemberRecord& operator[](MemberId member) const { return records_[member]; }
   MemberRecord& operator[](MemberId member) { return records_[member]; }
 
-  // Members other than this one that count as alive.
+  // The number of members other than this one that count as alive.
   [[nodiscard]] std::size_t alive_others() const { return alive_others_; }
-  // Members that have acked since the start or the last stall.
+  // The number of members that have acked since the start or the last stall.
   [[nodiscard]] std::size_t acked_count() const { return acked_count_; }
-  // When the first suspicion times out; `latest` if none does before.
+  // When the earliest suspicion times out, or `latest` if that is earlier.
   [[nodiscard]] Time next_suspicion_deadline(Time latest) const;
 
-  // Starts the deadline that the state has, and lets the change be gossiped.
+  // Sets a member's state, starts that state's deadline and schedules the change for gossip.
   void set_state(MemberId member, std::optional<MemberState> state, Incarnation incarnation, Time now);
   // Applies gossip about another member. Returns false if it is older than what is known.
   bool apply(const GossipUpdate& update, Time now);
-  // A message of the member itself, with its incarnation.
+  // Records a message that the member itself has sent, with its incarnation.
   void record_sender(MemberId member, Incarnation incarnation, Time now);
   void record_ack(MemberId member);
 
-  // Suspects that have not refuted in time become failed.
+  // Marks suspects as failed that have not refuted the suspicion in time.
   void expire_suspicions(Time now);
   void extend_suspicions(Duration by);
-  // Forgets members that failed long ago.
+  // Forgets failed members whose retention time is over.
   void forget_failed(Time now);
-  // After a stall: own suspicions are void, acks are needed anew, and nothing known is worth gossiping.
+  // Called after a stall. Suspects become alive again, acks have to be received again, and known changes are
+  // not gossiped any more, since they may be outdated.
   void reset_after_stall(unsigned max_transmissions, Time now);
 
-  // The changes since the last call.
+  // Returns the changes since the last call.
   [[nodiscard]] std::vector<MemberChange> take_changes();
 
  private:
--- a/src/cluster/membership.cpp
+++ b/src/cluster/membership.cpp
@@ -8,18 +8,17 @@
 
 namespace {
 
-// Acks after which the table is as recent as the cluster's. Each ack carries the most recent updates of its
-// sender, so one that half of the cluster knows is missed by 15 of them with a probability of 2^-15. Waiting
-// for a majority would take over ten seconds in a cluster of 300. Only acks to pings since the start or the
-// last stall count: what lay in the socket meanwhile is as old as the table.
-constexpr std::size_t kAcksToBeCurrent = 15;
-
-// The periods that a member waits after its start before it is current.
-constexpr int kPeriodsToBeCurrent = 2;
-
-const MembershipSettings& checked(const MembershipSettings& settings) {
-  if (const auto fault = settings.find_fault()) {
-    throw std::invalid_argument("membership: " + fault->text());
+// The number of acks after which the table is considered up to date, since each ack carries the most recent
+// updates of its sender. Only acks to pings since the start or the last stall count: datagrams that were
+// queued in the socket during a stall are as old as the table.
+constexpr std::size_t kAcksUntilCurrent = 15;
+
+// The minimum number of protocol periods from the start until a member is current.
+constexpr int kPeriodsUntilCurrent = 2;
+
+const MembershipSettings& validated(const MembershipSettings& settings) {
+  if (const auto invalid = settings.validate()) {
+    throw std::invalid_argument("membership: " + invalid->text());
   }
   return settings;
 }
@@ -28,7 +27,7 @@
   return std::mt19937(static_cast<std::mt19937::result_type>(seed ^ (seed >> 32)));
 }
 
-// Members that start at the same moment do not probe in step.
+// Spreads the first periods of members that start at the same time.
 Time first_period(const MembershipSettings& settings, Time now, std::mt19937& random) {
   const auto interval = static_cast<std::uint64_t>(settings.probe_interval.count());
   return now + Duration(static_cast<Duration::rep>(random() % interval));
@@ -36,9 +35,9 @@
 
 }  // namespace
 
-// The order in which the members draw from random_ is part of what a seed reproduces.
+// The order in which the parts draw from random_ must not change, or a seed no longer reproduces a run.
 Membership::Membership(const MembershipSettings& settings, Incarnation start, std::uint64_t seed, Time now)
-    : settings_(checked(settings)),
+    : settings_(validated(settings)),
       stall_threshold_(settings.effective_stall_threshold()),
       own_incarnation_(start),
       random_(make_random(seed)),
@@ -52,7 +51,7 @@
   next_period_at_ = first_period(settings, now, random_);
   next_due_ = next_period_at_;
   if (!is_valid_incarnation(start)) {
-    throw std::invalid_argument("membership: the start's time is no incarnation");
+    throw std::invalid_argument("membership: the start time of the process is not a valid incarnation");
   }
 }
 
@@ -60,7 +59,7 @@
   return {settings_, now, table_, outbox_, metrics_, random_};
 }
 
-// ---- What is known ----------------------------------------------------------------------------------------
+// ---- Queries ----------------------------------------------------------------------------------------------
 
 std::optional<MemberState> Membership::state_of(MemberId member) const {
   if (member == settings_.self) return MemberState::kAlive;
@@ -144,7 +143,8 @@
   }
 }
 
-// Gossip about this member: takes an incarnation above it, unless it says what is true.
+// Handles gossip about this member. Unless it states that this incarnation is alive, or is outdated, the
+// member takes a higher incarnation.
 void Membership::refute(const GossipUpdate& update) {
   if (update.incarnation < own_incarnation_) {
     ++metrics_.ignored_updates;
@@ -175,9 +175,9 @@
     is_current_ = now >= started_at_ + settings_.isolation_timeout;
     return;
   }
-  const std::size_t majority_of_others = (table_.alive_others() + 1) / 2;  // a majority with this member
-  const bool has_enough_acks = table_.acked_count() >= std::min(kAcksToBeCurrent, majority_of_others);
-  is_current_ = has_enough_acks && now >= started_at_ + kPeriodsToBeCurrent * settings_.probe_interval;
+  const std::size_t majority_of_others = (table_.alive_others() + 1) / 2;  // A majority with this member.
+  const bool has_enough_acks = table_.acked_count() >= std::min(kAcksUntilCurrent, majority_of_others);
+  is_current_ = has_enough_acks && now >= started_at_ + kPeriodsUntilCurrent * settings_.probe_interval;
 }
 
 // ---- Time -------------------------------------------------------------------------------------------------
@@ -190,7 +190,7 @@
 
 void Membership::recover_from_stall(Time now) {
   ++metrics_.stalls;
-  ++own_incarnation_;  // what is said of this member meanwhile is about the former one
+  ++own_incarnation_;  // Gossip sent during the stall is about the previous incarnation.
   prober_.reset();
   table_.reset_after_stall(gossip_.max_transmissions(), now);
   is_current_ = false;
@@ -199,8 +199,8 @@
   next_due_ = now;
 }
 
-// A timer that is late by less than a stall: the acks may lie unread in the socket, so the deadlines of
-// probes move by the delay and one ping timeout more.
+// Handles a timer that is late by less than the stall threshold. Acks may be unread in the socket, so the
+// deadlines of probes are extended by the delay plus one ping timeout.
 void Membership::extend_deadlines_after_delay(Time now) {
   const Duration delay = now - next_due_;
   if (delay <= settings_.ping_timeout) return;
--- a/src/cluster/membership.h
+++ b/src/cluster/membership.h
@@ -1,13 +1,13 @@
-// Which of the configured members are alive, as one of them knows it. After SWIM (Das, Gupta, Motivala:
-// "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership Protocol", 2002), with a failure
-// detector that mistrusts itself when it runs late, as in Lifeguard (Dadgar, Phillips, Currey: "Lifeguard:
-// Local Health Awareness for More Accurate Failure Detection", 2018).
+// Cluster membership: which of the configured members are alive, as seen by one of them. Follows SWIM (Das,
+// Gupta, Motivala: "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership Protocol",
+// 2002). The failure detector allows for its own delays, as in Lifeguard (Dadgar, Phillips, Currey:
+// "Lifeguard: Local Health Awareness for More Accurate Failure Detection", 2018).
 //
-// Each period one other member is pinged, in an order that is shuffled anew after each pass. If it does not
-// answer, other members are asked to ping it, and it is pinged a second time. Without an answer by the end of
-// the period it is suspect; if it does not refute within the suspicion timeout, it has failed. Updates about
-// this ride on every message between members, so a member sends and receives the same number of messages
-// whatever the size of the cluster.
+// In each protocol period one other member is pinged, in an order that is reshuffled after each pass. If it
+// does not ack in time, other members are asked to ping it, and it is pinged a second time. Without an ack by
+// the end of the period it becomes suspect; if it does not refute the suspicion within the suspicion timeout,
+// it is considered failed. Updates are piggybacked on all messages between members, so the number of messages
+// per member does not depend on the size of the cluster.
 //
 // docs/fleet-decisions.md has the state tables.
 #pragma once
@@ -29,38 +29,38 @@
 
 namespace rookproxy::cluster {
 
-// One member. Free of I/O: it is driven by messages and by time, and returns the messages to be sent. Not
-// thread-safe.
+// One member of the cluster. Performs no I/O: the caller passes in messages and the time, and sends the
+// messages that are returned. Not thread-safe.
 class Membership {
  public:
-  // What one event has led to.
+  // The messages to send and the state changes that result from one event.
   struct Result {
     std::vector<OutgoingMessage> messages;
     std::vector<MemberChange> changes;
   };
 
-  // `start`: the time of the process's start in microseconds, not 0. `seed`: any, best another at each
-  // member. Throws std::invalid_argument if the settings have a fault.
+  // `start`: the start time of the process in microseconds since the Unix epoch, not 0. `seed`: should differ
+  // between members. Throws std::invalid_argument if a setting or `start` is invalid.
   Membership(const MembershipSettings& settings, Incarnation start, std::uint64_t seed, Time now);
 
-  // Call it at next_due() or a little later.
+  // Runs the timers that have expired. To be called at next_due() or shortly after.
   [[nodiscard]] Result tick(Time now);
-  // Handles an authenticated message. One that is not a MembershipMessage still shows that its sender is
-  // alive.
+  // Handles an authenticated message. A message that is not a MembershipMessage still proves that its sender
+  // is alive.
   [[nodiscard]] Result receive(Time now, MemberId from, Incarnation incarnation, const MessageBody& body,
                                const std::vector<GossipUpdate>& gossip);
-  // The updates for the message that is sent to `to` now, at most `limit`.
+  // Returns at most `limit` updates for the message that is about to be sent to `to`.
   std::vector<GossipUpdate> gossip_for(MemberId to, std::size_t limit);
 
   [[nodiscard]] Time next_due() const { return next_due_; }
-  // Goes with every message.
+  // The incarnation of this member, which every message carries.
   [[nodiscard]] Incarnation incarnation() const { return own_incarnation_; }
-  // Nothing: not heard of since the start, or forgotten. This member itself is alive.
+  // The state of a member; nothing if it is unknown or was forgotten. This member itself is always alive.
   [[nodiscard]] std::optional<MemberState> state_of(MemberId member) const;
-  // This member, and those that are alive or suspect.
+  // This member and all members that are alive or suspect.
   [[nodiscard]] std::vector<MemberId> alive_members() const;
   [[nodiscard]] std::size_t alive_count() const { return table_.alive_others() + 1; }
-  // False if this process has started or stalled lately, or is late: what it knows may be outdated.
+  // Whether the table is up to date. False shortly after the start or a stall, and while a timer is overdue.
   [[nodiscard]] bool is_current(Time now) const;
   [[nodiscard]] MembershipMetrics metrics() const;
 
@@ -86,8 +86,8 @@
   RateLimitedOutbox outbox_;
   MembershipMetrics metrics_;
   bool is_current_ = false;
-  Time started_at_;      // or the end of the last stall
-  Time next_period_at_;  // start of the next protocol period
+  Time started_at_;      // The start of the process or the end of the last stall.
+  Time next_period_at_;  // The start of the next protocol period.
   Time next_due_;
   Time last_event_at_;
 };
--- a/src/cluster/membership_context.h
+++ b/src/cluster/membership_context.h
@@ -1,4 +1,4 @@
-// What the parts of Membership share while one event is handled.
+// The state that the parts of Membership share while one event is handled.
 #pragma once
 
 #include <random>
@@ -12,7 +12,7 @@
 // Valid for the handling of one event; refers to members of Membership.
 struct MembershipContext {
   const MembershipSettings& settings;
-  Time now;  // time of the event
+  Time now;  // The time of the event.
   MemberTable& table;
   RateLimitedOutbox& outbox;
   MembershipMetrics& metrics;
--- a/src/cluster/messages.h
+++ b/src/cluster/messages.h
@@ -1,6 +1,6 @@
-// The messages that members exchange, as the protocols see them: no wire format, no socket, no clock.
+// The messages that members exchange, independent of their encoding.
 //
-// transport/codec.h gives each its bytes. A message's position in MessageBody is its type number on the wire.
+// transport/codec.h encodes them. A message's position in MessageBody is its type number on the wire.
 #pragma once
 
 #include <cstdint>
@@ -16,7 +16,7 @@
 
 // ---- Membership (SWIM) ------------------------------------------------------------------------------------
 
-// Asks the receiver for an Ack with the same number.
+// Requests an Ack with the same number.
 struct Ping {
   std::uint32_t number = 0;
   bool operator==(const Ping&) const = default;
@@ -29,8 +29,8 @@
   bool operator==(const PingRequest&) const = default;
 };
 
-// Answers a Ping or a PingRequest: `target` is alive. It is the sender itself, or the member it has pinged on
-// the receiver's behalf.
+// Replies to a Ping or a PingRequest: `target` is alive. It is either the sender itself or the member that
+// the sender has pinged on the receiver's behalf.
 struct Ack {
   std::uint32_t number = 0;
   MemberId target = 0;
@@ -39,7 +39,7 @@
 
 // ---- Consensus: single-decree Paxos, one instance per epoch (Lamport, "Paxos Made Simple", 2001) ----------
 
-// The number of a proposal. Ordered by round before member, so that no two members ever use the same ballot.
+// The number of a proposal. Ordered by round, then by member, so that no two members use the same ballot.
 struct Ballot {
   std::uint32_t round = 0;
   MemberId member = 0;
@@ -57,8 +57,8 @@
 struct Promise {
   std::uint32_t epoch = 0;
   Ballot ballot;
-  std::optional<Ballot> accepted;     // the highest ballot that the sender has accepted in this epoch
-  std::optional<ClusterConfig> plan;  // accepted under that ballot; present exactly if `accepted` is
+  std::optional<Ballot> accepted;     // The highest ballot that the sender has accepted in this epoch.
+  std::optional<ClusterConfig> plan;  // The plan of that ballot; present if and only if `accepted` is.
   bool operator==(const Promise&) const = default;
 };
 
@@ -83,37 +83,39 @@
   bool operator==(const Accepted&) const = default;
 };
 
-// Tells learners that the plan is chosen for its epoch, for good.
+// Announces to learners that the plan is chosen for its epoch.
 struct Chosen {
   ClusterConfig plan;
   bool operator==(const Chosen&) const = default;
 };
 
-// Asks which plan the receiver knows. Sent to recover, to renew a lease, and to catch up with a newer epoch.
+// Requests the receiver's epoch and voting state. Sent to recover, to renew a lease and to catch up with a
+// newer epoch.
 struct RecoveryQuery {
-  std::uint32_t number = 0;  // returned in the reply; 0: the sender does not count replies
-  std::uint32_t epoch = 0;   // of the plan that the sender knows
+  std::uint32_t number = 0;  // Returned in the reply; 0 if the sender does not count replies.
+  std::uint32_t epoch = 0;   // The epoch of the plan that the sender knows.
   bool operator==(const RecoveryQuery&) const = default;
 };
 
-// Answers a RecoveryQuery. A newer plan than the asker's is sent beside it, as `Chosen`.
+// Replies to a RecoveryQuery. A plan newer than the querying member's is sent separately, in a `Chosen`.
 struct RecoveryReply {
   std::uint32_t number = 0;
-  std::uint32_t epoch = 0;                // of the plan that the sender knows
-  bool is_voting = false;                 // in the epoch after it; false: the sender has not yet recovered
-  std::uint32_t highest_voted_epoch = 0;  // if voting: the last epoch it may have voted in, restarts included
+  std::uint32_t epoch = 0;  // The epoch of the plan that the sender knows.
+  bool is_voting = false;   // Whether the sender votes in the epoch after it; false until it has recovered.
+  // The last epoch in which the sender may have voted, in any process. Valid only if it is voting.
+  std::uint32_t highest_voted_epoch = 0;
   bool operator==(const RecoveryReply&) const = default;
 };
 
 // Grants a lease: a majority has confirmed to the sender that it holds the plan of `epoch`.
 struct Lease {
   std::uint32_t epoch = 0;
-  Duration remaining{};            // counted from the moment of sending
-  std::uint32_t query_number = 0;  // of the query that the majority, and the receiver, have answered
+  Duration remaining{};            // The remaining time of the lease when the message was sent.
+  std::uint32_t query_number = 0;  // The number of the query that the majority and the receiver answered.
   bool operator==(const Lease&) const = default;
 };
 
-// A message of any kind. New kinds go to the end: the index is the type number on the wire.
+// A message of any type. New types are appended, since the index is the type number on the wire.
 using MessageBody = std::variant<Ping, PingRequest, Ack, Prepare, Promise, Nack, Accept, Accepted, Chosen,
                                  RecoveryQuery, RecoveryReply, Lease>;
 
@@ -127,8 +129,8 @@
   return std::visit([]<class Message>(const Message&) { return MembershipMessage<Message>; }, body);
 }
 
-// A message to be sent. Whoever carries it adds the sender, its incarnation, a sequence number and the
-// authentication code, and fills the remaining room with gossip.
+// A message to be sent. The transport adds the sender, its incarnation, a sequence number and the
+// authentication code, and fills the remaining space with gossip.
 struct OutgoingMessage {
   MemberId to = 0;
   MessageBody body;
--- a/src/cluster/monotonic_clock.h
+++ b/src/cluster/monotonic_clock.h
@@ -1,4 +1,4 @@
-// A clock that is driven by the time stamps of events and never runs backwards.
+// A monotonic clock that is advanced by the timestamps of events.
 #pragma once
 
 #include <algorithm>
@@ -10,15 +10,15 @@
 // Time since the start of the process, in microseconds.
 using Elapsed = Duration;
 
-// A due time that never comes. Far enough from the largest value that spans can be added to it.
+// A time that is never reached. Small enough that durations can be added to it without overflow.
 inline constexpr Elapsed kNever = Duration::max() / 4;
 
-// Turns wall-clock times into time since the start. A step back of the wall clock counts as no time passed.
+// Converts wall-clock times into time since the start. If the wall clock steps back, no time passes.
 class MonotonicClock {
  public:
   explicit MonotonicClock(Time now) : last_event_time_(now) {}
 
-  // Moves to the time of an event. Returns false if the wall clock has gone back since the last one.
+  // Advances to the time of an event. Returns false if the wall clock has gone back since the last event.
   [[nodiscard]] bool advance(Time now) {
     const bool is_forward = now >= last_event_time_;
     elapsed_ = elapsed_at(now);
@@ -26,15 +26,15 @@
     return is_forward;
   }
 
-  // As of the last event.
+  // The time since the start at the last event.
   [[nodiscard]] Elapsed elapsed() const { return elapsed_; }
-  // What elapsed() would be if an event came at `now`.
+  // The value that elapsed() would have after an event at `now`.
   [[nodiscard]] Elapsed elapsed_at(Time now) const {
     return elapsed_ + std::max(Duration(0), now - last_event_time_);
   }
   // The wall-clock time of the last event.
   [[nodiscard]] Time last_event_time() const { return last_event_time_; }
-  // The wall-clock time of `then`, or of the last event if `then` has passed.
+  // The wall-clock time of `then`, or of the last event if `then` is in the past.
   [[nodiscard]] Time wall_time(Elapsed then) const {
     return last_event_time_ + std::max(Duration(0), then - elapsed_);
   }
--- a/src/cluster/outbox.h
+++ b/src/cluster/outbox.h
@@ -9,14 +9,14 @@
 
 namespace rookproxy::cluster {
 
-// Messages of one member in the order in which they are to be sent.
+// The messages of one member in the order in which they are to be sent.
 class Outbox {
  public:
   Outbox(MemberId self, std::size_t member_count) : self_(self), member_count_(member_count) {}
 
   void send(MemberId to, MessageBody body) { messages_.push_back({to, std::move(body)}); }
 
-  // To every member but this one, in the order of their ids.
+  // Sends to every member except this one, in the order of their ids.
   void broadcast(const MessageBody& body) {
     messages_.reserve(messages_.size() + member_count_);
     for (std::size_t member = 0; member < member_count_; ++member) {
@@ -24,7 +24,7 @@
     }
   }
 
-  // Hands the messages over; the outbox is empty afterwards.
+  // Returns the messages and empties the outbox.
   [[nodiscard]] std::vector<OutgoingMessage> take() { return std::exchange(messages_, {}); }
 
  private:
--- a/src/cluster/plan_lease.cpp
+++ b/src/cluster/plan_lease.cpp
@@ -33,7 +33,7 @@
                                             const ConsensusContext& context) const {
   const ReceivedQuery& query = received_queries_[from];
   if (lease.query_number == 0 || query.number != lease.query_number) return std::nullopt;
-  // Bounded by the query's arrival too, so that a lease that is delivered late lasts no longer.
+  // Also limited by the arrival of the query, so that late delivery does not prolong the lease.
   const Elapsed until =
       std::min(context.now + lease.remaining, query.received_at + context.settings.lease_duration);
   if (until <= context.now) return std::nullopt;
--- a/src/cluster/probe_order.h
+++ b/src/cluster/probe_order.h
@@ -11,8 +11,7 @@
 
 namespace rookproxy::cluster {
 
-// All other members in random order, shuffled anew after each pass (SWIM's round-robin probe target
-// selection).
+// All other members in random order, reshuffled after each pass (SWIM's round-robin probe target selection).
 class ProbeOrder {
  public:
   ProbeOrder(MemberId self, std::size_t member_count, std::mt19937& random) {
@@ -24,7 +23,7 @@
 
   [[nodiscard]] const std::vector<MemberId>& members() const { return members_; }
 
-  // The next member of the pass. There must be another member.
+  // Returns the next member of the pass. Requires that there is another member.
   MemberId next(std::mt19937& random) {
     if (next_ >= members_.size()) {
       next_ = 0;
@@ -33,8 +32,8 @@
     return members_[next_++];
   }
 
-  // The next member behind `position` whose record satisfies the predicate, and moves `position` there. Looks
-  // at each member once at the most.
+  // Returns the next member after `position` whose record satisfies the predicate, and moves `position` to
+  // it. Checks each member at most once.
   template <class Predicate>
   std::optional<MemberId> next_matching(std::size_t& position, const MemberTable& table,
                                         Predicate predicate) const {
--- a/src/cluster/prober.cpp
+++ b/src/cluster/prober.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-constexpr std::size_t kMaxProbes = 16;  // under way; reached only if timers run far too late
-constexpr std::size_t kMaxRelays = 64;  // under way
+constexpr std::size_t kMaxProbes = 16;  // Pending probes; reached only if timers run very late.
+constexpr std::size_t kMaxRelays = 64;  // Pending pings on behalf of other members.
 
 }  // namespace
 
@@ -35,7 +35,7 @@
 
 void Prober::probe_next(const MembershipContext& context) {
   const MemberTable& table = context.table;
-  // A member is passed over only if it does not count as alive, so each of the others is probed once a pass.
+  // Only members that do not count as alive are skipped, so each of the others is probed once per pass.
   const std::size_t attempts = probes_.size() < kMaxProbes ? 2 * order_.members().size() : 0;
   for (std::size_t i = 0; i < attempts; ++i) {
     const MemberId member = order_.next(context.random);
@@ -43,8 +43,8 @@
     start_probe(member, context);
     break;
   }
-  // A member that this one suspects hears of it at once. Its answer refutes the suspicion here, and this
-  // member spreads the refutation.
+  // The ping informs a suspect of the suspicion. Its ack carries the refutation, which this member then
+  // gossips.
   const auto is_own_suspect = [](const MemberRecord& record) {
     return record.state == MemberState::kSuspect && record.suspected_locally;
   };
@@ -60,15 +60,15 @@
     const auto absent = order_.next_matching(join_position_, table, is_absent);
     if (absent) ping(*absent, context);
   }
-  const auto is_unheard = [](const MemberRecord& record) {
+  const auto lacks_ack = [](const MemberRecord& record) {
     return !record.has_acked && record.state != MemberState::kFailed;
   };
   std::optional<MemberId> first;
   for (int i = 0; i < fast_probes; ++i) {
-    const auto unheard = order_.next_matching(fast_probe_position_, table, is_unheard);
-    if (!unheard || unheard == first) break;
-    if (!first) first = unheard;
-    ping(*unheard, context);
+    const auto unacked = order_.next_matching(fast_probe_position_, table, lacks_ack);
+    if (!unacked || unacked == first) break;
+    if (!first) first = unacked;
+    ping(*unacked, context);
   }
 }
 
@@ -91,7 +91,7 @@
 
 void Prober::suspect(const Probe& probe, const MembershipContext& context) {
   MemberRecord& record = context.table[probe.member];
-  // If it was heard of anew in the meantime, the silence was its predecessor's.
+  // If the incarnation has changed in the meantime, the probe was of the member's earlier process.
   if (record.state != MemberState::kAlive || record.incarnation != probe.incarnation) return;
   ++context.metrics.suspicions;
   context.table.set_state(probe.member, MemberState::kSuspect, record.incarnation, context.now);
@@ -143,7 +143,7 @@
     context.outbox.send(relay->requester, Ack{relay->requester_number, from});
     relays_.erase(relay);
   }
-  // Unsigned differences, since the numbers may wrap around.
+  // Compares unsigned differences, since the numbers may wrap around.
   const bool is_valid = ack.number - first_valid_number_ < next_number_ - first_valid_number_;
   if (is_valid) context.table.record_ack(from);
 }
--- a/src/cluster/prober.h
+++ b/src/cluster/prober.h
@@ -1,4 +1,4 @@
-// SWIM's failure detector: pings, indirect pings through other members, and pings on their behalf.
+// SWIM's failure detector: direct pings, indirect pings through other members, and pings on their behalf.
 #pragma once
 
 #include <cstdint>
@@ -11,52 +11,53 @@
 
 namespace rookproxy::cluster {
 
-// Sends each ping under a number of its own and keeps track of those that must be answered.
+// Gives each ping a unique number and tracks the pings that must be acked.
 class Prober {
  public:
   Prober(const MembershipSettings& settings, std::mt19937& random)
       : order_(settings.self, settings.member_count, random) {}
 
-  // Numbers the pings from here on. A random start keeps acks to a predecessor's pings apart from acks to
-  // this process's.
+  // Sets the number of the first ping. It should be random, so that acks to pings of an earlier process are
+  // not taken for acks to pings of this one.
   void start_numbering_at(std::uint32_t first_number);
 
-  // Once per period: probes the next member that counts as alive, and pings one that this member suspects.
+  // Probes the next member that counts as alive, and pings one that this member suspects. Called once per
+  // protocol period.
   void probe_next(const MembershipContext& context);
-  // Once per period, pings that prove nothing if they are not answered: in every second period one to a
-  // member that is unknown or failed, which finds members that have come back; and `fast_probes` to members
-  // that have not acked yet.
+  // Sends pings that raise no suspicion if they are not acked: in every second period one to an unknown or
+  // failed member, which finds members that have returned; and up to `fast_probes` to members that have not
+  // acked yet. Called once per protocol period.
   void send_join_pings(int fast_probes, const MembershipContext& context);
-  // Pings on behalf of `from`.
+  // Pings the target of the request on behalf of `from`.
   void relay(MemberId from, const PingRequest& request, const MembershipContext& context);
   void handle_ack(MemberId from, const Ack& ack, const MembershipContext& context);
-  // Asks other members to ping those that have not answered directly, and suspects those that have not
-  // answered at all.
+  // Requests indirect pings of members that have not acked a direct ping in time, and suspects members that
+  // have not acked by the end of the period.
   void expire(const MembershipContext& context);
 
-  // When expire() has something to do; `latest` if not before then.
+  // When expire() is due, or `latest` if that is earlier.
   [[nodiscard]] Time next_deadline(Time latest) const;
-  // The deadlines were checked late: acks may lie unread.
+  // Extends all deadlines after a delayed check, since acks may be unread in the socket.
   void extend_deadlines(Duration by);
-  // After a stall: forgets everything under way, and acks to earlier pings prove nothing.
+  // Called after a stall. Drops all pending pings; acks to earlier pings no longer count.
   void reset();
 
  private:
-  // A ping that must be answered.
+  // A ping that must be acked.
   struct Probe {
     MemberId member;
     std::uint32_t number;
     Incarnation incarnation;
-    Time ping_deadline;  // then indirect pings are requested
-    Time deadline;       // then the member is suspected
+    Time ping_deadline;  // When indirect pings are requested.
+    Time deadline;       // When the member becomes suspect.
     bool is_indirect = false;
   };
   // A ping on behalf of another member.
   struct Relay {
     MemberId requester;
     MemberId target;
-    std::uint32_t number;            // of this member's ping
-    std::uint32_t requester_number;  // of the request
+    std::uint32_t number;            // The number of this member's ping.
+    std::uint32_t requester_number;  // The number of the request.
     Time deadline;
   };
 
@@ -69,8 +70,8 @@
   std::vector<Probe> probes_;
   std::vector<Relay> relays_;
   std::uint32_t next_number_ = 0;
-  std::uint32_t first_valid_number_ = 0;  // acks to earlier numbers do not count
-  // Positions in the order.
+  std::uint32_t first_valid_number_ = 0;  // Acks to earlier numbers do not count.
+  // Positions in order_ of the last member that was pinged for each purpose.
   std::size_t suspect_position_ = 0;
   std::size_t join_position_ = 0;
   std::size_t fast_probe_position_ = 0;
--- a/src/cluster/proposer.cpp
+++ b/src/cluster/proposer.cpp
@@ -37,7 +37,7 @@
 }
 
 std::optional<Ballot> Proposer::start_round(const ConsensusContext& context) {
-  if (highest_round_ >= kMaxRound) {  // correct members never get there
+  if (highest_round_ >= kMaxRound) {  // Correct members never reach this limit.
     retry_at_ = context.now + context.settings.max_backoff;
     return std::nullopt;
   }
@@ -58,7 +58,7 @@
   ++context.metrics.proposals_failed;
   const ConsensusSettings& settings = context.settings;
   retry_at_ =
-      context.now + backoff_.next_pause(settings.initial_backoff, settings.max_backoff, context.random);
+      context.now + backoff_.next_delay(settings.initial_backoff, settings.max_backoff, context.random);
 }
 
 bool Proposer::record_promise(MemberId from, const std::optional<Ballot>& accepted,
@@ -99,7 +99,7 @@
 }
 
 void Proposer::record_nack(MemberId from, const Ballot& promised, const ConsensusContext& context) {
-  if (!round_ || promised < round_->ballot) return;  // of an earlier round
+  if (!round_ || promised < round_->ballot) return;  // The rejection is of an earlier round.
   observe_round(promised.round);
   if (!round_->rejected[from]) ++context.metrics.nacks_received;
   round_->rejected.set(from);
@@ -110,8 +110,8 @@
 void Proposer::yield_to_higher_ballot(const ConsensusContext& context) {
   if (round_) finish_round(false, context);
   if (!has_work()) return;
-  const Duration pause = context.random.jittered(context.settings.proposal_timeout);
-  retry_at_ = std::max(retry_at_, context.now + pause);
+  const Duration delay = context.random.jittered(context.settings.proposal_timeout);
+  retry_at_ = std::max(retry_at_, context.now + delay);
 }
 
 void Proposer::observe_round(std::uint32_t round) { highest_round_ = std::max(highest_round_, round); }
--- a/src/cluster/rate_limited_outbox.h
+++ b/src/cluster/rate_limited_outbox.h
@@ -1,4 +1,4 @@
-// Collects the messages that one event produces, at most so many a second.
+// Collects the messages that one event produces, limited to a number of messages per second.
 #pragma once
 
 #include <algorithm>
@@ -10,20 +10,20 @@
 
 namespace rookproxy::cluster {
 
-// A token bucket that holds one second's messages and is full at the start.
+// A token bucket with a capacity of one second's messages, initially full.
 class RateLimitedOutbox {
  public:
   RateLimitedOutbox(int messages_per_second, Time now)
       : rate_(messages_per_second), tokens_(messages_per_second), updated_at_(now) {}
 
-  // Call it at each event, before send().
+  // Adds the tokens of the time since the last call. To be called at each event, before send().
   void refill(Time now) {
     const std::chrono::duration<double> passed = std::max(Duration(0), now - updated_at_);
     tokens_ = std::min(rate_, tokens_ + passed.count() * rate_);
     updated_at_ = now;
   }
 
-  // Drops and counts the message if the rate is used up.
+  // Adds the message, or drops and counts it if the rate limit is reached.
   void send(MemberId to, MessageBody body) {
     if (tokens_ < 1) {
       ++dropped_;
@@ -34,7 +34,7 @@
   }
 
   [[nodiscard]] std::uint64_t dropped() const { return dropped_; }
-  // Hands the messages over; the outbox is empty afterwards.
+  // Returns the messages and empties the outbox.
   [[nodiscard]] std::vector<OutgoingMessage> take() { return std::exchange(messages_, {}); }
 
  private:
--- a/src/cluster/runtime/cluster_settings.cpp
+++ b/src/cluster/runtime/cluster_settings.cpp
@@ -22,7 +22,7 @@
   // Short periods need more messages: 32 per period.
   const auto per_second = static_cast<int>(std::chrono::seconds(32) / settings.probe_interval);
   membership.max_messages_per_second = std::max(membership.max_messages_per_second, per_second);
-  if (const auto fault = membership.find_fault()) throw SettingsError("fleet: " + fault->text());
+  if (const auto invalid = membership.validate()) throw SettingsError("fleet: " + invalid->text());
   return membership;
 }
 
--- a/src/cluster/transport/codec.cpp
+++ b/src/cluster/transport/codec.cpp
@@ -75,18 +75,18 @@
       validator_(member_count),
       authenticator_(keys) {}
 
-std::optional<DropReason> Codec::find_fault(const Envelope& envelope) const {
-  if (const auto reason = validator_.find_fault(envelope.sender)) return reason;
-  if (const auto reason = validator_.find_fault(envelope.body)) return reason;
+std::optional<DropReason> Codec::validate(const Envelope& envelope) const {
+  if (const auto reason = validator_.validate(envelope.sender)) return reason;
+  if (const auto reason = validator_.validate(envelope.body)) return reason;
   for (const GossipUpdate& update : envelope.gossip) {
-    if (const auto reason = validator_.find_fault(update)) return reason;
+    if (const auto reason = validator_.validate(update)) return reason;
   }
   return std::nullopt;
 }
 
 std::variant<std::string, DropReason> Codec::encode(const Envelope& envelope,
                                                     std::optional<MemberId> to) const {
-  if (const auto reason = find_fault(envelope)) return *reason;
+  if (const auto reason = validate(envelope)) return *reason;
   FieldWriter writer;
   MessageBody body = envelope.body;
   std::visit(FieldTransfer(writer), body);
@@ -163,7 +163,7 @@
   if (const auto* reason = std::get_if<DropReason>(&gossip)) return *reason;
   envelope.gossip = std::get<std::vector<GossipUpdate>>(std::move(gossip));
 
-  if (const auto reason = find_fault(envelope)) return *reason;
+  if (const auto reason = validate(envelope)) return *reason;
   return envelope;
 }
 
--- a/src/cluster/transport/codec.h
+++ b/src/cluster/transport/codec.h
@@ -49,7 +49,7 @@
  private:
   [[nodiscard]] std::variant<std::string_view, DropReason> authenticate(std::string_view datagram) const;
   [[nodiscard]] std::variant<Envelope, DropReason> read(std::string_view payload) const;
-  [[nodiscard]] std::optional<DropReason> find_fault(const Envelope& envelope) const;
+  [[nodiscard]] std::optional<DropReason> validate(const Envelope& envelope) const;
 
   std::uint32_t cluster_fingerprint_;
   MemberId self_;
--- a/src/cluster/transport/message_validation.h
+++ b/src/cluster/transport/message_validation.h
@@ -14,12 +14,12 @@
  public:
   explicit MessageValidator(std::size_t member_count) : member_count_(member_count) {}
 
-  [[nodiscard]] std::optional<DropReason> find_fault(const MessageBody& body) const {
+  [[nodiscard]] std::optional<DropReason> validate(const MessageBody& body) const {
     return std::visit(*this, body);
   }
-  [[nodiscard]] std::optional<DropReason> find_fault(const GossipUpdate& update) const;
+  [[nodiscard]] std::optional<DropReason> validate(const GossipUpdate& update) const;
   // Of a member that a message refers to.
-  [[nodiscard]] std::optional<DropReason> find_fault(MemberId member) const;
+  [[nodiscard]] std::optional<DropReason> validate(MemberId member) const;
 
   // One for every message, so that a new one does not compile until it is listed here.
   std::optional<DropReason> operator()(const Ping&) const { return std::nullopt; }
--- a/src/cluster/vote_recovery.cpp
+++ b/src/cluster/vote_recovery.cpp
@@ -14,7 +14,7 @@
   query_ = Query{query_number, context.now, {}};
   previous_non_voting_ = std::move(current_non_voting_);
   current_non_voting_.assign(settings.member_count, {});
-  next_query_at_ = context.now + backoff_.next_pause(settings.recovery_query_interval,
+  next_query_at_ = context.now + backoff_.next_delay(settings.recovery_query_interval,
                                                      settings.max_recovery_query_interval, context.random);
 }
 
@@ -25,7 +25,7 @@
     voting_repliers_.set(from);
     highest_reported_epoch_ = std::max(highest_reported_epoch_, reply.highest_voted_epoch);
   } else if (reply.epoch == known_epoch && from < current_non_voting_.size()) {
-    // The first reply of a process: only a second one makes it count.
+    // A process counts as not voting only after its second reply, so the next query follows soon.
     if (!has_reply_of(from, context.sender_incarnation)) restart_backoff(context);
     current_non_voting_[from] = {true, context.sender_incarnation};
   }
@@ -46,15 +46,15 @@
 
 void VoteRecovery::restart_backoff(const ConsensusContext& context) {
   backoff_.reset();
-  const Duration pause = context.random.jittered(context.settings.recovery_query_interval);
-  next_query_at_ = std::min(next_query_at_, context.now + pause);
+  const Duration delay = context.random.jittered(context.settings.recovery_query_interval);
+  next_query_at_ = std::min(next_query_at_, context.now + delay);
 }
 
 void VoteRecovery::detect_quorum_loss(const ConsensusContext& context) {
   const ConsensusSettings& settings = context.settings;
   if (quorum_lost_at_ || previous_non_voting_.empty()) return;
   if (query_->replied.count() + 1 < settings.majority()) return;
-  std::size_t non_voting = 1;  // this member
+  std::size_t non_voting = 1;  // This member.
   for (std::size_t member = 0; member < current_non_voting_.size(); ++member) {
     const NonVotingReply& current = current_non_voting_[member];
     const NonVotingReply& previous = previous_non_voting_[member];
--- a/tests/cluster/codec_test.cpp
+++ b/tests/cluster/codec_test.cpp
@@ -256,7 +256,7 @@
       {Lease{1, Duration(-1), 1}, DropReason::kInvalidTime},
       {Promise{1, {}, Ballot{}, {}}, DropReason::kMalformed},
       {Chosen{{1, 2, {{0, ZoneState(4), 100, 0, {}}}, {}}}, DropReason::kOutOfRange},
-      {Chosen{{1, 2, {{0, ZoneState::kAway, 100, 0, Time(1us)}}, {}}}, DropReason::kInvalidTime},
+      {Chosen{{1, 2, {{0, ZoneState::kUnavailable, 100, 0, Time(1us)}}, {}}}, DropReason::kInvalidTime},
       {Chosen{{1, 2, {{0, {}, 100, 0, Time(1ms)}, {1, {}, 100, 0, Time(std::chrono::years(20))}}, {}}},
        DropReason::kInvalidTime},
       {Chosen{{1, 2, std::vector<ZonePlan>(9), {}}}, DropReason::kTooManyEntries},
--- a/tests/cluster/membership_test.cpp
+++ b/tests/cluster/membership_test.cpp
@@ -387,15 +387,15 @@
       {"max_messages_per_second", [](MembershipSettings& settings) { settings.max_messages_per_second = 1; }},
       {"fast_probe_count", [](MembershipSettings& settings) { settings.fast_probe_count = 17; }},
   };
-  CHECK_FALSE(make_settings(0, 4).find_fault());
+  CHECK_FALSE(make_settings(0, 4).validate());
   for (const Case& each : cases) {
     CAPTURE(each.setting);
     MembershipSettings settings = make_settings(0, 4);
     each.spoil(settings);
-    const auto fault = settings.find_fault();
-    REQUIRE(fault);
-    CHECK(fault->setting == each.setting);
-    CHECK(fault->advice.rfind("set ", 0) == 0);
+    const auto invalid = settings.validate();
+    REQUIRE(invalid);
+    CHECK(invalid->setting == each.setting);
+    CHECK(invalid->advice.rfind("set ", 0) == 0);
     CHECK_THROWS_AS(Membership(settings, 1, 1, Time{}), std::invalid_argument);
   }
 }
--- a/tests/model/consensus_state_encoder.h
+++ b/tests/model/consensus_state_encoder.h
@@ -150,7 +150,7 @@
   put_remaining(consensus_.next_catch_up_at_);
   put(renewal.rank_);
   put(renewal.alive_count_);
-  put_remaining(renewal.base_ + renewal.rank_delay(settings));
+  put_remaining(renewal.rank_zero_due_ + renewal.rank_delay(settings));
   put_remaining(lease.lease_expires_at_);
   put_remaining(lease.quorum_expires_at_);
   put(std::uint64_t{lease.is_expiry_counted_});
