--- a/src/cluster/transport/byte_rate_limiter.h
+++ b/src/cluster/transport/byte_rate_limiter.h
@@ -1,4 +1,4 @@
-// Limits the bytes that a member sends to its peers.
+// Limits the bytes per second that a member sends to its peers.
 #pragma once
 
 #include <algorithm>
@@ -9,20 +9,20 @@
 
 namespace rookproxy::cluster::transport {
 
-// A token bucket that holds one second's bytes and is full at the start. A quarter is reserved for urgent
-// messages.
+// A token bucket with a capacity of one second's bytes, initially full. A quarter of it is reserved for
+// urgent messages.
 class ByteRateLimiter {
  public:
   explicit ByteRateLimiter(std::uint32_t bytes_per_second)
       : rate_(bytes_per_second), tokens_(bytes_per_second) {}
 
-  // Whether a message of that size may be sent now.
+  // Whether a message of this size may be sent now.
   [[nodiscard]] bool allows(std::size_t bytes, bool is_urgent, Time now) {
     refill(now);
     const double reserve = is_urgent ? 0 : rate_ / 4;
     return tokens_ - static_cast<double>(bytes) >= reserve;
   }
-  // A message of that size is being sent.
+  // Takes the tokens of a message that is being sent.
   void consume(std::size_t bytes) { tokens_ -= static_cast<double>(bytes); }
 
  private:
--- a/src/cluster/transport/codec.cpp
+++ b/src/cluster/transport/codec.cpp
@@ -18,17 +18,17 @@
 constexpr unsigned kBroadcastFlag = 0x40;
 constexpr unsigned kAuthenticatedFlag = 0x80;
 
-// A gossip update in CBOR at its largest: a member, an incarnation and a state.
+// The largest size of a gossip update in CBOR: a member, an incarnation and a state.
 constexpr std::size_t kMaxGossipUpdateBytes = 3 + 9 + 1;
 constexpr std::size_t kGossipUpdateFields = 3;
 
-// The receiver as two bytes that are authenticated but not sent, since both sides know them.
+// Encodes the receiver as two bytes, which are authenticated but not sent, since both sides know them.
 std::string receiver_prefix(std::optional<MemberId> to) {
   const unsigned member = to.value_or(std::numeric_limits<MemberId>::max());
   return {static_cast<char>(member >> 8), static_cast<char>(member)};
 }
 
-// A message of the type whose position in MessageBody is `type`; nothing if there is none.
+// Returns a message of the type at position `type` in MessageBody; nothing if there is none.
 template <std::size_t Type = 0>
 std::optional<MessageBody> empty_message(std::uint64_t type) {
   if constexpr (Type == std::variant_size_v<MessageBody>) {
@@ -107,12 +107,12 @@
   if (const auto* reason = std::get_if<DropReason>(&payload)) return *reason;
   try {
     return read(std::get<std::string_view>(payload));
-  } catch (const json::exception&) {  // an array that claims more elements than memory can hold
+  } catch (const json::exception&) {  // An array declares more elements than memory can hold.
     return DropReason::kUnreadable;
   }
 }
 
-// Returns the CBOR between the first byte and the authentication code.
+// Checks the first byte and the authentication code, and returns the CBOR between them.
 std::variant<std::string_view, DropReason> Codec::authenticate(std::string_view datagram) const {
   if (datagram.empty()) return DropReason::kEmpty;
   if (datagram.size() > kMaxDatagramBytes) return DropReason::kTooLong;
@@ -172,7 +172,7 @@
   const auto encoded = encode(envelope, std::nullopt);
   const auto* datagram = std::get_if<std::string>(&encoded);
   if (datagram == nullptr) return 0;
-  // An array of more than 23 elements has a head that is one byte longer.
+  // The CBOR head of an array of more than 23 elements is one byte longer.
   const std::size_t used = std::min(kMaxDatagramBytes, datagram->size() + 1);
   return (kMaxDatagramBytes - used) / kMaxGossipUpdateBytes;
 }
--- a/src/cluster/transport/codec.h
+++ b/src/cluster/transport/codec.h
@@ -1,4 +1,4 @@
-// Messages between dispatchers as datagrams, and back. docs/peers.md has the layout and its sizes.
+// Encodes and decodes the datagrams between dispatchers. docs/peers.md has the layout and its sizes.
 #pragma once
 
 #include <cstddef>
@@ -16,34 +16,38 @@
 
 namespace rookproxy::cluster::transport {
 
-// The platform's limit for a datagram between dispatchers.
+// The maximum size of a datagram between dispatchers.
 inline constexpr std::size_t kMaxDatagramBytes = 256;
 
-// A message with all that a datagram carries beside it.
+// A message together with everything else that a datagram carries.
 struct Envelope {
   MemberId sender = 0;
   Incarnation incarnation = 0;
-  std::uint64_t sequence = 0;  // of the sender's process, one more for each datagram
+  std::uint64_t sequence = 0;  // Increases by one with each datagram of the sender's process.
   MessageBody body;
   std::vector<GossipUpdate> gossip;
   bool operator==(const Envelope&) const = default;
 };
 
-// Encodes and decodes the datagrams of one member. Never throws on what it is given to decode.
+// Encodes and decodes the datagrams of one member. Decoding does not throw, whatever the input.
 class Codec {
  public:
-  // `cluster_fingerprint`: of the list of members, since a member is identified by its position in it.
-  // `self`: this member's position, out of `member_count`. `keys`: see MessageAuthenticator, which throws.
+  // `cluster_fingerprint`: identifies the list of members, in which a member's position is its id. `self`:
+  // this member's position, less than `member_count`. `keys`: see MessageAuthenticator, whose exceptions pass
+  // through.
   Codec(std::uint32_t cluster_fingerprint, MemberId self, std::size_t member_count,
         const std::vector<std::string>& keys);
 
-  // At most kMaxDatagramBytes, or why the envelope can't be encoded. `to`: nothing for all members. The
-  // receiver is authenticated, so that a datagram for one member can't be replayed to another.
+  // Returns a datagram of at most kMaxDatagramBytes, or the reason why the envelope can't be encoded. `to`:
+  // the receiver; nothing for a broadcast. The receiver is authenticated, so that a datagram for one member
+  // can't be replayed to another.
   [[nodiscard]] std::variant<std::string, DropReason> encode(const Envelope& envelope,
                                                              std::optional<MemberId> to) const;
-  // Where a key is set, interprets nothing that is not authenticated.
+  // Returns the envelope, or the reason why the datagram is dropped. If a key is configured, only
+  // authenticated bytes are parsed.
   [[nodiscard]] std::variant<Envelope, DropReason> decode(std::string_view datagram) const;
-  // How many updates of any content fit beside the envelope's body; those that it has are ignored.
+  // The number of gossip updates that fit into a datagram with the envelope's body. The envelope's own
+  // updates are ignored.
   [[nodiscard]] std::size_t gossip_capacity(Envelope envelope) const;
 
  private:
--- a/src/cluster/transport/message_authenticator.cpp
+++ b/src/cluster/transport/message_authenticator.cpp
@@ -24,8 +24,8 @@
 
 std::string errno_text() { return std::strerror(errno); }
 
-// Without one line end behind it.
-std::string without_line_end(std::string text) {
+// Removes one newline, LF or CR LF, from the end.
+std::string without_trailing_newline(std::string text) {
   if (text.ends_with('\n')) text.pop_back();
   if (text.ends_with('\r')) text.pop_back();
   return text;
@@ -35,28 +35,29 @@
 
 std::string read_peer_key(const std::string& path) {
   const auto error = [&path](const std::string& problem, const std::string& remedy) {
-    return KeyError("the peers' key (" + path + "): " + problem + "; " + remedy);
+    return KeyError("peer key file (" + path + "): " + problem + "; " + remedy);
   };
   const std::string new_key =
-      "`(umask 077 && openssl rand -hex 32 > " + path + ")` makes one, the same for all dispatchers";
+      "create one for all dispatchers with `(umask 077 && openssl rand -hex 32 > " + path + ")`";
   const FileDescriptor file(::open(path.c_str(), O_RDONLY | O_CLOEXEC | O_NONBLOCK));
   if (!file) throw error("can't be read: " + errno_text(), new_key);
   struct stat status {};
-  if (::fstat(file.get(), &status) != 0 || !S_ISREG(status.st_mode)) throw error("not a file", new_key);
+  if (::fstat(file.get(), &status) != 0 || !S_ISREG(status.st_mode))
+    throw error("not a regular file", new_key);
   if ((status.st_mode & S_IRWXO) != 0) {
     throw error(
-        "others than its owner and group may use it",
-        "`chmod o= " + path + "` ends that, and if anybody else is on this machine, a new key is due");
+        "accessible to users other than its owner and group",
+        "run `chmod o= " + path + "`, and replace the key if other users have had access to this machine");
   }
   constexpr std::size_t kLineEndBytes = 2;
-  std::string text(kMaxKeyBytes + kLineEndBytes + 1, '\0');  // one more, to see that the file is too long
+  std::string text(kMaxKeyBytes + kLineEndBytes + 1, '\0');  // One more byte, to detect a longer file.
   const ssize_t count = ::read(file.get(), text.data(), text.size());
   if (count < 0) throw error("can't be read: " + errno_text(), new_key);
   text.resize(static_cast<std::size_t>(count));
-  std::string key = without_line_end(std::move(text));
+  std::string key = without_trailing_newline(std::move(text));
   if (key.size() < kMinKeyBytes) {
     throw error(
-        std::to_string(key.size()) + " bytes, at least " + std::to_string(kMinKeyBytes) + " are needed",
+        std::to_string(key.size()) + " bytes, at least " + std::to_string(kMinKeyBytes) + " are required",
         new_key);
   }
   if (key.size() > kMaxKeyBytes) throw error("over " + std::to_string(kMaxKeyBytes) + " bytes", new_key);
@@ -78,11 +79,11 @@
   };
   for (const std::string& key : keys) {
     if (key.size() < kMinKeyBytes) {
-      throw KeyError("a peers' key under " + std::to_string(kMinKeyBytes) + " bytes");
+      throw KeyError("a peer key has fewer than " + std::to_string(kMinKeyBytes) + " bytes");
     }
     Context context(hmac ? EVP_MAC_CTX_new(hmac.get()) : nullptr);
     if (!context || EVP_MAC_init(context.get(), to_bytes(key), key.size(), parameters) != 1) {
-      throw KeyError("libcrypto offers no HMAC with SHA-256, which the peers' key needs");
+      throw KeyError("libcrypto does not provide HMAC with SHA-256, which a peer key requires");
     }
     contexts_.push_back(std::move(context));
   }
@@ -93,12 +94,12 @@
   unsigned char out[EVP_MAX_MD_SIZE];
   std::size_t size = 0;
   EVP_MAC_CTX* context = contexts_[key].get();
-  // EVP_MAC_init without a key restarts with the one that the context has.
+  // EVP_MAC_init without a key restarts the context with its existing key.
   const bool is_computed = EVP_MAC_init(context, nullptr, 0, nullptr) == 1 &&
                            EVP_MAC_update(context, to_bytes(prefix), prefix.size()) == 1 &&
                            EVP_MAC_update(context, to_bytes(text), text.size()) == 1 &&
                            EVP_MAC_final(context, out, &size, sizeof out) == 1;
-  if (!is_computed || size < kMacBytes) return "";  // equal to no code
+  if (!is_computed || size < kMacBytes) return "";  // Equals no authentication code.
   return {reinterpret_cast<const char*>(out), kMacBytes};
 }
 
--- a/src/cluster/transport/message_fields.h
+++ b/src/cluster/transport/message_fields.h
@@ -1,4 +1,4 @@
-// The fields of each message in their order on the wire: one description for writing and for reading.
+// The fields of each message in their order on the wire, described once for both writing and reading.
 #pragma once
 
 #include <cstddef>
@@ -16,7 +16,7 @@
 
 namespace rookproxy::cluster::transport {
 
-// Keeps the first of several failures.
+// Records the first of several failures.
 class FirstFailure {
  public:
   [[nodiscard]] const std::optional<DropReason>& failure() const { return failure_; }
@@ -28,7 +28,7 @@
   std::optional<DropReason> failure_;
 };
 
-// Appends fields to an array. Its interface is FieldReader's.
+// Appends fields to an array. Has the same interface as FieldReader.
 class FieldWriter : public FirstFailure {
  public:
   static constexpr bool kIsReader = false;
@@ -38,7 +38,7 @@
     fields_.push_back(static_cast<std::uint64_t>(value));
   }
   void list(const std::vector<std::uint64_t>& values) { fields_.push_back(values); }
-  // Whether the optional fields follow.
+  // Whether optional fields are to be written.
   [[nodiscard]] static bool has_more(bool is_present) { return is_present; }
   nlohmann::json take() { return std::move(fields_); }
 
@@ -46,14 +46,14 @@
   nlohmann::json fields_ = nlohmann::json::array();
 };
 
-// Reads fields from an array, which must outlive it. After a failure, what is read is meaningless.
+// Reads fields from an array, which must outlive the reader. Values read after a failure are meaningless.
 class FieldReader : public FirstFailure {
  public:
   static constexpr bool kIsReader = true;
 
   explicit FieldReader(const nlohmann::json& fields) : fields_(fields) {}
 
-  // Fails unless the next field is an unsigned number that its type can hold.
+  // Reads an unsigned number. Fails if the field is not one, or if it is out of the range of its type.
   template <class Number>
   void number(Number& value) {
     const std::uint64_t read = to_number(next());
@@ -68,14 +68,14 @@
     }
     for (const nlohmann::json& element : elements) values.push_back(to_number(element));
   }
-  // The next field; null if there is none, which is a failure.
+  // Returns the next field. Fails and returns null if there is none.
   const nlohmann::json& next() {
     static const nlohmann::json kNull;
     if (has_more(false)) return fields_[position_++];
     fail(DropReason::kMalformed);
     return kNull;
   }
-  // Whether there are more fields; the parameter is FieldWriter's.
+  // Whether there are more fields. The parameter is used by FieldWriter only.
   [[nodiscard]] bool has_more(bool) const { return position_ < fields_.size(); }
   // Fails if there are more fields.
   void expect_end() {
@@ -101,8 +101,8 @@
   std::size_t position_ = 0;
 };
 
-// Passes the fields of a message through a FieldWriter or a FieldReader. The messages are taken apart by
-// structured bindings: one that gets another field does not compile until the field is listed here.
+// Passes the fields of a message through a FieldWriter or a FieldReader. The structured bindings ensure that
+// a message with an additional field does not compile until the field is listed here.
 template <class Io>  // FieldWriter or FieldReader
 class FieldTransfer {
  public:
--- a/src/cluster/transport/message_validation.h
+++ b/src/cluster/transport/message_validation.h
@@ -1,4 +1,4 @@
-// Which well-formed messages make sense in a cluster of a given size.
+// Semantic validation of well-formed messages in a cluster of a given size.
 #pragma once
 
 #include <cstddef>
@@ -9,7 +9,8 @@
 
 namespace rookproxy::cluster::transport {
 
-// Why a message cannot be meant: it refers to members that are not configured, or to a plan that cannot be.
+// Rejects messages that refer to members that are not configured, or that contain an invalid plan. Returns
+// the reason, or nothing if the message is valid.
 class MessageValidator {
  public:
   explicit MessageValidator(std::size_t member_count) : member_count_(member_count) {}
@@ -18,10 +19,10 @@
     return std::visit(*this, body);
   }
   [[nodiscard]] std::optional<DropReason> validate(const GossipUpdate& update) const;
-  // Of a member that a message refers to.
+  // Checks a member that a message refers to.
   [[nodiscard]] std::optional<DropReason> validate(MemberId member) const;
 
-  // One for every message, so that a new one does not compile until it is listed here.
+  // One overload per message type, so that a new type does not compile until it is listed here.
   std::optional<DropReason> operator()(const Ping&) const { return std::nullopt; }
   std::optional<DropReason> operator()(const PingRequest& message) const;
   std::optional<DropReason> operator()(const Ack& message) const;
--- a/src/cluster/transport/peer_socket.cpp
+++ b/src/cluster/transport/peer_socket.cpp
@@ -14,30 +14,30 @@
 namespace rookproxy::cluster::transport {
 namespace {
 
-// Read in one iteration of the loop, so that a flood can't starve the clients.
+// The maximum number of datagrams read per iteration of the event loop, so that a flood can't starve clients.
 constexpr int kMaxDatagramsPerIteration = 64;
 constexpr Duration kBindRetryInterval = std::chrono::milliseconds(100);
-// The limit of bytes a second must allow for a few messages.
+// The lowest limit of bytes per second, which allows for a few messages.
 constexpr std::size_t kMinBytesPerSecond = 4 * kMaxDatagramBytes;
 
 TransportSettings validated(TransportSettings settings) {
   const auto& members = settings.members;
-  if (members.empty()) throw SettingsError("peers: empty, though peer_listen is set");
+  if (members.empty()) throw SettingsError("peers: the list is empty, but peer_listen is set");
   if (members.size() > kMaxMembers) {
-    throw SettingsError("peers: " + std::to_string(members.size()) + " of them, at most " +
-                        std::to_string(kMaxMembers) + " are taken");
+    throw SettingsError("peers: " + std::to_string(members.size()) + " members, at most " +
+                        std::to_string(kMaxMembers) + " are allowed");
   }
   if (settings.self >= members.size()) {
-    throw SettingsError("peers: this dispatcher's own address is not among them");
+    throw SettingsError("peers: the list does not contain this dispatcher's address");
   }
   if (settings.bytes_per_second < kMinBytesPerSecond) {
-    throw SettingsError("the peers' bytes a second: " + std::to_string(settings.bytes_per_second) +
-                        ", too few for one message; at least " + std::to_string(kMinBytesPerSecond));
+    throw SettingsError("fleet: bytes_per_second: " + std::to_string(settings.bytes_per_second) +
+                        " is too low for one message, the minimum is " + std::to_string(kMinBytesPerSecond));
   }
   return settings;
 }
 
-// Consensus goes before probes, which are repeated anyway.
+// Consensus messages take precedence over probes, which are repeated periodically.
 bool is_urgent(const MessageBody& body) { return !is_membership_message(body); }
 
 DropReason drop_reason_of(ReplayWindow::Result result) {
@@ -78,7 +78,7 @@
   for (std::size_t i = 0; i < settings_.members.size(); ++i) {
     const SocketAddress& address = settings_.members[i];
     const bool is_new = member_by_address_.emplace(address, static_cast<MemberId>(i)).second;
-    if (!is_new) throw SettingsError("peers: " + address.to_string() + " is there twice");
+    if (!is_new) throw SettingsError("peers: " + address.to_string() + " is listed twice");
   }
   open();
 }
@@ -124,7 +124,7 @@
 
 void PeerSocket::on_ready(std::uint32_t events) {
   if ((events & (EPOLLIN | EPOLLERR)) == 0) return;
-  char buffer[kMaxDatagramBytes + 1];  // one byte more, to recognise longer datagrams
+  char buffer[kMaxDatagramBytes + 1];  // One more byte, to detect longer datagrams.
   for (int remaining = kMaxDatagramsPerIteration; socket_; --remaining) {
     if (remaining == 0) {
       loop_.requeue(watch_key_, EPOLLIN);
@@ -135,7 +135,7 @@
     const ssize_t size =
         ::recvfrom(socket_.get(), buffer, sizeof buffer, 0, reinterpret_cast<sockaddr*>(&from), &from_size);
     if (size < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) return;
-    if (size < 0) continue;  // an error of an earlier datagram, or a signal
+    if (size < 0) continue;  // An error of an earlier datagram, or an interruption by a signal.
     ++metrics_.received;
     metrics_.received_bytes += static_cast<std::size_t>(size);
     const std::string_view datagram(buffer, static_cast<std::size_t>(size));
@@ -181,7 +181,7 @@
 
 std::vector<GossipUpdate> PeerSocket::gossip_for(std::optional<MemberId> to, const Envelope& envelope) const {
   if (!gossip_source_ || !to) return {};
-  // No capacity: the datagram is full, or the body can't be encoded; in that case encode() says why.
+  // Without capacity, the datagram is full or the body can't be encoded; encode() then returns the reason.
   const std::size_t capacity = codec_.gossip_capacity(envelope);
   if (capacity == 0) return {};
   std::vector<GossipUpdate> gossip = gossip_source_(*to, capacity);
@@ -192,9 +192,10 @@
 std::optional<DropReason> PeerSocket::send_to(const SocketAddress& address, std::optional<MemberId> to,
                                               const MessageBody& body) {
   if (!socket_) return count_drop(DropReason::kSocketClosed);
-  // Checked for the largest datagram and before the gossip is fetched, since its source counts transmissions.
+  // Checks the limit for the largest datagram before gossip is fetched, since the source counts
+  // transmissions.
   if (!rate_limiter_.allows(kMaxDatagramBytes, is_urgent(body), loop_.now())) {
-    return count_drop(DropReason::kOverBudget);
+    return count_drop(DropReason::kRateLimited);
   }
   Envelope envelope{settings_.self, incarnation_, ++sequence_, body, {}};
   envelope.gossip = gossip_for(to, envelope);
--- a/src/cluster/transport/peer_socket.h
+++ b/src/cluster/transport/peer_socket.h
@@ -1,5 +1,5 @@
-// The socket through which dispatchers exchange datagrams. It delivers only what is complete, authenticated,
-// new and from a peer.
+// The UDP socket through which dispatchers exchange datagrams. It delivers only datagrams that are
+// well-formed, authenticated, from a configured peer and not replayed.
 #pragma once
 
 #include <array>
@@ -23,15 +23,15 @@
 
 namespace rookproxy::cluster::transport {
 
-// The addresses, keys and limits of one member.
+// The addresses, keys and limits of one member's transport.
 struct TransportSettings {
-  SocketAddress listen_address;        // port 0: the kernel chooses, for tests
-  std::vector<SocketAddress> members;  // all, this one included; the position in this list is a MemberId
+  SocketAddress listen_address;        // With port 0 (in tests), the kernel chooses the port.
+  std::vector<SocketAddress> members;  // All members with this one; the position in the list is the MemberId.
   MemberId self = 0;
-  std::optional<SocketAddress> broadcast_address;  // reaches every member; without it each is sent its own
-  std::vector<std::string> keys;                   // see MessageAuthenticator; none: no authentication
-  std::uint32_t bytes_per_second = 64 * 1024;      // sent, without the headers of IP and UDP
-  // How far a peer's clock may be ahead of this one's when its process starts.
+  std::optional<SocketAddress> broadcast_address;  // Reaches every member. Unset: one datagram per member.
+  std::vector<std::string> keys;                   // See MessageAuthenticator.
+  std::uint32_t bytes_per_second = 64 * 1024;      // The limit for sending, without IP and UDP headers.
+  // The maximum time by which a peer's clock may be ahead of this one's when its process starts.
   Duration max_clock_skew = std::chrono::minutes(10);
 };
 
@@ -42,52 +42,52 @@
   std::uint64_t received = 0;
   std::uint64_t received_bytes = 0;
   std::uint64_t delivered = 0;
-  std::array<std::uint64_t, kDropReasonCount> dropped_by_reason{};  // received or to be sent
+  std::array<std::uint64_t, kDropReasonCount> dropped_by_reason{};  // Incoming and outgoing datagrams.
 
   [[nodiscard]] std::uint64_t count(DropReason reason) const {
     return dropped_by_reason[static_cast<std::size_t>(reason)];
   }
 };
 
-// Of the list of members in its order. Dispatchers with another list number the members otherwise, and are
-// not understood.
+// Identifies the list of members, including its order. Datagrams of dispatchers with a different list are
+// dropped, since the same MemberId may mean another member there.
 std::uint32_t member_list_fingerprint(const std::vector<SocketAddress>& members);
 
-// Belongs to the thread of its event loop, which must outlive it.
+// Must be used only in the thread of its event loop, which must outlive it.
 class PeerSocket final : private EventHandler {
  public:
-  // Called for each new envelope. Must not destroy the socket: defer that.
+  // Called for each new envelope. Must not destroy the socket.
   using MessageHandler = std::function<void(const Envelope&)>;
-  // Returns at most `limit` updates for the message to that member, the most urgent first. Called only when
-  // the message is about to be sent, since the source counts each transmission.
+  // Returns at most `limit` updates for a message to that member, the most urgent first. Called only when the
+  // message is about to be sent, since the source counts transmissions.
   using GossipSource = std::function<std::vector<GossipUpdate>(MemberId to, std::size_t limit)>;
 
-  // Opens the socket. `incarnation`: of this process. Throws SettingsError on an empty or too long list of
-  // members, one that has an address twice, or a position that is not in it.
+  // Opens the socket. `incarnation`: this process's. Throws SettingsError if the list of members is empty,
+  // too long, contains an address twice or does not contain the position `self`, or if bytes_per_second is
+  // too low.
   PeerSocket(EventLoop& loop, TransportSettings settings, Incarnation incarnation, MessageHandler on_message,
              GossipSource gossip_source = nullptr);
   ~PeerSocket();
   PeerSocket(const PeerSocket&) = delete;
   PeerSocket& operator=(const PeerSocket&) = delete;
 
-  // Binds, and tries again every 100 ms while the port is taken: during an upgrade, the predecessor has it
-  // until it closes its socket or ends.
+  // Binds the socket, and retries every 100 ms while that fails: during an upgrade, the predecessor holds the
+  // port until it closes its socket or ends.
   void open();
   void close();
   [[nodiscard]] bool is_open() const { return static_cast<bool>(socket_); }
-  // The errno of the last attempt to open; 0: it succeeded.
+  // The errno of the last attempt to open the socket; 0 if it succeeded.
   [[nodiscard]] int open_errno() const { return open_errno_; }
-  // The address that is bound; its port is meaningless while the socket is closed.
+  // The bound address. Its port is meaningless while the socket is closed.
   [[nodiscard]] SocketAddress local() const { return {settings_.listen_address.ip, local_port(socket_)}; }
 
-  // Sends one datagram, once. Returns why it was not sent, which is counted.
+  // Sends one datagram without retransmission. If it can't be sent, counts and returns the reason.
   std::optional<DropReason> send(MemberId to, const MessageBody& body);
-  // To all other members. Returns the last reason why one was not sent. A datagram for all carries no gossip:
-  // what is known against a member is meant for that member alone, and one datagram must not count as a
-  // transmission to each.
+  // Sends to all other members. Returns the reason of the last failure, if any. A broadcast datagram carries
+  // no gossip, since gossip is selected for one receiver and its transmissions are counted per receiver.
   std::optional<DropReason> send_all(const MessageBody& body);
 
-  // Keys are replaced in two steps, so that what may fail comes first. make_codec() throws KeyError.
+  // Replacing keys takes two steps, of which only the first can fail: make_codec() throws KeyError.
   [[nodiscard]] Codec make_codec(const std::vector<std::string>& keys) const;
   void set_codec(Codec codec) { codec_ = std::move(codec); }
   void set_keys(const std::vector<std::string>& keys) { set_codec(make_codec(keys)); }
@@ -107,7 +107,7 @@
   EventLoop& loop_;
   TransportSettings settings_;
   Incarnation incarnation_;
-  std::uint64_t sequence_ = 0;  // continues when the incarnation changes
+  std::uint64_t sequence_ = 0;  // Not reset when the incarnation changes.
   Codec codec_;
   ReplayWindow replay_window_;
   ByteRateLimiter rate_limiter_;
--- a/src/cluster/transport/plan_packing.cpp
+++ b/src/cluster/transport/plan_packing.cpp
@@ -10,20 +10,20 @@
 
 using std::chrono::milliseconds;
 
-constexpr unsigned kTimeBits = 39;  // 17 years of milliseconds
+constexpr unsigned kTimeBits = 39;  // 17 years in milliseconds.
 constexpr std::uint64_t kMaxTimeOffset = (std::uint64_t{1} << kTimeBits) - 1;
-constexpr std::uint64_t kMaxBaseTime = std::uint64_t{1} << 43;  // the year 2248
+constexpr std::uint64_t kMaxBaseTime = std::uint64_t{1} << 43;  // Milliseconds; the year 2248.
 constexpr std::uint64_t kNoTime = std::numeric_limits<std::uint64_t>::max();
 
-// Layout of a zone's number, from the lowest bit: state, share, step, zone, time. The time has the highest
-// bits, so that young plans, and times that are not set, make small numbers.
+// The layout of a zone's number, from the lowest bit: state, share, step, zone, time. The time has the
+// highest bits, so that small time offsets result in small numbers.
 constexpr unsigned kZoneShareShift = 2;
 constexpr unsigned kZoneStepShift = 9;
 constexpr unsigned kZoneIdShift = 17;
 constexpr unsigned kZoneTimeShift = 25;
 constexpr std::uint64_t kZoneStateMask = 0x3;
 
-// Layout of a retirement's first number: state, weight, site, time.
+// The layout of a retirement's first number, from the lowest bit: state, weight, site, time.
 constexpr unsigned kRetirementWeightShift = 3;
 constexpr unsigned kRetirementSiteShift = 10;
 constexpr unsigned kRetirementTimeShift = 18;
@@ -31,7 +31,7 @@
 
 constexpr std::uint64_t kPercentMask = 0x7f;
 
-// In Unix milliseconds; nothing if the time is not a whole, representable number of them.
+// Converts a time to Unix milliseconds; nothing if it is not a whole number of them or is out of range.
 std::optional<std::uint64_t> to_milliseconds(Time time) {
   const auto micros = time.time_since_epoch().count();
   if (micros < 0 || micros % 1000 != 0) return std::nullopt;
@@ -47,7 +47,7 @@
   return times;
 }
 
-// The earliest time that is set, in Unix milliseconds; 0 if there is none.
+// The earliest time that is set, in Unix milliseconds; 0 if no time is set, nothing if a time is invalid.
 std::optional<std::uint64_t> earliest_time(const ClusterConfig& plan) {
   std::uint64_t earliest = kNoTime;
   for (const Time time : times_of(plan)) {
@@ -83,7 +83,7 @@
          static_cast<std::uint64_t>(retirement.state);
 }
 
-// Nothing if the offset is too large.
+// Converts an offset to a time; nothing if the offset is too large.
 std::optional<Time> to_time(std::uint64_t offset, std::uint64_t base_time) {
   if (offset > kMaxTimeOffset) return std::nullopt;
   if (offset == 0) return Time{};
--- a/tests/cluster/peer_socket_test.cpp
+++ b/tests/cluster/peer_socket_test.cpp
@@ -130,8 +130,8 @@
   while (!socket.send(1, RecoveryQuery{1, 1})) ++queries;
   CHECK(probes == 7);  // about 210 bytes each; 256 and a quarter of 2,048 must be left before each
   CHECK(queries == 2);
-  CHECK(socket.send(1, Ping{1}) == DropReason::kOverBudget);
-  CHECK(socket.metrics().count(DropReason::kOverBudget) == 3);
+  CHECK(socket.send(1, Ping{1}) == DropReason::kRateLimited);
+  CHECK(socket.metrics().count(DropReason::kRateLimited) == 3);
   CHECK(socket.metrics().sent == 9);
   CHECK(socket.metrics().sent_bytes <= 2048);
   CHECK(socket.send(0, Ping{1}) == DropReason::kOwnMessage);
