--- a/src/cluster/runtime/cluster.cpp
+++ b/src/cluster/runtime/cluster.cpp
@@ -12,8 +12,7 @@
 namespace rookproxy {
 namespace {
 
-// A due time that has passed is handled in the next iteration of the loop, but never sooner than this: one
-// that stays in the past must not keep a core busy.
+// The minimum delay of the timer, so that a due time that stays in the past does not cause a busy loop.
 constexpr Duration kMinTimerDelay = std::chrono::milliseconds(1);
 
 constexpr std::array<std::string_view, 3> kQuorumStateNames = {"no_quorum", "lease_expired", "lease_held"};
@@ -28,8 +27,8 @@
   return static_cast<cluster::Incarnation>(now.time_since_epoch().count());
 }
 
-// Differs between members and between processes, though operators give many processes the same seed: the
-// query numbers of a process must not be those of its predecessor.
+// Derives a seed that differs between members and between processes, even if all are configured with the same
+// seed: a process must not use the query numbers of its predecessor.
 std::uint64_t derive_seed(std::uint64_t seed, cluster::MemberId self, cluster::Incarnation incarnation) {
   const std::uint64_t parts[] = {seed, self, incarnation};
   return XXH3_64bits(parts, sizeof parts);
@@ -76,7 +75,8 @@
 
 // ---- Events -----------------------------------------------------------------------------------------------
 
-// Every message shows Membership that its sender is alive; what is not Membership's own is for Consensus.
+// Every message proves to Membership that its sender is alive. Messages that are not Membership's are handled
+// by Consensus.
 void Cluster::on_message(const cluster::transport::Envelope& envelope) {
   if (has_left_) return;
   const Time now = loop_.now();
@@ -119,9 +119,9 @@
   for (const cluster::OutgoingMessage& message : messages) socket_.send(message.to, message.body);
 }
 
-// Another list of zones gives the plan's numbers another meaning: the new plan has no entries, and a majority
-// must choose it. Of two dispatchers with different lists each has its plan in force once, and the later
-// one's stays: the first stops proposing as soon as it has seen its own in force.
+// Proposes an empty plan with the fingerprint of the configured zones, since the numbers in the plan have
+// another meaning under a different list of zones. If two dispatchers with different lists propose, the later
+// plan stays in force: a dispatcher stops proposing once it has seen its own plan in force.
 void Cluster::propose_zones() {
   if (!zone_proposal_deadline_) return;
   if (is_plan_readable()) {
@@ -131,7 +131,8 @@
   const Time now = loop_.now();
   if (now >= *zone_proposal_deadline_) {
     zone_proposal_deadline_.reset();
-    log_.write(LogLevel::kWarning, "cluster", "no majority took our zones; send SIGHUP once it is there",
+    log_.write(LogLevel::kWarning, "cluster",
+               "no majority accepted the configured zones in time; send SIGHUP once a majority is reachable",
                {{"localities", join_names(settings_.zones)}});
     return;
   }
@@ -167,15 +168,16 @@
     log_.write(LogLevel::kNotice, "cluster", "plan in force", {{"epoch", std::to_string(logged_epoch_)}});
     return;
   }
-  log_.write(LogLevel::kWarning, "cluster",
-             "a plan of other zones than ours is in force: set the same localities everywhere, then SIGHUP",
-             {{"epoch", std::to_string(logged_epoch_)}, {"localities", join_names(settings_.zones)}});
+  log_.write(
+      LogLevel::kWarning, "cluster",
+      "the plan in force has other zones: set the same localities on all dispatchers, then send SIGHUP",
+      {{"epoch", std::to_string(logged_epoch_)}, {"localities", join_names(settings_.zones)}});
 }
 
 void Cluster::log_socket_state() {
   const bool is_closed = !socket_.is_open();
   if (is_closed && !logged_closed_ && !has_left_) {
-    log_.write(LogLevel::kWarning, "cluster", "peer_listen can't be bound yet; it is tried again",
+    log_.write(LogLevel::kWarning, "cluster", "peer_listen can't be bound yet; retrying every 100 ms",
                {{"address", settings_.peers.listen_address.to_string()},
                 {"why", std::strerror(socket_.open_errno())}});
   }
@@ -184,19 +186,21 @@
 
 // ---- Reload and shutdown ----------------------------------------------------------------------------------
 
-Cluster::PreparedReload Cluster::prepare_reload(const ClusterSettings& fresh) const {
+Cluster::PreparedReload Cluster::prepare_reload(const ClusterSettings& updated) const {
   const auto& current = settings_.peers;
-  if (fresh.peers.members != current.members || fresh.peers.self != current.self ||
-      fresh.peers.listen_address != current.listen_address) {
+  if (updated.peers.members != current.members || updated.peers.self != current.self ||
+      updated.peers.listen_address != current.listen_address) {
     throw SettingsError(
-        "peers: who the dispatchers of the fleet are is not changed in service; restart them");
+        "peers: the list of dispatchers can't be changed by a reload; restart the dispatchers");
   }
-  if (fresh.probe_interval != settings_.probe_interval || fresh.lease_duration != settings_.lease_duration ||
-      fresh.peers.bytes_per_second != current.bytes_per_second) {
+  if (updated.probe_interval != settings_.probe_interval ||
+      updated.lease_duration != settings_.lease_duration ||
+      updated.peers.bytes_per_second != current.bytes_per_second) {
     throw SettingsError(
-        "fleet: period_ms, lease_ms and bytes_per_second are not changed in service; restart the dispatcher");
+        "fleet: period_ms, lease_ms and bytes_per_second can't be changed by a reload; restart the "
+        "dispatcher");
   }
-  return {fresh.zones, socket_.make_codec(fresh.peers.keys)};
+  return {updated.zones, socket_.make_codec(updated.peers.keys)};
 }
 
 void Cluster::apply_reload(PreparedReload reload) {
@@ -248,7 +252,7 @@
       {"fleet.received", transport.received},
       {"fleet.received_bytes", transport.received_bytes},
   };
-  for (const auto& info : cluster::transport::kDropReasons) {  // those that have occurred
+  for (const auto& info : cluster::transport::kDropReasons) {  // Only reasons that have occurred are listed.
     const std::uint64_t count = transport.count(info.reason);
     if (count > 0) values.emplace_back("fleet.dropped." + std::string(info.metric_name), count);
   }
--- a/src/cluster/runtime/cluster.h
+++ b/src/cluster/runtime/cluster.h
@@ -1,5 +1,5 @@
-// What this dispatcher knows together with the others: which members are alive, and the plan that a majority
-// holds. Joins Membership and Consensus to the peers' socket and the loop's timers.
+// This dispatcher's part in the cluster: connects Membership and Consensus to the peer socket and to the
+// timers of the event loop.
 #pragma once
 
 #include <cstdint>
@@ -17,48 +17,48 @@
 
 namespace rookproxy {
 
-// This dispatcher's membership. Belongs to the thread of its event loop, which must outlive it, as must the
-// logger.
+// One member of the cluster. Must be used only in the thread of its event loop. The event loop and the logger
+// must outlive it.
 class Cluster {
  public:
   using MetricValue = std::pair<std::string, std::uint64_t>;
 
-  // How far the plan may be acted on. The values are those of the metric 'fleet.standing'.
+  // Which parts of the plan may be applied. The values are those of the metric 'fleet.standing'.
   enum class QuorumState : std::uint8_t {
-    kNoQuorum = 0,      // just started, stalled or left: knows nothing that it may act on
-    kLeaseExpired = 1,  // no majority heard, or a plan of other zones: only conservative parts are in force
-    kLeaseHeld = 2      // all of the plan is in force
+    kNoQuorum = 0,      // Just started, stalled or left: no part may be applied.
+    kLeaseExpired = 1,  // No majority responds, or the zones differ: only conservative parts apply.
+    kLeaseHeld = 2      // All parts apply.
   };
 
-  // The configuration of a reload that was found valid.
+  // A reloaded configuration that was found valid.
   struct PreparedReload {
     std::vector<std::string> zones;
     cluster::transport::Codec codec;
   };
 
-  // `seed`: of pauses and of the order of probes. Throws SettingsError.
+  // `seed`: the seed of jitter and of the order of probes. Throws SettingsError.
   Cluster(EventLoop& loop, Logger& log, ClusterSettings settings, std::uint64_t seed);
   ~Cluster();
   Cluster(const Cluster&) = delete;
   Cluster& operator=(const Cluster&) = delete;
 
   [[nodiscard]] QuorumState quorum_state() const;
-  // The last plan learned; its numbers are meaningless unless is_plan_readable().
+  // The last plan learned. Its zone and site numbers are meaningless unless is_plan_readable().
   [[nodiscard]] const cluster::ClusterConfig& plan() const { return consensus_.plan(); }
-  // Whether the plan numbers the zones that are configured here.
+  // Whether the numbers in the plan refer to the zones that are configured here.
   [[nodiscard]] bool is_plan_readable() const { return plan().fingerprint == own_fingerprint_; }
 
-  // Checks a new configuration. Throws SettingsError if it can't be applied in service.
-  [[nodiscard]] PreparedReload prepare_reload(const ClusterSettings& fresh) const;
-  // Applies it as a whole, and can't fail. Keys are in force at once. Other zones make this dispatcher
-  // propose a plan with them, until one was seen in force or a time limit is over. Only a reload does this: a
-  // process that starts with other zones than the cluster's may be the one with an outdated file.
+  // Checks a new configuration. Throws SettingsError if it can't be applied without a restart.
+  [[nodiscard]] PreparedReload prepare_reload(const ClusterSettings& updated) const;
+  // Applies the configuration as a whole; can't fail. Keys take effect at once. If the zones differ from the
+  // plan's, this dispatcher proposes a plan with the new zones until it is in force or a time limit has
+  // passed. Only a reload does this, since a process that starts with other zones may have an outdated file.
   void apply_reload(PreparedReload reload);
-  // Votes no more and closes the socket. A successor of this process binds it within 100 ms. Without one,
-  // this process ends its drain as a silent member, which the others consider failed after a while.
+  // Stops voting and closes the socket. A successor process binds the port within 100 ms. Without a
+  // successor, the other members consider this one failed after the suspicion timeout.
   void leave();
 
-  // As METRICS shows them, with names that begin with 'fleet.'.
+  // The metrics that METRICS lists, with names that begin with 'fleet.'.
   [[nodiscard]] std::vector<MetricValue> metrics() const;
 
  private:
@@ -79,15 +79,15 @@
   EventLoop& loop_;
   Logger& log_;
   ClusterSettings settings_;
-  std::uint32_t own_fingerprint_;  // of the configured zones
+  std::uint32_t own_fingerprint_;  // The fingerprint of the configured zones.
   cluster::Incarnation process_incarnation_;
   cluster::Membership membership_;
   cluster::Consensus consensus_;
   cluster::transport::PeerSocket socket_;
   TimerId timer_{};
-  std::optional<Time> zone_proposal_deadline_;  // a plan with the configured zones is to be proposed
+  std::optional<Time> zone_proposal_deadline_;  // Set while a plan with the configured zones is proposed.
   bool has_left_ = false;
-  // What was logged last.
+  // The states that were logged last.
   QuorumState logged_state_ = QuorumState::kNoQuorum;
   std::uint32_t logged_epoch_ = 0;
   bool logged_closed_ = false;
--- a/src/cluster/runtime/cluster_settings.cpp
+++ b/src/cluster/runtime/cluster_settings.cpp
@@ -19,7 +19,7 @@
   membership.stall_threshold = 4 * settings.probe_interval;
   membership.isolation_timeout = 20 * settings.probe_interval;
   membership.failed_member_retention = 1200 * settings.probe_interval;
-  // Short periods need more messages: 32 per period.
+  // At least 32 messages per period are allowed.
   const auto per_second = static_cast<int>(std::chrono::seconds(32) / settings.probe_interval);
   membership.max_messages_per_second = std::max(membership.max_messages_per_second, per_second);
   if (const auto invalid = membership.validate()) throw SettingsError("fleet: " + invalid->text());
@@ -36,8 +36,8 @@
   consensus.seed = seed;
   consensus.lease_duration = settings.lease_duration;
   consensus.lease_renewal_interval = settings.lease_duration / 4;
-  // A lease is renewed by replies within query_timeout, and at most once in that time. A longer lease makes
-  // no reply slower, so none of these grows with it.
+  // A short lease limits the other times, so that several renewals fit into it. A long lease does not
+  // increase them, since it does not make replies slower.
   const auto limit = [&](Duration& span, int parts) {
     span = std::min(span, settings.lease_duration / parts);
   };
--- a/src/cluster/runtime/cluster_settings.h
+++ b/src/cluster/runtime/cluster_settings.h
@@ -1,4 +1,4 @@
-// Settings of this dispatcher's membership in a cluster, and what the protocols derive from them.
+// The settings of this dispatcher as a member of a cluster, and the protocol settings derived from them.
 #pragma once
 
 #include <cstdint>
@@ -12,25 +12,24 @@
 
 namespace rookproxy {
 
-// What operators configure.
+// The settings that operators configure.
 struct ClusterSettings {
   cluster::transport::TransportSettings peers;
-  Duration probe_interval = std::chrono::milliseconds(500);  // of membership
-  Duration lease_duration = std::chrono::seconds(4);         // of the plan, without news from a majority
-  // The zones that the plan numbers by position. Dispatchers with another list do not act on the plan.
+  Duration probe_interval = std::chrono::milliseconds(500);  // The protocol period of Membership.
+  Duration lease_duration = std::chrono::seconds(4);         // The duration of a lease on the plan.
+  // The zones, which the plan refers to by position. Dispatchers with a different list do not apply the plan.
   std::vector<std::string> zones;
 };
 
-// The timing of Membership in proportion to `probe_interval`; 500 ms gives its defaults. Throws
-// SettingsError.
+// Scales the times of Membership with `probe_interval`; 500 ms results in the defaults. Throws SettingsError.
 cluster::MembershipSettings make_membership_settings(const ClusterSettings& settings);
 
-// The timing of Consensus in proportion to `lease_duration`; 4 s gives its defaults.
+// Scales the times of Consensus with `lease_duration` up to the defaults, which 4 s results in.
 cluster::ConsensusSettings make_consensus_settings(const ClusterSettings& settings,
                                                    cluster::Incarnation process_incarnation,
                                                    std::uint64_t seed);
 
-// Identifies the list of names that a plan numbers by position.
+// Identifies a list of names that a plan refers to by position.
 std::uint32_t plan_fingerprint(const std::vector<std::string>& names);
 
 }  // namespace rookproxy
