--- a/tests/cluster/codec_test.cpp
+++ b/tests/cluster/codec_test.cpp
@@ -1,4 +1,4 @@
-// Datagrams between dispatchers: encoding, decoding, and the reasons for dropping one.
+// Tests encoding and decoding of datagrams between dispatchers, and the reasons for which they are dropped.
 #include "cluster/transport/codec.h"
 
 #include <catch2/catch.hpp>
@@ -25,13 +25,13 @@
   return reason ? std::optional(*reason) : std::nullopt;
 }
 
-// Generates envelopes that the codec accepts, and altered datagrams, from a seed.
+// Generates valid envelopes and mutated datagrams from a seed.
 class EnvelopeGenerator {
  public:
   explicit EnvelopeGenerator(std::uint64_t seed) : random_(seed) {}
   std::uint64_t below(std::uint64_t bound) { return random_() % bound; }
   template <class T>
-  T any() {  // small and large numbers alike
+  T any() {  // Returns small and large numbers alike.
     return static_cast<T>(random_() >> below(64));
   }
   MemberId member() { return static_cast<MemberId>(below(kMaxMembers)); }
@@ -96,7 +96,7 @@
       generated.gossip.push_back({member(), any<Incarnation>(), static_cast<MemberState>(below(3))});
     return generated;
   }
-  std::string edited(std::string text) {
+  std::string mutated(std::string text) {
     const std::string before = text;
     while (text == before) {
       for (auto edits = 1 + below(3); edits > 0; --edits) {
@@ -137,7 +137,8 @@
   return plan;
 }
 
-TEST_CASE("codec: what is encoded is decoded, authenticated or not, in at most 256 bytes") {
+TEST_CASE(
+    "codec: each message type survives encoding and decoding in at most 256 bytes, with and without a key") {
   for (const auto& keys : {std::vector<std::string>{}, {kKey}}) {
     const Codec codec(kClusterFingerprint, 7, kMaxMembers, keys);
     EnvelopeGenerator generator(20261201);
@@ -157,22 +158,23 @@
   }
 }
 
-TEST_CASE("codec: the largest plan fits beside its ballots and its MAC, as docs/peers.md says") {
+TEST_CASE("codec: messages with the largest plan and a MAC have the documented sizes and gossip capacities") {
   const Codec codec(kClusterFingerprint, 7, kMaxMembers, {kKey});
-  const Ballot top{0xffffffff, 1023};
+  const Ballot highest_ballot{0xffffffff, 1023};
+  // docs/peers.md has these sizes.
   const auto size = [&](MessageBody body) {
     const Envelope envelope{1023, ~0ull, ~0ull, std::move(body), {}};
     return std::pair(std::get<std::string>(codec.encode(envelope, 7)).size(),
                      codec.gossip_capacity(envelope));
   };
   using Sizes = std::pair<std::size_t, std::size_t>;
-  CHECK(size(Promise{0xffffffff, top, top, largest_plan()}) == Sizes(213, 3));
-  CHECK(size(Accept{top, largest_plan()}) == Sizes(200, 4));
+  CHECK(size(Promise{0xffffffff, highest_ballot, highest_ballot, largest_plan()}) == Sizes(213, 3));
+  CHECK(size(Accept{highest_ballot, largest_plan()}) == Sizes(200, 4));
   CHECK(size(Chosen{largest_plan()}) == Sizes(192, 4));
   CHECK(size(Ping{0xffffffff}) == Sizes(52, 15));
 }
 
-TEST_CASE("codec: every fault has its reason") {
+TEST_CASE("codec: invalid datagrams and envelopes are rejected with the drop reason of each fault") {
   const Codec plain(kClusterFingerprint, 7, 100, {});
   const Codec keyed(kClusterFingerprint, 7, 100, {kKey});
   const auto bytes = [](const json& whole) {
@@ -180,7 +182,7 @@
     json::to_cbor(whole, text);
     return text;
   };
-  // Cluster fingerprint, sender, incarnation, sequence, type, body, gossip.
+  // The elements are cluster fingerprint, sender, incarnation, sequence, type, body and gossip.
   const auto ping = [&](const json& patch) {
     return bytes(json{kClusterFingerprint, 3, 5, 1, 0, {9}, json::array()}.patch(patch));
   };
@@ -267,29 +269,30 @@
         DropReason::kTooLong);
 }
 
-TEST_CASE("codec: of 100,000 altered datagrams none is accepted with a key, and none breaks it without") {
+TEST_CASE(
+    "codec: of 100,000 mutated datagrams none is accepted with a key, and none causes a failure without") {
   EnvelopeGenerator generator(77);
   const Codec plain(kClusterFingerprint, 7, kMaxMembers, {});
   const Codec keyed(kClusterFingerprint, 7, kMaxMembers, {kKey});
   int accepted = 0;
-  int plausible = 0;
+  int decodable = 0;
   for (int i = 0; i < 2'500; ++i) {
     const Envelope sent = generator.envelope(keyed);
     const auto authenticated = std::get<std::string>(keyed.encode(sent, 7));
     const auto unauthenticated = std::get<std::string>(plain.encode(sent, 7));
     for (int edits = 0; edits < 20; ++edits) {
-      accepted += !drop_reason(keyed.decode(generator.edited(authenticated)));
-      const auto read = plain.decode(generator.edited(unauthenticated));
+      accepted += !drop_reason(keyed.decode(generator.mutated(authenticated)));
+      const auto read = plain.decode(generator.mutated(unauthenticated));
       if (drop_reason(read)) continue;
-      // What is accepted without a key is at least something that can be encoded.
-      ++plausible;
+      // An envelope that is accepted without a key must be encodable again.
+      ++decodable;
       const auto encoded_again = plain.encode(std::get<Envelope>(read), 7);
       REQUIRE((std::holds_alternative<std::string>(encoded_again) ||
                std::get<DropReason>(encoded_again) == DropReason::kTooLong));
     }
   }
   CHECK(accepted == 0);
-  CHECK(plausible > 1000);
+  CHECK(decodable > 1000);
 }
 
 }  // namespace
--- a/tests/cluster/consensus_cluster.h
+++ b/tests/cluster/consensus_cluster.h
@@ -1,5 +1,5 @@
-// A cluster of Consensus members on a network in virtual time: lost, duplicated and late messages,
-// partitions, restarts and stalls. The same seed gives the same run.
+// Simulates a cluster of Consensus members in virtual time, with lost, duplicated and late messages,
+// partitions, restarts and stalls. The same seed reproduces the same run.
 #pragma once
 
 #include <algorithm>
@@ -41,7 +41,7 @@
     }
   }
 
-  // Starts a process of that member, which replaces an earlier one.
+  // Starts a new process of a member, which replaces an earlier one.
   void start(MemberId member, Duration delay = Duration(0)) {
     ConsensusSettings settings;
     settings.self = member;
@@ -64,7 +64,7 @@
     now = end;
   }
 
-  // Lets a member propose a plan with this fingerprint, for the epoch that is so many after the known one.
+  // Makes a member propose a plan with this fingerprint for the epoch `epochs_ahead` after the known one.
   ProposeResult propose(MemberId member, std::uint32_t fingerprint, std::uint32_t epochs_ahead = 1) {
     ClusterConfig plan;
     plan.epoch = members[member]->epoch() + epochs_ahead;
@@ -90,17 +90,17 @@
   }
   std::uint64_t total_sent() const { return std::accumulate(sent.begin(), sent.end(), std::uint64_t{0}); }
 
-  // How many plans of different epochs have been known anywhere.
+  // The number of epochs whose plan has been known to any member.
   std::size_t known_epoch_count() const { return plans_.size(); }
-  // Whether no two plans of one epoch have been known, anywhere and ever.
+  // Whether no two different plans of one epoch have ever been known to any members.
   bool has_one_plan_per_epoch() const { return has_one_plan_per_epoch_; }
-  // Whether no process has gone back to an earlier epoch.
+  // Whether the epoch of no process has decreased.
   bool has_epochs_in_order() const { return has_epochs_in_order_; }
 
-  // Members with different values do not hear each other.
+  // Messages between members with different values are lost.
   void set_partition(std::vector<int> groups) { partition = std::move(groups); }
   void heal() { partition.assign(members.size(), 0); }
-  // These two never hear each other, whatever the partition.
+  // All messages between these two members are lost, whatever the partition.
   void cut(MemberId one, MemberId other) {
     cut_links_.insert({one, other});
     cut_links_.insert({other, one});
@@ -111,16 +111,16 @@
   }
   bool happens(double probability) { return std::uniform_real_distribution<>(0, 1)(random_) < probability; }
 
-  // May be changed while it runs.
+  // The faults of the network. They may be changed during a run.
   Duration max_delay = std::chrono::milliseconds(20);
   double loss = 0;
   double duplication = 0;
-  double long_delay = 0;  // probability of a delay of three seconds more
+  double long_delay = 0;  // The probability of an additional delay of three seconds.
   std::vector<int> partition;
   std::vector<Time> stopped_until;
 
   Time now = kStart;
-  std::vector<std::uint64_t> sent;  // messages of each member
+  std::vector<std::uint64_t> sent;  // The number of messages sent by each member.
   std::vector<std::unique_ptr<Consensus>> members;
 
  private:
@@ -129,8 +129,8 @@
     Time at;
     std::uint64_t order;
     MemberId from;
-    MemberId to;                   // equal to `from`: a timer of that member
-    std::uint64_t process_number;  // of the sender
+    MemberId to;                   // Equal to `from` for a timer of that member.
+    std::uint64_t process_number;  // The sender's process.
     MessageBody body;
     bool operator>(const Event& other) const { return std::tie(at, order) > std::tie(other.at, other.order); }
   };
@@ -142,7 +142,7 @@
 
   void handle(const Event& event) {
     Consensus& receiver = *members[event.to];
-    if (stopped_until[event.to] > now) {  // its socket keeps what arrives
+    if (stopped_until[event.to] > now) {  // The socket queues messages meanwhile.
       Event later = event;
       later.at = stopped_until[event.to];
       later.order = ++order_;
@@ -177,8 +177,8 @@
     highest_epochs_[member] = plan.epoch;
   }
 
-  std::vector<std::uint64_t> process_numbers_;  // of the last process that each member has started
-  std::vector<std::uint32_t> highest_epochs_;   // of that process
+  std::vector<std::uint64_t> process_numbers_;  // The number of each member's current process.
+  std::vector<std::uint32_t> highest_epochs_;   // The highest epoch of each current process.
   std::set<std::pair<MemberId, MemberId>> cut_links_;
   std::map<std::uint32_t, ClusterConfig> plans_;
   bool has_one_plan_per_epoch_ = true;
--- a/tests/cluster/consensus_test.cpp
+++ b/tests/cluster/consensus_test.cpp
@@ -1,4 +1,4 @@
-// Consensus in clusters of all sizes, in virtual time, and single members by hand.
+// Tests Consensus in simulated clusters of several sizes, and single members event by event.
 #include "cluster/consensus.h"
 
 #include <algorithm>
@@ -17,8 +17,7 @@
 constexpr Time kStart = ConsensusCluster::kStart;
 
 TEST_CASE(
-    "consensus: a cluster whose members start at once begins to vote and chooses plans with 5% of messages "
-    "lost") {
+    "consensus: members that start together vote, hold leases and choose plans with 5% of messages lost") {
   const auto member_count = GENERATE(1U, 2U, 3U, 4U, 5U, 9U, 300U);
   ConsensusCluster cluster(member_count, member_count);
   cluster.loss = 0.05;
@@ -37,12 +36,11 @@
   CHECK(cluster.has_one_plan_per_epoch());
   const auto before = cluster.total_sent();
   cluster.run(50s);
-  // Messages per second and member; measured: 3.4 to 3.6 with 9 to 300 members.
+  // Messages per second and member.
   CHECK(static_cast<double>(cluster.total_sent() - before) / member_count / 50 < 4);
 }
 
-TEST_CASE(
-    "consensus: two members that only a third can reach begin to vote with it, however late it starts") {
+TEST_CASE("consensus: three members vote when two are connected only through a third that starts later") {
   const auto seed = GENERATE(range(1U, 101U));
   const auto started_after = GENERATE(0s, 1s, 4s, 30s);
   CAPTURE(seed, started_after.count());
@@ -57,7 +55,7 @@
   CHECK(cluster.lease_holder_count() == 3);
 }
 
-TEST_CASE("consensus: of two proposals for one epoch one is chosen and the other is superseded") {
+TEST_CASE("consensus: of two concurrent proposals for one epoch one is chosen and the other is superseded") {
   const auto seed = GENERATE(range(1U, 20U));
   ConsensusCluster cluster(5, seed);
   cluster.run(8s);
@@ -72,7 +70,7 @@
   CHECK(cluster.members[first ? 3 : 1]->proposal_state() == ProposalState::kSuperseded);
 }
 
-TEST_CASE("consensus: never two plans of one epoch, nor an earlier epoch, under random faults") {
+TEST_CASE("consensus: under random faults no epoch has two plans and no process's epoch decreases") {
   const auto seed = GENERATE(range(1U, 301U));
   const std::size_t member_count = std::vector<std::size_t>{3, 4, 5, 9}[seed % 4];
   ConsensusCluster cluster(member_count, seed, 500ms);
@@ -85,7 +83,7 @@
   for (int step = 0; step < 60; ++step) {
     const auto i = static_cast<MemberId>(cluster.below(static_cast<std::int64_t>(member_count)));
     switch (cluster.below(6)) {
-      case 0:  // only as long as a majority of voting members is left
+      case 0:  // Restarts a member only if a majority of voting members is left.
         if (cluster.voting_count() > member_count / 2 + (cluster.members[i]->is_voting() ? 1 : 0))
           cluster.start(i);
         break;
@@ -105,7 +103,7 @@
   }
   CHECK(cluster.has_one_plan_per_epoch());
   CHECK(cluster.has_epochs_in_order());
-  // Nor is it stuck.
+  // The cluster still makes progress.
   cluster.heal();
   cluster.loss = 0;
   cluster.long_delay = 0;
@@ -121,7 +119,7 @@
   CHECK(cluster.count_members([](const Consensus& m) { return m.metrics().bootstraps > 1; }) == 0);
 }
 
-TEST_CASE("consensus: a minority keeps its plan, changes nothing and reports that it has no quorum") {
+TEST_CASE("consensus: a minority partition keeps its plan, chooses no new one and reports the lost quorum") {
   ConsensusCluster cluster(5, 1);
   cluster.run(8s);
   cluster.propose(0, 1);
@@ -134,13 +132,13 @@
   CHECK(cluster.members[0]->plan().fingerprint == 1);
   CHECK(cluster.members[0]->metrics().leases_expired == 1);
   CHECK(cluster.members[0]->proposal_state() == ProposalState::kInProgress);
-  REQUIRE(cluster.propose(4, 3) == ProposeResult::kStarted);  // in the majority, the plan changes
+  REQUIRE(cluster.propose(4, 3) == ProposeResult::kStarted);  // The majority chooses a new plan.
   cluster.run(6s);
   CHECK(cluster.members[0]->proposal_state() == ProposalState::kNoMajority);
   CHECK(cluster.count_with_plan(3) == 3);
   const auto before = cluster.total_sent();
   cluster.run(10s);
-  CHECK(cluster.total_sent() - before < 5 * 10 * 4);  // and no storm of queries
+  CHECK(cluster.total_sent() - before < 5 * 10 * 4);  // The minority does not flood the network with queries.
   cluster.heal();
   cluster.run(3s);
   CHECK(cluster.count_with_plan(3) == 5);
@@ -148,7 +146,8 @@
   CHECK(cluster.has_one_plan_per_epoch());
 }
 
-TEST_CASE("consensus: a quorum lost during a round leaves the plan, and its return decides the epoch once") {
+TEST_CASE(
+    "consensus: a round interrupted by the loss of the quorum is decided once when the quorum returns") {
   const auto after = GENERATE(0ms, 10ms, 20ms, 30ms, 45ms);
   ConsensusCluster cluster(3, 7);
   cluster.run(8s);
@@ -159,13 +158,13 @@
   CHECK(cluster.members[0]->proposal_state() != ProposalState::kInProgress);
   CHECK(cluster.lease_holder_count() == 0);
   cluster.heal();
-  cluster.run(8s);  // the open instance is closed though nobody proposes
+  cluster.run(8s);  // The open instance is closed without a new proposal.
   CHECK(cluster.count_with_plan(1) % 3 == 0);
   CHECK(cluster.count_members([](const Consensus& m) { return m.epoch() == 1; }) == 3);
   CHECK(cluster.has_one_plan_per_epoch());
 }
 
-TEST_CASE("consensus: a member restarted during a round does not vote in that epoch and votes after it") {
+TEST_CASE("consensus: a member restarted during a round does not vote in that epoch, but in later ones") {
   ConsensusCluster cluster(3, 3);
   cluster.run(8s);
   cluster.propose(0, 1);
@@ -175,10 +174,10 @@
   const auto voted_epoch = [&] { return cluster.members[1]->acceptor().highest_voted_epoch_of_process(); };
   for (int ms = 0; ms < 20 && voted_epoch() != 2; ++ms) cluster.run(1ms);
   REQUIRE(voted_epoch() == 2);
-  cluster.start(1);  // and forgets its vote
+  cluster.start(1);  // The new process does not know its vote.
   cluster.partition = {1, 0, 0};
   cluster.run(3s);
-  CHECK_FALSE(cluster.members[1]->is_voting());  // one of the two others has replied, and both must
+  CHECK_FALSE(cluster.members[1]->is_voting());  // Only one of the two required members has replied.
   CHECK(cluster.propose(1, 3) == ProposeResult::kNotVoting);
   cluster.propose(2, 4);
   cluster.run(3s);
@@ -191,10 +190,10 @@
   CHECK(cluster.has_one_plan_per_epoch());
 }
 
-TEST_CASE("consensus: a new process votes above all epochs that a recovery quorum may have voted in") {
+TEST_CASE("consensus: a new process votes only above the epochs in which a recovery quorum may have voted") {
   struct Case {
     std::size_t member_count;
-    std::size_t voting_repliers;  // of the others
+    std::size_t voting_repliers;  // Other members that reply as voting.
     bool recovers;
   };
   const auto [member_count, voting_repliers, recovers] =
@@ -215,7 +214,7 @@
     return member.receive(now, static_cast<MemberId>(from), 1, body);
   };
   for (std::size_t from = 1; from < member_count; ++from) {
-    deliver(from, RecoveryReply{other_query_number, 0, true, 90});  // to another process
+    deliver(from, RecoveryReply{other_query_number, 0, true, 90});  // A reply to another process.
     if (from > voting_repliers) deliver(from, RecoveryReply{query_number, 0, false, 80});
     for (int repeat = 0; repeat < 2 && from <= voting_repliers; ++repeat) {
       deliver(from, RecoveryReply{query_number, 0, true, static_cast<std::uint32_t>(7 - from % 2)});
@@ -235,7 +234,7 @@
   CHECK(std::holds_alternative<Promise>(replies.back().body));
 }
 
-TEST_CASE("consensus: members restarted one after another all vote again without a new plan") {
+TEST_CASE("consensus: after a rolling restart all members vote again and keep the plan") {
   const auto member_count = GENERATE(3U, 4U, 9U);
   ConsensusCluster cluster(member_count, member_count);
   cluster.run(8s);
@@ -253,7 +252,8 @@
 }
 
 TEST_CASE(
-    "consensus: after a majority's restart a survivor's plan wins, without survivors the initial plan") {
+    "consensus: after the restart of a majority a survivor's plan is kept, without survivors the initial "
+    "plan") {
   const auto survivors = GENERATE(0U, 1U, 2U);
   ConsensusCluster cluster(5, 5);
   cluster.run(8s);
@@ -276,7 +276,7 @@
   CHECK(cluster.count_with_plan(9) == 5);
 }
 
-TEST_CASE("consensus: a member stopped for 10 s resumes without lease or round, and keeps its promises") {
+TEST_CASE("consensus: a member suspended for 10 s resumes without its lease and round, but with its votes") {
   ConsensusCluster cluster(3, 2);
   cluster.run(8s);
   cluster.propose(1, 1);
@@ -294,12 +294,13 @@
   CHECK(cluster.members[stopped]->acceptor().highest_voted_epoch_of_process() == voted);
   cluster.run(6s);
   CHECK(cluster.lease_holder_count() == 3);
-  CHECK(cluster.count_with_plan(1) ==
-        (stopped == 1 ? 0 : 3));  // the others close the stopped proposer's instance
+  // If the proposer was stopped, the other members close its instance.
+  CHECK(cluster.count_with_plan(1) == (stopped == 1 ? 0 : 3));
   CHECK(cluster.has_one_plan_per_epoch());
 }
 
-TEST_CASE("consensus: the next member renews when the first has failed, at once if membership reports it") {
+TEST_CASE(
+    "consensus: the next member renews the lease when the first fails, sooner if membership reports it") {
   const bool is_reported = GENERATE(false, true);
   ConsensusCluster cluster(9, 4);
   cluster.run(8s);
@@ -314,33 +315,33 @@
   CHECK(cluster.members[8]->metrics().leases_expired == 0);
 }
 
-TEST_CASE("consensus: neither a clock that jumps nor a late message extends a lease") {
+TEST_CASE("consensus: neither a step of the clock nor a late message extends a lease") {
   ConsensusSettings settings;
   settings.self = 1;
   settings.member_count = 3;
   Consensus member(settings, {}, kStart);
   std::ignore = member.receive(kStart, 0, 1, RecoveryQuery{7, 0});
-  const auto leased = [&](Time at, Lease lease) {
+  const auto holds_lease_after = [&](Time at, Lease lease) {
     std::ignore = member.receive(at, 0, 1, lease);
     return member.lease_holds(at);
   };
-  CHECK_FALSE(leased(kStart + 1s, Lease{0, 4s, 6}));  // names a query that it has not received
-  CHECK(leased(kStart + 3s, Lease{0, 4s, 7}));
+  CHECK_FALSE(holds_lease_after(kStart + 1s, Lease{0, 4s, 6}));  // Names a query that was not received.
+  CHECK(holds_lease_after(kStart + 3s, Lease{0, 4s, 7}));
   CHECK(member.lease_holds(kStart + 3999ms));
-  CHECK_FALSE(member.lease_holds(kStart + 4s));  // counted from the query, not from the lease's arrival
-  CHECK_FALSE(member.lease_holds(kStart + 2s));  // a clock that went back
+  CHECK_FALSE(member.lease_holds(kStart + 4s));  // The lease is counted from the arrival of the query.
+  CHECK_FALSE(member.lease_holds(kStart + 2s));  // The clock has gone back.
   std::ignore = member.on_timer(kStart + 2s);
   CHECK_FALSE(member.lease_holds(kStart + 2500ms));
-  CHECK_FALSE(leased(kStart + 2500ms, Lease{0, 4s, 7}));
+  CHECK_FALSE(holds_lease_after(kStart + 2500ms, Lease{0, 4s, 7}));
   std::ignore = member.receive(kStart + 2600ms, 0, 1, RecoveryQuery{8, 0});
-  CHECK(leased(kStart + 2700ms, Lease{0, 4s, 8}));
+  CHECK(holds_lease_after(kStart + 2700ms, Lease{0, 4s, 8}));
   std::ignore = member.receive(kStart + 2800ms, 0, 1, RecoveryQuery{9, 0});
   CHECK(member.lease_holds(kStart + 6s));
-  CHECK_FALSE(leased(kStart + 6600ms, Lease{1, 4s, 9}));  // of a newer plan than the one known
+  CHECK_FALSE(holds_lease_after(kStart + 6600ms, Lease{1, 4s, 9}));  // Of a newer plan than the known one.
   CHECK(member.has_quorum(kStart + 6700ms));
 }
 
-TEST_CASE("consensus: epochs are limited in rate, and invalid input changes nothing") {
+TEST_CASE("consensus: the rate of epochs is limited, and invalid messages and proposals have no effect") {
   ConsensusCluster cluster(3, 9);
   cluster.run(8s);
   const auto end = cluster.now + 10s;
@@ -372,10 +373,10 @@
   CHECK(cluster.propose(0, 1) == ProposeResult::kNotVoting);
 }
 
-// For docs/fleet-decisions.md: cluster_consensus_test "consensus: figures"
-TEST_CASE("consensus: figures", "[.]") {
+// Prints the measurements of docs/fleet-decisions.md. Runs only by name.
+TEST_CASE("consensus: convergence times and message rates by cluster size are printed", "[.]") {
   std::puts(
-      "members | all vote, s | plan known by all, ms | messages a s, the renewer | another | lease gap, s");
+      "members | all vote, s | plan known by all, ms | messages/s of the renewer | of others | lease gap, s");
   for (const std::size_t member_count : {3U, 10U, 100U, 300U}) {
     ConsensusCluster cluster(member_count, 9, 500ms);
     constexpr Duration kStep = 50ms;
@@ -398,7 +399,7 @@
     for (std::size_t i = 0; i < member_count; ++i)
       rates.push_back(static_cast<double>(cluster.sent[i] - before[i]) / 20);
     std::sort(rates.begin(), rates.end());
-    cluster.partition[0] = 1;  // the member that renews
+    cluster.partition[0] = 1;  // The member that renews the lease.
     Duration lease_gap{};
     for (int i = 0; i < 200; ++i) {
       cluster.run(kStep);
--- a/tests/cluster/event_loop_script.h
+++ b/tests/cluster/event_loop_script.h
@@ -1,4 +1,4 @@
-// Runs an event loop through a script.
+// Runs an event loop through the steps of a script.
 #pragma once
 
 #include <cstddef>
@@ -10,13 +10,13 @@
 
 namespace rookproxy::test {
 
-// Waits until the condition holds, then acts.
+// Waits until the condition holds, then performs the action.
 struct ScriptStep {
   std::function<bool()> is_ready;
   std::function<void()> action = [] {};
 };
 
-// Runs the steps one after another, and returns whether all were reached within the time limit of the tests.
+// Runs the steps in order, and returns whether all were completed within the time limit of the tests.
 inline bool run_script(EventLoop& loop, const std::vector<ScriptStep>& steps) {
   std::size_t next = 0;
   const Time deadline = loop.now() + kWaitLimit;
--- a/tests/cluster/fault_injecting_network_test.cpp
+++ b/tests/cluster/fault_injecting_network_test.cpp
@@ -1,4 +1,4 @@
-// The fault-injecting network of the tests, between members and for connections.
+// Tests the fault-injecting network that other tests use, for datagrams and for TCP connections.
 #include <sys/socket.h>
 
 #include <algorithm>
@@ -23,14 +23,14 @@
 
 using namespace std::chrono_literals;
 
-TEST_CASE("fault-injecting network: the seed decides about each datagram, and a duplicate has no effect") {
+TEST_CASE("fault-injecting network: a seed reproduces the faults, and receivers drop duplicates") {
   std::vector<test::LinkStatistics> counts;
   std::vector<std::vector<std::uint64_t>> orders;
   for (const std::uint64_t seed : {9, 9, 10}) {
     PeerNetwork net(seed, 2);
     net.network.set_rule(0, 1, {false, 0.2, 0.2, 0.2});
     for (std::uint32_t i = 0; i < 120; ++i) net.sockets[0]->send(1, Ping{i});
-    REQUIRE(test::run_script(net.loop, {{[&] { return net.is_settled(0, 1, 120); }}}));
+    REQUIRE(test::run_script(net.loop, {{[&] { return net.has_delivered(0, 1, 120); }}}));
     counts.push_back(net.network.statistics(0, 1));
     auto& order = orders.emplace_back();
     for (const auto& envelope : net.received[1]) order.push_back(envelope.sequence);
@@ -46,7 +46,7 @@
   CHECK(counts[0].datagrams_reordered > 8);
 }
 
-TEST_CASE("fault-injecting network: it partitions in one direction or both, delays, and follows a schedule") {
+TEST_CASE("fault-injecting network: one-way and two-way partitions, delays and a schedule take effect") {
   PeerNetwork net(3, 3);
   const auto send = [&](int from, int to, std::uint32_t number) {
     net.sockets[from]->send(static_cast<MemberId>(to), Ping{number});
@@ -85,7 +85,7 @@
   CHECK(net.network.unknown_sender_datagrams() == 0);
 }
 
-TEST_CASE("fault-injecting network: a connection's bytes are forwarded, delayed or held, until a reset") {
+TEST_CASE("fault-injecting network: TCP bytes are forwarded, delayed or held, and a reset ends connections") {
   const FileDescriptor listener = test::listen_on_free_port();
   test::FaultInjectingNetworkThread network(4);
   const auto proxy_address = network.run_on_thread([&](test::FaultInjectingNetwork& net) {
@@ -97,12 +97,12 @@
   test::TestConnection client(connect_tcp(proxy_address));
   REQUIRE(test::wait_until_readable(listener, test::kWaitLimit));
   test::TestConnection server(accept_connection(listener));
-  const std::string large(3 << 20, 'm');  // more than all buffers hold
+  const std::string large(3 << 20, 'm');  // Exceeds the capacity of all buffers.
   std::thread sender([&] { client.send(large); });
   CHECK(server.wait_for_bytes(large.size()));
   sender.join();
   CHECK(server.take(large.size()) == large);
-  // One direction is held, the other goes on.
+  // One direction is held, the other is not affected.
   set_rule(0, 1, {true});
   client.send("up");
   server.send("down");
@@ -112,7 +112,7 @@
   set_rule(0, 1, {});
   REQUIRE(server.wait_for_bytes(2));
   CHECK(server.take(2) == "up");
-  // Late, but in order, though each piece has its own delay.
+  // Bytes arrive late but in order, although each piece has a different delay.
   set_rule(1, 0, {false, 0, 0, 0, 30ms, 90ms});
   const Time start = monotonic_now();
   std::string all;
@@ -124,14 +124,14 @@
   REQUIRE(client.wait_for_bytes(10));
   CHECK(monotonic_now() - start >= 30ms);
   CHECK(client.take(10) == all);
-  // A shutdown in one direction is forwarded, and the other goes on.
+  // A shutdown in one direction is forwarded, the other is not affected.
   ::shutdown(client.fd().get(), SHUT_WR);
   CHECK(server.wait_for_end());
   server.send("late");
   CHECK(client.wait_for_bytes(4));
   CHECK(network.run_on_thread([](test::FaultInjectingNetwork& net) { return net.statistics(0, 1); })
             .bytes_forwarded == large.size() + 2);
-  // A partition lets no connection through; a reset ends the open ones.
+  // A partition blocks new connections; a reset ends the open ones.
   set_rule(0, 1, {true});
   test::TestConnection second(connect_tcp(proxy_address));
   CHECK_FALSE(test::wait_until_readable(listener, 50ms));
--- a/tests/cluster/membership_cluster.h
+++ b/tests/cluster/membership_cluster.h
@@ -1,5 +1,6 @@
-// A cluster of Membership members on a network in virtual time: seeded loss, delay, duplication, reordering,
-// partitions in one or both directions, stalls, kills and restarts. The same seed gives the same run.
+// Simulates a cluster of Membership members in virtual time, with seeded loss, delay, duplication,
+// reordering, partitions in one or both directions, stalls, kills and restarts. The same seed reproduces the
+// same run.
 #pragma once
 
 #include <algorithm>
@@ -19,19 +20,19 @@
 
 namespace rookproxy::cluster {
 
-// What the simulated network does. The probabilities are per message.
+// The faults of the simulated network. Probabilities are per message.
 struct NetworkSettings {
   std::uint64_t seed = 1;
   double loss = 0;
   double duplication = 0;
-  double straggling = 0;  // of a delay up to `max_straggler_delay`
+  double long_delay = 0;  // The probability of a delay of up to `max_long_delay`.
   Duration min_delay{200};
-  Duration max_delay{2000};  // evenly distributed, so that messages overtake each other
-  Duration max_straggler_delay{300'000};
-  std::size_t max_queued = 256;  // messages that wait for a stalled member; more are lost
+  Duration max_delay{2000};  // Delays are uniformly distributed, so that messages overtake each other.
+  Duration max_long_delay{300'000};
+  std::size_t max_queued = 256;  // Messages that are queued for a stalled member. More are lost.
 };
 
-// A message with what the transport adds to it.
+// A message with the data that the transport adds to it.
 struct SimulatedDatagram {
   MemberId to = 0;
   Incarnation incarnation = 0;
@@ -39,7 +40,7 @@
   std::vector<GossipUpdate> gossip;
 };
 
-// One member, and the transport's part in sending its messages.
+// One member, with the part of the transport that adds gossip to its messages.
 class SimulatedMember {
  public:
   explicit SimulatedMember(const MembershipSettings& settings, Incarnation start, std::uint64_t seed,
@@ -56,7 +57,7 @@
   }
 
   Membership membership;
-  std::vector<MemberChange> changes;  // since the start
+  std::vector<MemberChange> changes;  // All changes since the start.
 
  private:
   static constexpr std::size_t kGossipLimit = 100;
@@ -72,16 +73,16 @@
   }
 };
 
-// The members and the network between them.
+// The members and the simulated network between them.
 class MembershipCluster {
  public:
-  using MemberSetup =
+  using MemberFactory =
       std::function<std::unique_ptr<SimulatedMember>(MemberId self, std::size_t member_count, Time now)>;
 
-  // No member runs until it is started.
-  MembershipCluster(std::size_t member_count, NetworkSettings network_settings, MemberSetup setup)
+  // Members do not run until they are started.
+  MembershipCluster(std::size_t member_count, NetworkSettings network_settings, MemberFactory factory)
       : network(network_settings),
-        setup_(std::move(setup)),
+        factory_(std::move(factory)),
         random_(network_settings.seed),
         nodes_(member_count) {
     for (Node& node : nodes_) node.is_cut.resize(member_count);
@@ -89,16 +90,16 @@
 
   Time now() const { return now_; }
   std::size_t size() const { return nodes_.size(); }
-  // Null: killed or not started.
+  // Null if the member is killed or not started.
   SimulatedMember* member(std::size_t id) { return nodes_[id].member.get(); }
   Membership& membership(std::size_t id) { return nodes_[id].member->membership; }
   std::uint64_t sent_bytes(std::size_t id) const { return nodes_[id].sent_bytes; }
   std::uint64_t sent_messages(std::size_t id) const { return nodes_[id].sent_messages; }
 
-  // Also a restart: the member is created anew and remembers nothing.
+  // Starts or restarts a member. The new process has no state of an earlier one.
   void start(std::size_t id) {
     Node& node = nodes_[id];
-    node.member = setup_(static_cast<MemberId>(id), size(), now_);
+    node.member = factory_(static_cast<MemberId>(id), size(), now_);
     node.is_stalled = false;
     node.inbox.clear();
     ++node.process;
@@ -112,14 +113,14 @@
     nodes_[id].inbox.clear();
     ++nodes_[id].process;
   }
-  // The member's timers do not run, and messages to it wait.
+  // Suspends the member's timers and queues messages to it.
   void stall(std::size_t id, Duration span) {
     nodes_[id].is_stalled = true;
     schedule({now_ + span, 0, EventKind::kResume, id, 0, nodes_[id].process, {}});
   }
-  // Loses all messages in one direction.
+  // Drops all messages in one direction.
   void cut(std::size_t from, std::size_t to, bool is_cut = true) { nodes_[from].is_cut[to] = is_cut; }
-  // Members of different groups do not hear each other.
+  // Drops all messages between members of different groups.
   void partition(const std::function<int(std::size_t)>& group_of) {
     for (std::size_t from = 0; from < size(); ++from) {
       for (std::size_t to = 0; to < size(); ++to) cut(from, to, group_of(from) != group_of(to));
@@ -132,8 +133,8 @@
   void run(Duration span) {
     run_until([] { return false; }, span);
   }
-  // Runs until `is_done`, which is checked every 10 ms, and returns how long that took; nothing: the limit
-  // was reached.
+  // Runs until `is_done`, which is checked every 10 ms, holds, and returns the time that took; nothing if the
+  // limit was reached.
   std::optional<Duration> run_until(const std::function<bool()>& is_done, Duration limit) {
     const Time start = now_;
     const Time end = now_ + limit;
@@ -151,9 +152,9 @@
     }
   }
 
-  NetworkSettings network;                                       // may be changed while it runs
-  std::function<std::size_t(const SimulatedDatagram&)> size_of;  // bytes of a datagram, to count those sent
-  std::function<void(MemberId)> on_event;                        // a member has handled an event
+  NetworkSettings network;                                       // May be changed during a run.
+  std::function<std::size_t(const SimulatedDatagram&)> size_of;  // The bytes of a datagram, to count them.
+  std::function<void(MemberId)> on_event;                        // Called after a member handled an event.
 
  private:
   static constexpr Duration kCheckInterval{10'000};
@@ -164,19 +165,19 @@
     std::uint64_t order;
     EventKind kind;
     std::size_t to;
-    std::size_t from;       // of a message
-    std::uint64_t process;  // of a tick or a resumption: the process that scheduled it
+    std::size_t from;       // The sender of a message.
+    std::uint64_t process;  // The process that scheduled a tick or a resumption.
     std::optional<SimulatedDatagram> datagram;
-    bool operator<(const Event& other) const {  // the earliest is at the top of the queue
+    bool operator<(const Event& other) const {  // The earliest is at the top of the queue.
       return std::tie(other.at, other.order) < std::tie(at, order);
     }
   };
   struct Node {
     std::unique_ptr<SimulatedMember> member;
-    std::vector<bool> is_cut;  // towards each other member
+    std::vector<bool> is_cut;  // For each receiver, whether messages to it are dropped.
     bool is_stalled = false;
-    std::deque<std::pair<std::size_t, SimulatedDatagram>> inbox;  // with the sender
-    std::uint64_t process = 0;                                    // number of the last one that was started
+    std::deque<std::pair<std::size_t, SimulatedDatagram>> inbox;  // Each with its sender.
+    std::uint64_t process = 0;                                    // The number of the current process.
     Time tick_at{};
     std::uint64_t sent_bytes = 0;
     std::uint64_t sent_messages = 0;
@@ -202,7 +203,7 @@
       if (size_of) sender.sent_bytes += size_of(datagram);
       if (datagram.to >= size() || sender.is_cut[datagram.to] || happens(network.loss)) continue;
       for (int copies = happens(network.duplication) ? 2 : 1; copies > 0; --copies) {
-        const Duration most = happens(network.straggling) ? network.max_straggler_delay : network.max_delay;
+        const Duration most = happens(network.long_delay) ? network.max_long_delay : network.max_delay;
         const Duration delay(
             std::uniform_int_distribution<Duration::rep>(network.min_delay.count(), most.count())(random_));
         schedule({now_ + delay, 0, EventKind::kMessage, datagram.to, from, 0, datagram});
@@ -229,7 +230,7 @@
         handle_message(event);
         return;
       case EventKind::kTick:
-        // A tick that was scheduled before an earlier one became due is void.
+        // A tick that has been rescheduled is ignored.
         if (!node.is_stalled && event.at == node.tick_at) tick(event.to);
         return;
       case EventKind::kResume:
@@ -249,7 +250,7 @@
   void resume(std::size_t id) {
     Node& node = nodes_[id];
     node.is_stalled = false;
-    // An event loop may handle its timers first or its sockets.
+    // An event loop may handle timers or sockets first.
     const bool ticks_first = happens(0.5);
     if (ticks_first) tick(id);
     const auto inbox = std::exchange(node.inbox, {});
@@ -257,7 +258,7 @@
     if (!ticks_first) tick(id);
   }
 
-  MemberSetup setup_;
+  MemberFactory factory_;
   std::mt19937_64 random_;
   std::vector<Node> nodes_;
   std::priority_queue<Event> events_;
--- a/tests/cluster/membership_fixture.h
+++ b/tests/cluster/membership_fixture.h
@@ -1,4 +1,4 @@
-// What the tests of Membership share.
+// Settings and member filters that the tests of Membership share.
 #pragma once
 
 #include <cstddef>
@@ -19,8 +19,8 @@
 
 // Selects members.
 using MemberFilter = std::function<bool(std::size_t member)>;
-inline bool anyone(std::size_t) { return true; }
-inline bool nobody(std::size_t) { return false; }
+inline bool any_member(std::size_t) { return true; }
+inline bool no_member(std::size_t) { return false; }
 inline MemberFilter only(std::size_t member) {
   return [member](std::size_t other) { return other == member; };
 }
--- a/tests/cluster/message_authenticator_test.cpp
+++ b/tests/cluster/message_authenticator_test.cpp
@@ -1,4 +1,4 @@
-// Authentication of datagrams, and the file that holds the key.
+// Tests the authentication of datagrams and the key file.
 #include "cluster/transport/message_authenticator.h"
 
 #include <sys/stat.h>
@@ -24,7 +24,8 @@
   return reason ? std::optional(*reason) : std::nullopt;
 }
 
-TEST_CASE("message authenticator: HMAC-SHA256 as in RFC 4231, changes of keys, and the receiver") {
+TEST_CASE(
+    "message authenticator: codes match RFC 4231, any configured key verifies, another receiver fails") {
   const MessageAuthenticator authenticator({std::string(131, '\xaa')});
   CHECK(authenticator.sign("Test Using Larger Than Block-Size", " Key - Hash Key First") ==
         "\x60\xe4\x31\x59\x1e\xe0\xb6\x7f\x0d\x8a\x26\xaa\xcb\xf5\xb7\x7f");
--- a/tests/cluster/peer_network.h
+++ b/tests/cluster/peer_network.h
@@ -1,4 +1,4 @@
-// Members with real sockets, and a fault-injecting network between them.
+// Members with real sockets and a fault-injecting network between them.
 #pragma once
 
 #include <cstddef>
@@ -13,7 +13,7 @@
 
 namespace rookproxy::cluster::transport {
 
-// Each member sends to the network's addresses, which forward to the others.
+// Each member sends to proxy addresses of the network, which forward to the other members.
 struct PeerNetwork {
   using Node = test::NodeId;
 
@@ -36,8 +36,9 @@
     }
   }
 
-  // Whether so many datagrams have come that way, and all that the network forwards have arrived.
-  bool is_settled(Node from, Node to, std::uint64_t datagrams) {
+  // Whether the network has received this number of datagrams on the link, and has delivered all that it
+  // forwards.
+  bool has_delivered(Node from, Node to, std::uint64_t datagrams) {
     const auto& statistics = network.statistics(from, to);
     const bool is_forwarded = statistics.datagrams_forwarded + statistics.datagrams_dropped ==
                               statistics.datagrams_received + statistics.datagrams_duplicated;
@@ -48,7 +49,7 @@
   EventLoop loop;
   test::FaultInjectingNetwork network;
   std::vector<std::unique_ptr<PeerSocket>> sockets;
-  std::vector<std::vector<Envelope>> received;  // by each member
+  std::vector<std::vector<Envelope>> received;  // The envelopes delivered to each member.
 };
 
 }  // namespace rookproxy::cluster::transport
--- a/tests/cluster/peer_socket_test.cpp
+++ b/tests/cluster/peer_socket_test.cpp
@@ -1,4 +1,4 @@
-// The socket between dispatchers, with real datagrams.
+// Tests the socket between dispatchers with real datagrams.
 #include "cluster/transport/peer_socket.h"
 
 #include <sys/socket.h>
@@ -28,7 +28,7 @@
 const std::string kKey(32, 'k');
 const std::string kOtherKey(40, 'o');
 
-// A bare socket, which sends any bytes.
+// A plain socket that can send any bytes.
 struct RawPeer {
   FileDescriptor socket = bind_udp({0x7f000001, 0});
   SocketAddress address() const { return {0x7f000001, local_port(socket)}; }
@@ -40,44 +40,44 @@
 };
 
 TEST_CASE(
-    "peer socket: only what is a peer's, authenticated and new is delivered, the rest counted by reason") {
+    "peer socket: only new, authenticated datagrams of peers are delivered, others are counted by reason") {
   EventLoop loop;
   const RawPeer own;
   const RawPeer peer;
-  const RawPeer stranger;
-  const RawPeer third;
+  const RawPeer unknown_sender;
+  const RawPeer other_peer;
   TransportSettings settings{
-      {0x7f000001, 0}, {own.address(), peer.address(), third.address()}, 0, {}, {kKey}};
+      {0x7f000001, 0}, {own.address(), peer.address(), other_peer.address()}, 0, {}, {kKey}};
   std::vector<Envelope> received;
   PeerSocket socket(loop, settings, 1, [&](const Envelope& envelope) { received.push_back(envelope); });
   const auto fingerprint = member_list_fingerprint(settings.members);
-  const Codec good(fingerprint, 1, 3, {kKey});
-  const Codec bad_key(fingerprint, 1, 3, {kOtherKey});
-  const Codec bad_fingerprint(fingerprint + 1, 1, 3, {kKey});
+  const Codec valid_codec(fingerprint, 1, 3, {kKey});
+  const Codec wrong_key(fingerprint, 1, 3, {kOtherKey});
+  const Codec wrong_fingerprint(fingerprint + 1, 1, 3, {kKey});
   const auto now = static_cast<Incarnation>(monotonic_now().time_since_epoch().count());
   const auto send = [&](const RawPeer& from, const Codec& codec, MemberId sender, Incarnation incarnation,
                         std::uint64_t sequence) {
     from.send(socket.local(),
               std::get<std::string>(codec.encode({sender, incarnation, sequence, Ping{7}, {}}, 0)));
   };
-  send(own, good, 0, now, 1);
-  send(stranger, good, 1, now, 1);
-  send(peer, bad_key, 1, now, 1);
-  send(peer, bad_fingerprint, 1, now, 1);
-  send(third, good, 1, now, 1);
-  send(peer, good, 1, now + 3'600'000'000, 1);
-  send(peer, good, 1, now, 100);
-  send(peer, good, 1, now, 100);
-  send(peer, good, 1, now, 36);
-  send(peer, good, 1, now - 1, 101);
+  send(own, valid_codec, 0, now, 1);
+  send(unknown_sender, valid_codec, 1, now, 1);
+  send(peer, wrong_key, 1, now, 1);
+  send(peer, wrong_fingerprint, 1, now, 1);
+  send(other_peer, valid_codec, 1, now, 1);
+  send(peer, valid_codec, 1, now + 3'600'000'000, 1);
+  send(peer, valid_codec, 1, now, 100);
+  send(peer, valid_codec, 1, now, 100);
+  send(peer, valid_codec, 1, now, 36);
+  send(peer, valid_codec, 1, now - 1, 101);
   peer.send(socket.local(), std::string(257, 'x'));
   peer.send(socket.local(), "");
-  send(peer, good, 1, now + 1, 1);
+  send(peer, valid_codec, 1, now + 1, 1);
   REQUIRE(test::run_script(loop, {{[&] { return socket.metrics().received == 13; },
                                    [&] {
                                      socket.set_keys({kOtherKey, kKey});
-                                     send(peer, bad_key, 1, now + 1, 2);
-                                     send(peer, good, 1, now + 1, 3);
+                                     send(peer, wrong_key, 1, now + 1, 2);
+                                     send(peer, valid_codec, 1, now + 1, 3);
                                    }},
                                   {[&] { return socket.metrics().received == 15; }}}));
   const TransportMetrics& metrics = socket.metrics();
@@ -98,7 +98,7 @@
   CHECK(received[1].incarnation == now + 1);
 }
 
-TEST_CASE("peer socket: a flood is read in many iterations of the loop") {
+TEST_CASE("peer socket: a flood is read in batches of 64 datagrams per iteration of the loop") {
   EventLoop loop;
   const RawPeer peer;
   int in_iteration = 0;
@@ -114,7 +114,7 @@
   CHECK(most_in_iteration == 64);
 }
 
-TEST_CASE("peer socket: over the rate limit it sends nothing, and a part is reserved for consensus") {
+TEST_CASE("peer socket: sending above the rate limit fails, and a quarter is reserved for consensus") {
   EventLoop loop;
   const RawPeer peer;
   TransportSettings settings{{0x7f000001, 0}, {{0x7f000001, 1}, peer.address()}, 0, {}, {}, 2048};
@@ -123,12 +123,12 @@
       [](MemberId, std::size_t limit) {
         return std::vector<GossipUpdate>(limit + 3, GossipUpdate{1, ~0ull, {}});
       });
-  // All at one time of the loop's clock, so that the limiter gains no tokens in between.
+  // All messages are sent at the same loop time, so that the limiter gains no tokens in between.
   int probes = 0;
   int queries = 0;
   while (!socket.send(1, Ping{1})) ++probes;
   while (!socket.send(1, RecoveryQuery{1, 1})) ++queries;
-  CHECK(probes == 7);  // about 210 bytes each; 256 and a quarter of 2,048 must be left before each
+  CHECK(probes == 7);  // Of about 210 bytes; before each, 256 bytes and a quarter of 2,048 must be left.
   CHECK(queries == 2);
   CHECK(socket.send(1, Ping{1}) == DropReason::kRateLimited);
   CHECK(socket.metrics().count(DropReason::kRateLimited) == 3);
@@ -136,7 +136,7 @@
   CHECK(socket.metrics().sent_bytes <= 2048);
   CHECK(socket.send(0, Ping{1}) == DropReason::kOwnMessage);
   CHECK(socket.send(2, Ping{1}) == DropReason::kUnknownMember);
-  // A second later there is one second's worth, and no more.
+  // After more than a second, the tokens of one second are available.
   const Time start = loop.now();
   REQUIRE(test::run_script(loop, {{[&] { return loop.now() >= start + 1100ms; },
                                    [&] {
@@ -146,7 +146,7 @@
   CHECK(queries == 9);
 }
 
-TEST_CASE("peer socket: it waits for a port that its predecessor still has") {
+TEST_CASE("peer socket: binding is retried until the predecessor releases the port") {
   EventLoop loop;
   RawPeer predecessor;
   const SocketAddress own = predecessor.address();
@@ -173,7 +173,7 @@
   }
 }
 
-TEST_CASE("peer socket: a message for all reaches every other member, in one datagram or in many") {
+TEST_CASE("peer socket: a message to all reaches every other member, with and without a broadcast address") {
   for (const bool has_broadcast_address : {true, false}) {
     PeerNetwork net(1, 4, has_broadcast_address);
     CHECK_FALSE(net.sockets[2]->send_all(RecoveryQuery{5, 6}));
--- a/tests/cluster/replay_window_test.cpp
+++ b/tests/cluster/replay_window_test.cpp
@@ -1,4 +1,4 @@
-// Which datagrams count as new.
+// Tests which datagrams are accepted as new.
 #include "cluster/replay_window.h"
 
 #include <array>
@@ -11,7 +11,8 @@
 
 using namespace std::chrono_literals;
 
-TEST_CASE("replay window: a datagram is new once, within the window, and never of a former process") {
+TEST_CASE(
+    "replay window: a datagram is accepted once, within the window, and never from an earlier process") {
   using Result = ReplayWindow::Result;
   const Time now(1'000'000s);
   const auto incarnation_at = [&](Duration offset) {
@@ -56,8 +57,7 @@
   for (std::size_t i = 0; i < counts.size(); ++i) CHECK(window.count(static_cast<Result>(i)) == counts[i]);
 }
 
-TEST_CASE(
-    "replay window: of duplicates in random order none is new twice, and those in the window are new once") {
+TEST_CASE("replay window: in random order each sequence number within the window is accepted exactly once") {
   std::mt19937_64 random(5);
   ReplayWindow window(1, 60s);
   std::set<std::uint64_t> accepted;
