--- a/src/upstream/connect_retry.h
+++ b/src/upstream/connect_retry.h
@@ -1,22 +1,23 @@
-// Whether an attempt whose connection ended before a byte of it had left is tried on another connection.
+// Decides whether an attempt is retried on another connection after its connection closed before any byte of
+// it was sent.
 #pragma once
 
 namespace rookproxy {
 
-// How a connection ended under an attempt that was never sent.
-struct NeverSentAttempt {
-  // Connections that ended under this attempt so far, this one included.
+// Describes how a connection closed while it carried an attempt that was not sent.
+struct UnsentAttempt {
+  // The number of connections that closed under this attempt so far, including this one.
   int failed_connections = 0;
-  // The connection was set up, and not draining.
+  // True if the connection was established and not draining.
   bool connection_was_usable = false;
-  // Other connections to the same engine have lately received something.
+  // True if other connections to the same engine received data recently.
   bool other_connections_respond = false;
 };
 
-// A connection that is reset while it is new or idle says nothing against its engine, nor does one more that
-// the engine refuses while others to it work. Only what fails repeatedly, or is refused with nothing else
-// working there, is reported.
-[[nodiscard]] constexpr bool should_retry_connection(const NeverSentAttempt& attempt) {
+// A reset of a new or idle connection does not indicate a failing engine, and neither does one refused
+// connection while others to the same engine work. A failure is reported only if it repeats, or if a
+// connection is refused and no other connection to the engine responds.
+[[nodiscard]] constexpr bool should_retry_connection(const UnsentAttempt& attempt) {
   constexpr int kMaxFailedConnections = 3;
   if (attempt.failed_connections >= kMaxFailedConnections) return false;
   return attempt.connection_was_usable || attempt.other_connections_respond;
--- a/src/upstream/connection_pool.cpp
+++ b/src/upstream/connection_pool.cpp
@@ -17,7 +17,7 @@
 namespace rookproxy {
 namespace {
 
-constexpr Duration kCapacityRetryInterval = std::chrono::milliseconds(5);
+constexpr Duration kResourceRetryInterval = std::chrono::milliseconds(5);
 
 }  // namespace
 
@@ -42,7 +42,7 @@
   return found == assignments_.end() ? nullptr : find_connection(found->second.connection);
 }
 
-// The connection with the fewest streams taken, of those that have capacity.
+// Returns the connection with the lowest occupancy among those that have capacity, or null.
 EngineConnection* ConnectionPool::select_connection(EngineId engine, const Query* query) {
   EngineConnection* best = nullptr;
   for (const SlotKey key : engines_[engine].connections) {
@@ -53,11 +53,11 @@
   return best;
 }
 
-// Any engine's idle connection makes room for another.
+// Closes one idle connection of any engine to free its descriptor. Returns false if none is idle.
 bool ConnectionPool::close_idle_connection() {
   for (const SlotKey key : connections_.keys()) {
     if (find_connection(key)->is_idle()) {
-      close_connection(key, "room for another");
+      close_connection(key, "idle connection closed to make room for a new one");
       return true;
     }
   }
@@ -70,7 +70,7 @@
   }
   FileDescriptor socket = connect_tcp(engines_[engine].address);
   while (!socket) {
-    // A connect that would block at once has found no free local port.
+    // connect() fails with EAGAIN when no local port is free.
     if (!is_resource_exhaustion(errno) && errno != EAGAIN) return {nullptr, OpenError::kRefused};
     if (!close_idle_connection()) return {nullptr, OpenError::kResourcesExhausted};
     socket = connect_tcp(engines_[engine].address);
@@ -85,9 +85,9 @@
 
 void ConnectionPool::send(const AttemptRequest& request) { assign(request, {0, loop_.now(), 0}); }
 
-// What is open on a connection ends with it, and one malformed response must not cost many requests. So few
-// attempts share a connection, and none that writes, since it can't be sent again, as far as there are
-// descriptors.
+// All open attempts of a connection fail when it closes, for example after one malformed response. While
+// descriptors are available, only a few attempts therefore share a connection, and an attempt that writes
+// shares none because it can't be repeated.
 OpenResult ConnectionPool::select_or_open(const AttemptRequest& request, const Assignment& assignment) {
   if (request.engine >= engines_.size()) return {};
   EngineConnection* shared = select_connection(request.engine, request.query.get());
@@ -109,7 +109,7 @@
   if (exhausted && loop_.now() - assignment.submitted_at < limits_.connect_timeout) {
     return wait_for_capacity(request, assignment);
   }
-  // An engine that refuses at once has answered. That this process has no room says nothing about the engine.
+  // A refused connection is reported as a failure of the engine; a lack of local resources is not.
   report_outcome_later(request.key, exhausted ? Outcome::kNotSent : Outcome::kConnectFailed);
 }
 
@@ -118,7 +118,7 @@
   assignments_[request.key] = assignment;
   waiting_.push_back(request);
   if (!waiting_timer_.is_set()) {
-    waiting_timer_.set(loop_.now() + kCapacityRetryInterval, [this] { assign_waiting(); });
+    waiting_timer_.set(loop_.now() + kResourceRetryInterval, [this] { assign_waiting(); });
   }
 }
 
@@ -126,7 +126,7 @@
   waiting_timer_.mark_as_run();
   for (const AttemptRequest& request : std::exchange(waiting_, {})) {
     const auto found = assignments_.find(request.key);
-    if (found == assignments_.end()) continue;  // cancelled meanwhile
+    if (found == assignments_.end()) continue;  // The attempt was cancelled while it waited.
     const Assignment assignment = found->second;
     if (callbacks_.may_start(request.key)) {
       assign(request, assignment);
@@ -141,23 +141,23 @@
   callbacks_.on_attempt_ended(key, std::move(result));
 }
 
-// Reported in a deferred task, since this may be called from within a call of the dispatcher's.
+// Reports in a deferred task, because the dispatcher may be in the middle of a call to this pool.
 void ConnectionPool::report_outcome_later(AttemptKey key, Outcome outcome) {
   assignments_.erase(key);
   loop_.defer([this, key, outcome] { callbacks_.on_attempt_ended(key, {outcome, std::nullopt, ""}); });
 }
 
-bool ConnectionPool::has_responsive_connection(EngineId engine, const EngineConnection& besides) {
+bool ConnectionPool::has_responsive_connection(EngineId engine, const EngineConnection& excluded) {
   const std::vector<SlotKey>& keys = engines_[engine].connections;
   return std::any_of(keys.begin(), keys.end(), [&](SlotKey key) {
     const EngineConnection* other = find_connection(key);
-    return other != &besides && !other->is_draining() &&
+    return other != &excluded && !other->is_draining() &&
            loop_.now() - other->last_activity() < limits_.connect_timeout;
   });
 }
 
-void ConnectionPool::retry_never_sent(const EngineConnection& from, const AttemptRequest& request,
-                                      std::string_view reason) {
+void ConnectionPool::retry_unsent_attempt(const EngineConnection& from, const AttemptRequest& request,
+                                          std::string_view reason) {
   const auto found = assignments_.find(request.key);
   if (found == assignments_.end()) return;
   Assignment assignment = found->second;
@@ -169,7 +169,7 @@
   }
   found->second.connection = 0;
   loop_.defer([this, request, assignment] {
-    if (!assignments_.contains(request.key)) return;  // cancelled meanwhile
+    if (!assignments_.contains(request.key)) return;  // The attempt was cancelled in the meantime.
     if (!callbacks_.may_start(request.key)) return report_outcome_later(request.key, Outcome::kNotSent);
     assign(request, assignment);
   });
@@ -188,8 +188,9 @@
   const Assignment assignment = found->second;
   EngineConnection* connection = find_connection(assignment.connection);
   assignments_.erase(found);
-  if (!connection) return assignment.connection == 0;  // between two connections: no byte has left
-  // If a response was lost on its way, so may the connection be.
+  // An attempt without a connection has not been sent.
+  if (!connection) return assignment.connection == 0;
+  // The connection may be broken if it received nothing since the attempt was submitted.
   const bool nothing_received = connection->last_activity() < assignment.submitted_at;
   if (nothing_received && loop_.now() - assignment.submitted_at >= limits_.cancel_unresponsive_timeout) {
     connection->drain();
@@ -234,14 +235,15 @@
 void ConnectionPool::set_engine_address(EngineId engine, const SocketAddress& address) {
   while (engines_.size() <= engine) engines_.emplace_back(loop_);
   engines_[engine].address = address;
-  engines_[engine].takes_no_attempts = false;
-  drain_connections(engine);  // another process answers there now
+  engines_[engine].attempts_stopped = false;
+  // The old connections lead to the process at the previous address.
+  drain_connections(engine);
 }
 
 void ConnectionPool::drain_connections(EngineId engine) {
   for (const SlotKey key : std::vector<SlotKey>(engines_[engine].connections)) {
     if (EngineConnection* connection = find_connection(key)) {
-      connection->end_never_sent();
+      connection->end_unsent_attempts();
       connection->drain();
       connection->schedule_idle_close();
     }
@@ -250,7 +252,7 @@
 
 void ConnectionPool::stop_new_attempts(EngineId engine) {
   if (engine >= engines_.size()) return;
-  engines_[engine].takes_no_attempts = true;
+  engines_[engine].attempts_stopped = true;
   std::size_t open_attempts = 0;
   for (const SlotKey key : engines_[engine].connections)
     open_attempts += find_connection(key)->open_attempts();
@@ -261,11 +263,12 @@
   drain_connections(engine);
 }
 
-// An engine that takes no attempts is still told what concerns those that run there.
+// Commands about attempts that still run are sent to an engine even after it stopped taking new attempts;
+// they are logged.
 void ConnectionPool::log_command(const EngineConnection& connection, std::string_view command,
                                  std::string_view request) {
   const Engine& engine = engines_[connection.engine()];
-  if (!engine.takes_no_attempts || !late_command_log_budget_.allow(loop_.now())) return;
+  if (!engine.attempts_stopped || !late_command_log_limiter_.allow(loop_.now())) return;
   log_.write(LogLevel::kInfo, "link", "command to an engine that takes no new attempts",
              {{"engine", engine.address.to_string()},
               {"command", std::string(command)},
@@ -273,7 +276,8 @@
 }
 
 void ConnectionPool::log_unresponsive(const EngineConnection& connection) {
-  log_.write(LogLevel::kNotice, "link", "connection fell silent",
+  log_.write(LogLevel::kNotice, "link",
+             "connection with open attempts received nothing within the unresponsive timeout; draining it",
              {{"engine", engines_[connection.engine()].address.to_string()}});
 }
 
@@ -296,7 +300,7 @@
     callbacks_.on_probe_ended(engine, was_connected ? Outcome::kConnectionLost : Outcome::kConnectFailed,
                               std::nullopt);
   }
-  // It may be in the middle of a call of its own: destroyed once this iteration's calls are through.
+  // The connection may be in the middle of one of its own calls, so it is destroyed in a deferred task.
   auto closed = std::make_shared<std::unique_ptr<EngineConnection>>(std::move(*connections_.take(key)));
   loop_.defer([closed] {});
 }
--- a/src/upstream/connection_pool.h
+++ b/src/upstream/connection_pool.h
@@ -1,5 +1,5 @@
-// The connections to engines: which one an attempt goes to, when one is opened or closed, and what becomes of
-// attempts that could not be sent.
+// Manages the connections to engines: selects a connection for each attempt, opens and closes connections,
+// and handles attempts that could not be sent.
 #pragma once
 
 #include <cstddef>
@@ -26,20 +26,24 @@
 
 namespace rookproxy {
 
-// Why a connection could not be opened.
+// The reason why a connection could not be opened.
 enum class OpenError {
-  kRefused,            // at once, by the engine or on the way to it
-  kResourcesExhausted  // this process has no descriptor, memory or port for it, or is at its limit
+  // The engine or the network refused the connection immediately.
+  kRefused,
+  // This process has no free descriptor, memory or port, or has reached its connection limit.
+  kResourcesExhausted
 };
 
-// A connection, or why there is none.
+// The result of opening a connection: the connection, or the error.
 struct OpenResult {
-  EngineConnection* connection = nullptr;  // owned by the pool
-  OpenError error = OpenError::kRefused;   // of no meaning with a connection
+  // The pool owns the connection. Null if none could be opened.
+  EngineConnection* connection = nullptr;
+  // Meaningful only if `connection` is null.
+  OpenError error = OpenError::kRefused;
 };
 
-// Carries attempts over connections of one protocol, which a subclass makes. Belongs to the loop's thread;
-// whatever it is constructed with must outlive it.
+// Sends attempts over connections of one protocol; a subclass creates the connections. Must be used on the
+// event loop's thread. Everything passed to the constructor by reference must outlive the pool.
 class ConnectionPool : public EngineTransport {
  public:
   ConnectionPool(EventLoop& loop, Logger& log, EngineTransportCallbacks& callbacks, Metrics& metrics,
@@ -55,54 +59,58 @@
   void probe(EngineId engine) override;
   void set_engine_address(EngineId engine, const SocketAddress& address) override;
   void stop_new_attempts(EngineId engine) override;
-  // Replaces the limits; what is open beyond them is left to end.
+  // Replaces the limits. Connections and attempts that exceed the new limits are left to end.
   void update_limits(const PoolLimits& limits) { limits_ = limits; }
-  // How many attempts were sent here and have neither ended nor been cancelled.
+  // Returns the number of attempts that were submitted and have neither ended nor been cancelled.
   [[nodiscard]] std::size_t attempts_in_flight() const { return assignments_.size(); }
 
  protected:
-  // A connection of the subclass's protocol, not opened.
+  // Creates a connection of the subclass's protocol without opening it.
   virtual std::unique_ptr<EngineConnection> create_connection(SlotKey key, EngineId engine) = 0;
-  // The most bytes of a response that a connection buffers.
+  // Returns the maximum number of response bytes that a connection buffers.
   [[nodiscard]] virtual std::size_t input_limit() const = 0;
-  // Starts to connect to an engine that has an address.
+  // Starts to connect to an engine whose address is known.
   [[nodiscard]] OpenResult open_connection(EngineId engine);
 
  private:
   friend class EngineConnection;
 
-  // Where an attempt is.
+  // Records which connection carries an attempt.
   struct Assignment {
-    SlotKey connection = 0;  // 0: between two connections
-    Time submitted_at;       // when the dispatcher sent it
-    // Connections that ended before a byte of it had left.
+    // 0 while the attempt waits for a connection.
+    SlotKey connection = 0;
+    // When the dispatcher submitted the attempt.
+    Time submitted_at;
+    // The number of connections that closed before any byte of the attempt was sent.
     int failed_connections = 0;
   };
-  // An engine that has, or had, an address.
+  // The state of an engine whose address is or was known.
   struct Engine {
     explicit Engine(EventLoop& loop) : probe_timer(loop) {}
     SocketAddress address;
     std::vector<SlotKey> connections;
     Timer probe_timer;
-    bool takes_no_attempts = false;  // removed, or near the end of its drain grace period
+    // True if the engine was removed or its drain grace period is about to end.
+    bool attempts_stopped = false;
   };
 
-  // Called by connections.
+  // These functions are called by the connections.
   void complete_attempt(AttemptKey key, AttemptResult result);
   void report_outcome_later(AttemptKey key, Outcome outcome);
-  void retry_never_sent(const EngineConnection& from, const AttemptRequest& request, std::string_view reason);
+  void retry_unsent_attempt(const EngineConnection& from, const AttemptRequest& request,
+                            std::string_view reason);
   void complete_probe(EngineId engine, Outcome outcome, const std::optional<LoadReport>& report);
   void close_connection(SlotKey key, std::string_view reason);
   void log_unresponsive(const EngineConnection& connection);
   void log_command(const EngineConnection& connection, std::string_view command, std::string_view request);
-  // The connections to the engine take no more attempts, and end once what runs on them has ended.
+  // Drains all connections to the engine: they take no new attempts and close once their open attempts end.
   void drain_connections(EngineId engine);
 
   [[nodiscard]] EngineConnection* find_connection(SlotKey key);
   [[nodiscard]] EngineConnection* find_connection_of(AttemptKey key);
   [[nodiscard]] EngineConnection* select_connection(EngineId engine, const Query* query);
   [[nodiscard]] OpenResult select_or_open(const AttemptRequest& request, const Assignment& assignment);
-  [[nodiscard]] bool has_responsive_connection(EngineId engine, const EngineConnection& besides);
+  [[nodiscard]] bool has_responsive_connection(EngineId engine, const EngineConnection& excluded);
   void assign(const AttemptRequest& request, Assignment assignment);
   void wait_for_capacity(const AttemptRequest& request, Assignment assignment);
   void assign_waiting();
@@ -117,12 +125,12 @@
   std::vector<Engine> engines_;
   SlotMap<std::unique_ptr<EngineConnection>> connections_;
   std::map<AttemptKey, Assignment> assignments_;
-  // Attempts that wait until a connection can be opened, each for the connect timeout at most; bounded by the
-  // requests that the dispatcher has open.
+  // Attempts that wait until a connection can be opened, each for at most the connect timeout. Their number
+  // is bounded by the dispatcher's open requests.
   std::deque<AttemptRequest> waiting_;
   Timer waiting_timer_;
   static constexpr int kLateCommandLinesPerSecond = 10;
-  LogRateLimiter late_command_log_budget_{kLateCommandLinesPerSecond};
+  LogRateLimiter late_command_log_limiter_{kLateCommandLinesPerSecond};
 };
 
 }  // namespace rookproxy
--- a/src/upstream/engine_connection.cpp
+++ b/src/upstream/engine_connection.cpp
@@ -90,14 +90,15 @@
 }
 
 void EngineConnection::complete_probe(Outcome outcome, const std::optional<LoadReport>& report) {
-  if (!probing_) return;  // its timeout was reported already
+  // The probe has already been reported as timed out.
+  if (!probing_) return;
   pool_.complete_probe(engine_, outcome, report);
 }
 
 void EngineConnection::fail_connection(std::string_view reason) { pool_.close_connection(key_, reason); }
 
-void EngineConnection::retry_never_sent(const AttemptRequest& request, std::string_view reason) {
-  pool_.retry_never_sent(*this, request, reason);
+void EngineConnection::retry_unsent_attempt(const AttemptRequest& request, std::string_view reason) {
+  pool_.retry_unsent_attempt(*this, request, reason);
 }
 
 bool EngineConnection::may_start(const AttemptRequest& request) {
@@ -106,12 +107,13 @@
   return false;
 }
 
-// A response that stops halfway keeps all others on its connection waiting behind it.
+// An incomplete response blocks all other responses on its connection.
 void EngineConnection::set_response_deadline(Time deadline) {
   if (std::exchange(response_deadline_, deadline) == deadline) return;
   response_timer_.cancel();
   if (deadline == Time::max()) return;
-  response_timer_.set(deadline, [this] { pool_.close_connection(key_, "an answer that stopped halfway"); });
+  response_timer_.set(deadline,
+                      [this] { pool_.close_connection(key_, "response not complete within its deadline"); });
 }
 
 void EngineConnection::release_attempt() {
--- a/src/upstream/engine_connection.h
+++ b/src/upstream/engine_connection.h
@@ -1,4 +1,4 @@
-// One connection to an engine, whatever protocol it speaks.
+// The protocol-independent part of a connection to an engine.
 #pragma once
 
 #include <cstddef>
@@ -25,9 +25,9 @@
 
 class ConnectionPool;
 
-// The state that every connection has; a subclass speaks the protocol. It is owned by the pool, belongs to
-// the loop's thread, and is destroyed in a deferred task, since it may be closed in the middle of a call of
-// its own.
+// Holds the state common to all protocols; a subclass implements the protocol. The pool owns the connection,
+// which must be used on the event loop's thread. It is destroyed in a deferred task, because it may be closed
+// in the middle of one of its own calls.
 class EngineConnection : public StreamHandler {
  public:
   EngineConnection(ConnectionPool& pool, SlotKey key, EngineId engine);
@@ -35,21 +35,22 @@
   EngineConnection(const EngineConnection&) = delete;
   EngineConnection& operator=(const EngineConnection&) = delete;
 
-  // Takes ownership of a socket that connects, and closes the connection if it has not connected in time.
+  // Takes ownership of a connecting socket. Closes the connection if it is not established within the connect
+  // timeout.
   void open(FileDescriptor socket, std::size_t input_limit);
   // Sends the attempt, or queues it until it can be sent.
   void assign(const AttemptRequest& request);
-  // Starts a probe; its result goes to the pool's callbacks.
+  // Starts a probe. Its result is reported to the pool's callbacks.
   void start_probe();
-  // True if a probe was running, which is then over.
+  // Ends the running probe. Returns false if there was none.
   [[nodiscard]] bool end_probe();
-  // Takes no more attempts from here on, and is closed once none is open.
+  // Stops taking attempts; the connection is closed once none is open.
   void drain() { draining_ = true; }
-  // Closes the connection once it has been idle for long enough, or at once if it is draining.
+  // Closes the connection after the idle timeout, or immediately if it is draining.
   void schedule_idle_close();
-  // Stops all timers: nothing may be called back on a connection that was closed.
+  // Stops all timers, so that no callback runs on a closed connection.
   void cancel_timers();
-  // Ends everything that is open, and the stream.
+  // Ends all open attempts and closes the stream.
   void close(std::string_view reason);
 
   [[nodiscard]] SlotKey key() const { return key_; }
@@ -58,62 +59,64 @@
   [[nodiscard]] bool is_draining() const { return draining_; }
   [[nodiscard]] bool is_probing() const { return probing_; }
   [[nodiscard]] bool is_connected() const { return stream_->is_connected(); }
-  // Nothing is open on it, and it is not being set up.
+  // True if no attempt or probe is open and the connection is established.
   [[nodiscard]] bool is_idle() const { return open_attempts_ == 0 && !probing_ && !connect_timer_.is_set(); }
-  // True if it has room for an attempt of this query; none: for a probe.
+  // Returns true if the connection can take an attempt of `query`, or a probe if `query` is null.
   [[nodiscard]] bool has_capacity_for(const Query* query) const;
-  // How many streams are taken: an attempt that writes counts as all that the pool prefers to share one
-  // connection, which keeps others off it while there are more connections to be had.
+  // Returns the number of streams in use. An attempt that writes counts as the preferred number of streams
+  // per connection, so that other attempts avoid this connection while more connections can be opened.
   [[nodiscard]] std::size_t occupancy() const;
   [[nodiscard]] Time last_activity() const { return responsiveness_.last_activity(); }
 
-  // The attempt is over for the dispatcher, and nothing is reported. True if no byte of it had left.
+  // Cancels the attempt without reporting an outcome. Returns true if no byte of it was sent.
   [[nodiscard]] virtual bool cancel_attempt(AttemptKey attempt) = 0;
-  // True once a byte of it was handed to the kernel.
+  // Returns true once a byte of the attempt was passed to the kernel.
   [[nodiscard]] virtual bool has_attempt_started(AttemptKey attempt) const = 0;
-  // Changes the priority of an open attempt, where the protocol can.
+  // Changes the priority of an open attempt if the protocol supports it.
   virtual void set_priority(AttemptKey, int) {}
-  // Ends, as not sent, the attempts of which no byte has left.
-  virtual void end_never_sent() = 0;
+  // Ends the attempts of which no byte was sent, with the outcome kNotSent.
+  virtual void end_unsent_attempts() = 0;
 
   void on_connected() override;
   void on_closed(std::string_view reason) final;
 
  protected:
-  // Sends the attempt, or queues it.
+  // Sends the attempt or queues it.
   virtual void start_attempt(const AttemptRequest& request) = 0;
-  // Asks the engine how it is.
+  // Sends a health check to the engine.
   virtual void probe() = 0;
-  // The stream is gone: every open attempt ends, by retry_never_sent() or complete_attempt().
+  // Called when the stream is closed. Must end every open attempt by retry_unsent_attempt() or
+  // complete_attempt().
   virtual void on_connection_lost(std::string_view reason) = 0;
-  // True if the protocol's state allows a further attempt of this query; none: a probe.
+  // Returns true if the protocol's state allows another attempt of the query, or a probe if it is null.
   [[nodiscard]] virtual bool can_accept(const Query*) const { return true; }
 
-  // Reports how an attempt ended.
+  // Reports the result of an attempt.
   void complete_attempt(AttemptKey attempt, AttemptResult result);
-  // Reports what an engine says of an attempt that runs.
+  // Reports an engine's update about a running attempt.
   void report_update(AttemptKey attempt, routing::AttemptUpdateKind kind, double amount);
-  // Reports the result of the probe; too late a one is ignored.
+  // Reports the result of the probe. A result after the probe's timeout is ignored.
   void complete_probe(Outcome outcome, const std::optional<LoadReport>& report);
-  // The peer broke the protocol, or the connection is of no more use: closes it.
+  // Closes the connection after a protocol error, or when it can't be used any more.
   void fail_connection(std::string_view reason);
-  // No byte of the attempt has left: it goes to another connection, or ends as one that provably never ran.
-  void retry_never_sent(const AttemptRequest& request, std::string_view reason);
-  // Asked right before an attempt's first byte is handed to the kernel. If not, the attempt is over here,
-  // which is reported after this call.
+  // Retries an attempt of which no byte was sent on another connection, or ends it as one that can't have
+  // run.
+  void retry_unsent_attempt(const AttemptRequest& request, std::string_view reason);
+  // Must be called immediately before the attempt's first byte is passed to the kernel. If it returns false,
+  // the attempt must not be sent; its outcome kNotSent is reported in a deferred task.
   [[nodiscard]] bool may_start(const AttemptRequest& request);
-  // What has come of a response has to be complete by then, or the connection is closed. Time::max(): nothing
-  // is expected.
+  // Closes the connection if the current response is not complete by `deadline`. Time::max() cancels the
+  // deadline.
   void set_response_deadline(Time deadline);
-  // One attempt less is open.
+  // Decrements the number of open attempts.
   void release_attempt();
-  // Something was received.
+  // Records that data was received.
   void record_activity() { responsiveness_.record_activity(); }
   [[nodiscard]] const PoolLimits& limits() const;
   [[nodiscard]] Time current_time() const;
-  // Logs a command about a request that is written to an engine that takes no new attempts.
+  // Logs a command about a request if it is sent to an engine that takes no new attempts.
   void log_command(std::string_view command, std::string_view request) const;
-  // Counts the attempts that were written to their last byte.
+  // Returns the counter of attempts that were passed to the kernel completely.
   [[nodiscard]] std::uint64_t* attempts_written_counter() const;
   [[nodiscard]] Stream& stream() { return *stream_; }
   [[nodiscard]] const Stream& stream() const { return *stream_; }
@@ -126,7 +129,8 @@
   EngineId engine_;
   std::unique_ptr<Stream> stream_;
   std::size_t open_attempts_ = 0;
-  bool carries_write_ = false;  // an attempt that can't be sent again is open
+  // True if an open attempt writes and so can't be repeated.
+  bool carries_write_ = false;
   bool draining_ = false;
   bool probing_ = false;
   RequestIdHistory request_ids_;
--- a/src/upstream/engine_statement_cache.h
+++ b/src/upstream/engine_statement_cache.h
@@ -1,4 +1,4 @@
-// The statements that a connection has prepared at its engine.
+// The prepared statements of one connection to an engine.
 #pragma once
 
 #include <cstddef>
@@ -10,18 +10,18 @@
 
 namespace rookproxy {
 
-// Maps the texts of prepared statements to the ids that the engine gave them, the most recently used first.
-// It sends nothing: who removes a statement has to close it at the engine.
+// An LRU cache that maps the text of a prepared statement to the id that the engine assigned. It sends
+// nothing: the caller must close removed statements at the engine.
 class EngineStatementCache {
  public:
-  // The id of that statement, which becomes the most recently used one; empty if it is not prepared.
+  // Returns the id of the statement and marks it as most recently used; empty if it is not prepared.
   [[nodiscard]] std::optional<std::uint32_t> use(const std::string& text);
   // Adds a statement as the most recently used one.
   void add(const std::string& text, std::uint32_t id);
-  // Drops a statement that the engine no longer knows.
+  // Removes a statement that the engine no longer knows.
   void remove(const std::string& text);
-  // Drops a statement, if it is there, and the least recently used one, if there are too many; returns the
-  // ids to be closed.
+  // Removes the statement if it is cached, and the least recently used one if the cache exceeds its limit.
+  // Returns the ids that must be closed at the engine.
   [[nodiscard]] std::vector<std::uint32_t> evict(const std::string& text);
 
  private:
--- a/src/upstream/line_protocol.cpp
+++ b/src/upstream/line_protocol.cpp
@@ -17,7 +17,7 @@
 constexpr int kLowestPriority = 0;
 constexpr int kHighestPriority = 3;
 
-// The words of a response's first line: id, kind, fields, length of the body.
+// The four words of a response's first line: id, kind, fields, and length of the body.
 using Words = std::array<std::string_view, 4>;
 
 template <class Visit>
@@ -29,7 +29,7 @@
   }
 }
 
-// Exactly so many words, none of them empty, separated by single spaces.
+// Splits a line into exactly four non-empty words separated by single spaces.
 std::optional<Words> split_words(std::string_view line) {
   Words words;
   for (std::size_t index = 0; index < words.size(); ++index) {
@@ -87,7 +87,7 @@
     const auto value = parse_number<double>(part.substr(colon + 1));
     if (!value) return;
     has_value = true;
-    // The platform's settings and its sockets may name a value differently; both names are known.
+    // A value may carry either its name on the wire or its name in the settings.
     if (name == "inflight" || name == "outstanding") report.active_queries = value;
     if (name == "queue" || name == "backlog") report.queries_waiting_for_memory = value;
     if (name == "util" || name == "utilization") report.cpu_utilization = value;
--- a/src/upstream/line_protocol.h
+++ b/src/upstream/line_protocol.h
@@ -1,5 +1,5 @@
-// The platform's line protocol between dispatchers and engines (PROTOCOL, "Dispatchers to query engines"):
-// the grammar of responses, free of any connection.
+// Parses and formats messages of the line protocol between dispatchers and engines (PROTOCOL, "Dispatchers to
+// query engines"), without any I/O.
 #pragma once
 
 #include <cstddef>
@@ -14,7 +14,7 @@
 
 namespace rookproxy {
 
-// One response of an engine; the views point into the bytes it was read from.
+// One response of an engine. The views point into the bytes that it was parsed from.
 struct LineResponse {
   std::string_view id;
   std::string_view kind;
@@ -22,25 +22,27 @@
   std::string_view body;
 };
 
-// How far the bytes at the front of a buffer make up a response.
+// Tells whether a buffer begins with a complete response.
 enum class LineParseStatus { kIncomplete, kComplete, kMalformed };
 
-// What parse_line_response() found; `response` and `consumed` mean something only for a complete one.
+// The result of parse_line_response(). `response` and `consumed` are set only for a complete response.
 struct LineParseResult {
   LineParseStatus status = LineParseStatus::kIncomplete;
   LineResponse response;
-  std::size_t consumed = 0;  // bytes
+  // The size of the response in bytes.
+  std::size_t consumed = 0;
 };
 
-// Reads one response off the front of `bytes`.
+// Parses one response at the front of `bytes`.
 [[nodiscard]] LineParseResult parse_line_response(std::string_view bytes);
-// The value of one field in "name=value,name=value"; empty if it is not there.
+// Returns the value of a field in "name=value,name=value"; empty if there is no such field.
 [[nodiscard]] std::optional<std::string_view> find_line_field(std::string_view fields, std::string_view name);
-// A load report, "name:value;name:value". Values that are not numbers are left out; empty if none is left.
+// Parses a load report, "name:value;name:value". Ignores values that are not numbers. Returns an empty result
+// if no value is left.
 [[nodiscard]] std::optional<LoadReport> parse_load_report(std::string_view text);
-// The command that starts an attempt; `now` is what its time budget is counted from.
+// Formats the command that starts an attempt. Its time budget is counted from `now`.
 [[nodiscard]] std::string make_line_request(const AttemptRequest& request, Time now);
-// The command that changes an attempt's priority.
+// Formats the command that changes an attempt's priority.
 [[nodiscard]] std::string make_line_priority_change(std::string_view id, int priority);
 
 }  // namespace rookproxy
--- a/src/upstream/line_protocol_connection.cpp
+++ b/src/upstream/line_protocol_connection.cpp
@@ -11,7 +11,8 @@
 using routing::AttemptUpdateKind;
 
 constexpr std::size_t kMaxPages = 64;
-// The amount of a "parked" update that says what the attempt waits for.
+// The value of a "parked" update for an attempt that waits for a load; any other value means that it waits
+// for memory.
 constexpr double kParkedForLoad = 2.0;
 
 }  // namespace
@@ -32,8 +33,8 @@
   start_waiting_attempts();
 }
 
-// Attempts wait here and not in the stream, so that each is checked once more in the moment in which its
-// first byte goes to the kernel, however late that is.
+// Attempts are queued here instead of in the stream, so that may_start() is checked immediately before the
+// first byte of each is passed to the kernel.
 void LineProtocolConnection::start_waiting_attempts() {
   while (!waiting_ids_.empty() && stream().is_open() && stream().is_connected() &&
          stream().queued_bytes() == 0) {
@@ -49,7 +50,8 @@
     const Stream::WriteId write =
         stream().write(make_line_request(attempt.request, current_time()), attempts_written_counter());
     attempt.started = stream().has_write_started(write);
-    if (!attempt.started) {  // the kernel took nothing: tried again once it does
+    if (!attempt.started) {
+      // The kernel accepted no byte; on_flushed() tries again.
       stream().cancel_write(write);
       return;
     }
@@ -68,7 +70,7 @@
   if (found == attempts_by_id_.end()) return false;
   const bool started = found->second.started;
   if (started) {
-    // The engine's work is done once the first page has come: then it only keeps the pages.
+    // Once the first page has arrived the engine has finished the query and only holds the remaining pages.
     log_command("STOP", found->first);
     stream().write((found->second.pages.empty() ? "STOP " : "END ") + found->first + "\r\n");
   } else {
@@ -94,7 +96,7 @@
   stream().write("STAT " + probe_id_ + "\r\n");
 }
 
-void LineProtocolConnection::end_never_sent() {
+void LineProtocolConnection::end_unsent_attempts() {
   for (auto entry = attempts_by_id_.begin(); entry != attempts_by_id_.end();) {
     const std::string id = entry->first;
     const bool started = entry->second.started;
@@ -107,9 +109,9 @@
 void LineProtocolConnection::on_connection_lost(std::string_view reason) {
   const OpenAttempts attempts = std::exchange(attempts_by_id_, {});
   for (const auto& [id, attempt] : attempts) {
-    // A byte that was handed to the kernel may have arrived, whatever became of the connection.
+    // A byte that was passed to the kernel may have reached the engine, even if the connection failed.
     if (!attempt.started) {
-      retry_never_sent(attempt.request, reason);
+      retry_unsent_attempt(attempt.request, reason);
     } else {
       complete_attempt(attempt.request.key, {Outcome::kConnectionLost, std::nullopt, std::string(reason)});
     }
@@ -135,7 +137,7 @@
       update_response_deadline();
       return 0;
     case LineParseStatus::kMalformed:
-      fail_connection("an answer that can't be read");
+      fail_connection("malformed response");
       return bytes.size();
     case LineParseStatus::kComplete:
       break;
@@ -147,7 +149,7 @@
   return parsed.consumed;
 }
 
-// Each deadline counts from its own start: whatever else comes on the connection does not put it off.
+// Other data received on the connection does not extend a deadline.
 void LineProtocolConnection::update_response_deadline() {
   Time deadline = partial_response_deadline_;
   for (const auto& [id, attempt] : attempts_by_id_) deadline = std::min(deadline, attempt.page_deadline);
@@ -158,8 +160,8 @@
   if (response.kind == "well" || response.kind == "ill") return handle_probe_response(response);
   const std::string id(response.id);
   const auto found = attempts_by_id_.find(id);
-  // It was cancelled, and its response crossed the STOP; or it has not started, and this is another
-  // attempt's.
+  // Either the attempt was cancelled and its response crossed the STOP command, or the attempt has not
+  // started and the response belongs to an earlier attempt of the same request.
   if (found == attempts_by_id_.end() || !found->second.started) return;
   OpenAttempt& attempt = found->second;
   if (const auto use = find_line_field(response.fields, "use")) attempt.report = parse_load_report(*use);
@@ -177,7 +179,7 @@
     end_attempt(id, Outcome::kError,
                 std::string(response.body.empty() ? "the engine failed" : response.body));
   } else {
-    fail_connection("an answer of an unknown kind");  // all that follows may be wrong, too
+    fail_connection("response of an unknown kind");
   }
 }
 
@@ -188,13 +190,14 @@
                  use ? parse_load_report(*use) : std::nullopt);
 }
 
-// The first page, and how many there are: the others are fetched.
+// Handles the first page and its page count, and requests the remaining pages.
 void LineProtocolConnection::handle_data(const std::string& id, OpenAttempt& attempt,
                                          const LineResponse& response) {
-  if (!attempt.pages.empty()) return;  // a duplicate: the first one counts
+  // A duplicate is ignored.
+  if (!attempt.pages.empty()) return;
   const auto parts = find_line_field(response.fields, "parts");
   const auto count = parts ? parse_number<std::size_t>(*parts) : std::size_t{1};
-  if (!count || *count == 0 || *count > kMaxPages) return fail_connection("a page count that can't be read");
+  if (!count || *count == 0 || *count > kMaxPages) return fail_connection("invalid page count in a response");
   attempt.pages.resize(*count);
   attempt.missing_pages = *count;
   std::string fetches;
@@ -212,7 +215,7 @@
                                          const LineResponse& response) {
   const auto part = find_line_field(response.fields, "part_no");
   const auto page = part ? parse_number<std::size_t>(*part) : std::nullopt;
-  if (!page || *page >= attempt.pages.size()) return fail_connection("a page that was not asked for");
+  if (!page || *page >= attempt.pages.size()) return fail_connection("unrequested page in a response");
   add_page(id, attempt, *page, response.body);
 }
 
@@ -231,8 +234,8 @@
   }
 }
 
-// The attempt ends when its last page has come. Pages may come in any order; one that comes twice counts
-// once.
+// Stores a page and completes the attempt after its last one. Pages may arrive in any order; duplicates are
+// ignored.
 void LineProtocolConnection::add_page(const std::string& id, OpenAttempt& attempt, std::size_t number,
                                       std::string_view body) {
   if (attempt.pages[number]) return;
--- a/src/upstream/line_protocol_connection.h
+++ b/src/upstream/line_protocol_connection.h
@@ -1,4 +1,4 @@
-// Connections that speak the platform's line protocol, and their pool.
+// Connections to engines that use the line protocol, and their pool.
 #pragma once
 
 #include <cstddef>
@@ -18,8 +18,8 @@
 
 namespace rookproxy {
 
-// Carries several attempts at a time, told apart by the ids of their requests. A response comes whole or in
-// pages, which are fetched one by one.
+// Carries several attempts at a time, which are identified by the ids of their requests. A response arrives
+// whole or in pages, which are fetched individually.
 class LineProtocolConnection final : public EngineConnection {
  public:
   using EngineConnection::EngineConnection;
@@ -27,17 +27,19 @@
   bool cancel_attempt(AttemptKey attempt) override;
   bool has_attempt_started(AttemptKey attempt) const override;
   void set_priority(AttemptKey attempt, int priority) override;
-  void end_never_sent() override;
+  void end_unsent_attempts() override;
   std::size_t on_bytes(std::string_view bytes) override;
   void on_connected() override;
   void on_flushed() override { start_waiting_attempts(); }
 
  private:
-  // An attempt and what has come of its response.
+  // An attempt and the received part of its response.
   struct OpenAttempt {
     AttemptRequest request;
-    bool started = false;              // a byte of it was handed to the kernel: the peer may have seen it
-    Time page_deadline = Time::max();  // of a response in pages: when the next one is due
+    // True once a byte was passed to the kernel: the engine may have received it.
+    bool started = false;
+    // When the next page of a paged response must have arrived.
+    Time page_deadline = Time::max();
     std::vector<std::optional<std::string>> pages;
     std::size_t missing_pages = 0;
     std::optional<LoadReport> report;
@@ -60,13 +62,14 @@
   void update_response_deadline();
 
   OpenAttempts attempts_by_id_;
-  std::deque<std::string> waiting_ids_;  // of attempts that have not started, in order
+  // The ids of attempts that have not started, in order.
+  std::deque<std::string> waiting_ids_;
   std::string probe_id_;
-  // When the response of which a part has come has to be complete.
+  // When a partly received response must be complete.
   Time partial_response_deadline_ = Time::max();
 };
 
-// Makes LineProtocolConnections.
+// Creates connections of the line protocol.
 class LineProtocolPool final : public ConnectionPool {
  public:
   using ConnectionPool::ConnectionPool;
--- a/src/upstream/mysql_connection.cpp
+++ b/src/upstream/mysql_connection.cpp
@@ -12,12 +12,13 @@
 
 constexpr std::size_t kMaxFirstPayloadSize = 1024;
 constexpr std::size_t kNonceSize = 20;
-// The first byte of packets, while a client logs in and in responses.
+// First bytes of packets, during the login and in responses.
 constexpr char kOkPacket = '\x00';
 constexpr char kAuthMoreData = '\x01';
 constexpr char kAuthSwitchRequest = '\xfe';
 constexpr char kErrorPacket = '\xff';
-// caching_sha2_password: the server asks for all of the password; the client asks for the key to encrypt it.
+// caching_sha2_password: the server requests the full password, and the client requests the public key that
+// encrypts it.
 constexpr std::string_view kFullAuthRequest = "\x01\x04";
 constexpr std::string_view kPublicKeyRequest = "\x02";
 
@@ -47,14 +48,14 @@
     : EngineConnection(pool, key, engine), mysql_pool_(pool), response_(pool.buffered_result_bytes()) {}
 
 bool MysqlConnection::can_accept(const Query* query) const {
-  if (attempt_ || cancelled_ || connection_to_kill_) return false;
+  if (attempt_ || cancelled_ || kill_target_) return false;
   if (!query) return true;
-  // A session's schema can be changed but not unset: with one, a statement would find tables that its client
-  // can't name.
-  return schema_.empty() || !wanted_schema(*query).empty();
+  // A session's schema can be changed but not unset. A query without a schema must not run in a session that
+  // has one, because its unqualified table names would resolve.
+  return schema_.empty() || !required_schema(*query).empty();
 }
 
-const std::string& MysqlConnection::wanted_schema(const Query& query) const {
+const std::string& MysqlConnection::required_schema(const Query& query) const {
   return query.schema.empty() ? mysql_pool_.account().schema : query.schema;
 }
 
@@ -74,7 +75,7 @@
   tracker_ = mysql::ResponseTracker(next == State::kPrepare ? Kind::kPrepare : Kind::kPlain);
   response_.clear();
   first_payload_.clear();
-  // Only the command that makes it run is the attempt; a schema or a preparation ahead of it is not.
+  // Only the command that runs the statement counts as the attempt; preceding commands don't.
   const bool executes = next == State::kExecute;
   const Stream::WriteId write =
       send_payload(command_payload(code, arguments), executes ? attempts_written_counter() : nullptr);
@@ -84,36 +85,36 @@
 void MysqlConnection::start_attempt(const AttemptRequest& request) {
   attempt_ = request;
   execute_write_.reset();
-  if (state_ == State::kReady) advance();
+  if (state_ == State::kReady) send_next_command();
 }
 
 void MysqlConnection::probe() {
   ping_pending_ = true;
-  if (state_ == State::kReady) advance();
+  if (state_ == State::kReady) send_next_command();
 }
 
-// False: the attempt is over.
-bool MysqlConnection::confirm_start() {
+// Returns false if the attempt must not be sent; the attempt is then released.
+bool MysqlConnection::check_start_allowed() {
   if (may_start(*attempt_)) return true;
   attempt_.reset();
   release_attempt();
   return false;
 }
 
-// Sends the next command of what there is to do: a kill, a probe, or the next step of the attempt.
-void MysqlConnection::advance() {
+// Sends the next pending command: a kill, a ping, or the next step of the attempt.
+void MysqlConnection::send_next_command() {
   state_ = State::kReady;
-  if (connection_to_kill_) {
-    return send_command(State::kKill, mysql::kQuery, "KILL QUERY " + std::to_string(*connection_to_kill_));
+  if (kill_target_) {
+    return send_command(State::kKill, mysql::kQuery, "KILL QUERY " + std::to_string(*kill_target_));
   }
   if (std::exchange(ping_pending_, false)) return send_command(State::kPing, mysql::kPing, "");
   if (!attempt_) return;
-  if (!confirm_start()) return;
+  if (!check_start_allowed()) return;
   const Query& query = *attempt_->query;
   if (query.kind == Query::Kind::kUseSchema) {
     return send_command(State::kExecute, mysql::kInitDb, query.statement);
   }
-  const std::string& schema = wanted_schema(query);
+  const std::string& schema = required_schema(query);
   if (schema != schema_ && !schema.empty()) return send_command(State::kSelectSchema, mysql::kInitDb, schema);
   if (query.kind == Query::Kind::kStatement) {
     return send_command(State::kExecute, mysql::kQuery, query.statement);
@@ -129,7 +130,7 @@
 
 void MysqlConnection::execute_prepared(std::uint32_t statement_id) {
   state_ = State::kReady;
-  if (!confirm_start()) return advance();
+  if (!check_start_allowed()) return send_next_command();
   const Query& query = *attempt_->query;
   const std::string id_bytes = little_endian(statement_id, 4);
   for (const auto& [parameter, data] : query.long_data) {
@@ -146,7 +147,7 @@
 
 bool MysqlConnection::cancel_attempt(AttemptKey attempt) {
   if (!attempt_ || attempt_->key != attempt || cancelled_) return false;
-  // What was not sent can't have run; the steps before it may finish on their own.
+  // A command that was not sent can't have run. Preceding commands may still complete.
   const bool unsent = !execute_write_ || stream().cancel_write(*execute_write_);
   const bool writes = attempt_->query->writes;
   attempt_.reset();
@@ -155,17 +156,18 @@
     return true;
   }
   if (unsent) {
-    fail_connection("taken back");  // the response that it awaits will never come
+    // The connection waits for a response to a command that was not sent.
+    fail_connection("attempt cancelled before it was sent");
     return true;
   }
   cancelled_ = true;
   drain();
-  // The protocol can't cancel a statement on its own connection. One that only reads is stopped by another
-  // connection; one that writes runs to its end, since half an effect may be worse than a whole one.
+  // The protocol can't cancel a statement on its own connection. A statement that only reads is killed
+  // through another connection. A statement that writes runs to its end, because a partial write may be worse
+  // than a complete one.
   if (writes) return false;
   mysql_pool_.kill_query(engine(), engine_connection_id_);
-  // A response that never ends, or an engine that has vanished, keeps the connection no longer than the
-  // request could be sent again.
+  // Closes the connection if the response is still incomplete when the request can no longer be repeated.
   set_response_deadline(current_time() + limits().request_id_retention);
   return false;
 }
@@ -175,11 +177,11 @@
          stream().has_write_started(*execute_write_);
 }
 
-void MysqlConnection::end_never_sent() {
+void MysqlConnection::end_unsent_attempts() {
   if (!attempt_ || (execute_write_ && !stream().cancel_write(*execute_write_))) return;
   const bool awaits_response = state_ == State::kExecute;
   end_attempt(Outcome::kNotSent);
-  if (awaits_response) fail_connection("taken back");
+  if (awaits_response) fail_connection("attempt withdrawn before it was sent");
 }
 
 void MysqlConnection::on_connection_lost(std::string_view reason) {
@@ -189,7 +191,7 @@
   const bool started = execute_write_ && stream().has_write_started(*execute_write_);
   const AttemptRequest attempt = *attempt_;
   attempt_.reset();
-  if (!started) return retry_never_sent(attempt, reason);
+  if (!started) return retry_unsent_attempt(attempt, reason);
   complete_attempt(attempt.key, {Outcome::kConnectionLost, std::nullopt, std::string(reason)});
 }
 
@@ -223,8 +225,8 @@
     sequence_ = static_cast<std::uint8_t>(sequence + 1);
     return handle_login_packet(packet.substr(mysql::kHeaderSize));
   }
-  // Servers send an error on their own when they close an idle session.
-  if (state_ == State::kReady) return fail_connection("an answer to nothing");
+  // Servers send an unsolicited error when they close an idle session.
+  if (state_ == State::kReady) return fail_connection("unsolicited packet on an idle connection");
   if (sequence != sequence_) throw mysql::MalformedPacketError("packets out of order");
   ++sequence_;
   handle_response_packet(packet);
@@ -238,29 +240,31 @@
   if (response_.size() > result_limits.max_result_bytes ||
       mysql_pool_.buffered_result_bytes() > result_limits.max_total_result_bytes) {
     reject_large_result();
-    fail_connection("the result is too large");
+    fail_connection("result exceeds the limit of buffered bytes");
   } else if (tracker_.on_packet(payload)) {
     on_response_complete();
   }
 }
 
 void MysqlConnection::handle_login_packet(std::string_view payload) {
-  if (payload.empty()) throw mysql::MalformedPacketError("an empty packet at log-in");
+  if (payload.empty()) throw mysql::MalformedPacketError("empty packet during login");
   if (payload[0] == kErrorPacket) return handle_login_error(payload);
-  if (state_ == State::kGreeting) return answer_greeting(payload);
+  if (state_ == State::kGreeting) return respond_to_greeting(payload);
   if (payload[0] == kOkPacket) {
     EngineConnection::on_connected();
-    return advance();
+    return send_next_command();
   }
   if (payload[0] == kAuthSwitchRequest) return switch_auth_method(payload.substr(1));
   if (payload == kFullAuthRequest) {
     send_payload(kPublicKeyRequest);
   } else if (payload[0] == kAuthMoreData && payload.size() > kFullAuthRequest.size()) {
     send_password(payload.substr(1));
-  }  // otherwise the password was proven, and an OK packet follows
+  }
+  // Any other packet confirms the password; an OK packet follows.
 }
 
-// Nothing ran. An overloaded engine says so here; a wrong password is for the operator to see.
+// No statement has run. An overloaded engine rejects the login; other errors, such as a wrong password, are
+// logged for the operator.
 void MysqlConnection::handle_login_error(std::string_view payload) {
   const mysql::ErrorInfo error = mysql::parse_error(payload);
   const bool overloaded = classify_mysql_error(error.code) == MysqlErrorClass::kOverloaded;
@@ -268,13 +272,15 @@
   fail_connection(error.text);
 }
 
-void MysqlConnection::answer_greeting(std::string_view payload) {
-  constexpr std::uint32_t kNeeded = mysql::kProtocol41 | mysql::kSecureConnection | mysql::kPluginAuth;
+void MysqlConnection::respond_to_greeting(std::string_view payload) {
+  constexpr std::uint32_t kRequiredCapabilities =
+      mysql::kProtocol41 | mysql::kSecureConnection | mysql::kPluginAuth;
   const mysql::Greeting greeting = mysql::parse_greeting(payload);
   engine_connection_id_ = greeting.connection_id;
   nonce_ = greeting.nonce;
-  if ((greeting.capabilities & kNeeded) != kNeeded) {
-    throw mysql::MalformedPacketError("a server too old to talk to");
+  if ((greeting.capabilities & kRequiredCapabilities) != kRequiredCapabilities) {
+    throw mysql::MalformedPacketError(
+        "server lacks required capabilities (4.1 protocol, secure connection, plugin authentication)");
   }
   const bool plugin_known = mysql::make_auth_response(greeting.plugin, "", "").has_value();
   const MysqlAccount& account = mysql_pool_.account();
@@ -292,19 +298,19 @@
   const std::string plugin(reader.null_terminated_string());
   nonce_ = std::string(reader.take_remaining().substr(0, kNonceSize));
   const auto response = mysql::make_auth_response(plugin, mysql_pool_.account().password, nonce_);
-  if (!response) throw mysql::MalformedPacketError("a log-in method that is not known here");
+  if (!response) throw mysql::MalformedPacketError("unsupported authentication plugin requested by server");
   send_payload(*response);
 }
 
 void MysqlConnection::send_password(std::string_view public_key) {
   const auto encrypted =
       mysql::encrypt_password(mysql_pool_.account().password, nonce_, std::string(public_key));
-  if (!encrypted) throw mysql::MalformedPacketError("a key that can't be read");
+  if (!encrypted) throw mysql::MalformedPacketError("invalid public key for password encryption");
   send_payload(*encrypted);
 }
 
-// The statement has run and would give as much on any engine: the client gets an error of the statement's
-// own, as a server would put it, and no error of the engine's that another attempt could avoid.
+// The statement has run and would return as much on any engine, so another attempt can't help: the client
+// gets an error in the form that a server would send.
 void MysqlConnection::reject_large_result() {
   if (!attempt_) return;
   const std::string message =
@@ -318,11 +324,11 @@
 void MysqlConnection::on_response_complete() {
   switch (state_) {
     case State::kKill:
-      return fail_connection("stopped what it was to stop");
+      return fail_connection("kill command complete");
     case State::kPing:
       state_ = State::kReady;
       complete_probe(tracker_.failed() ? Outcome::kError : Outcome::kServed, std::nullopt);
-      return advance();
+      return send_next_command();
     case State::kSelectSchema:
       return on_schema_selected();
     case State::kPrepare:
@@ -337,11 +343,11 @@
 }
 
 void MysqlConnection::on_schema_selected() {
-  if (!attempt_) return advance();
+  if (!attempt_) return send_next_command();
   if (tracker_.failed())
-    return on_execution_complete();  // an unknown schema is the client's error; nothing ran
-  schema_ = wanted_schema(*attempt_->query);
-  advance();
+    return on_execution_complete();  // An unknown schema is the client's error, and no statement ran.
+  schema_ = required_schema(*attempt_->query);
+  send_next_command();
 }
 
 void MysqlConnection::on_prepared() {
@@ -349,19 +355,20 @@
   mysql::PayloadReader reader(first_payload_);
   reader.integer(1);
   const auto statement_id = static_cast<std::uint32_t>(reader.integer(4));
-  if (!attempt_) {  // cancelled meanwhile
+  if (!attempt_) {  // The attempt was cancelled.
     send_without_response(mysql::kStmtClose, little_endian(statement_id, 4));
-    return advance();
+    return send_next_command();
   }
   prepared_statements_.add(attempt_->query->statement, statement_id);
   if (attempt_->query->kind == Query::Kind::kPrepare) return on_execution_complete();
-  close_prepared("");  // the oldest, if there are too many
+  close_prepared("");  // Closes the oldest statement if there are too many.
   execute_prepared(statement_id);
 }
 
 Outcome MysqlConnection::outcome_of_error(std::uint16_t code, bool was_executing) {
   const Query& query = *attempt_->query;
-  // Text lines have no way to carry an error: there the attempt fails, elsewhere the client gets the packet.
+  // Rows as text lines can't carry an error, so the attempt fails. Otherwise the client receives the error
+  // packet.
   const Outcome statement_error = query.rows_as_text_lines ? Outcome::kError : Outcome::kServed;
   switch (classify_mysql_error(code)) {
     case MysqlErrorClass::kUnknownStatement:
@@ -378,17 +385,17 @@
   return statement_error;
 }
 
-// The last response that the attempt needs is complete, or the one that ended it: it decides how it ended.
+// Determines the outcome of the attempt after its last response, or after the response that ended it early.
 void MysqlConnection::on_execution_complete() {
   const bool was_executing = state_ == State::kExecute;
   state_ = State::kReady;
-  if (std::exchange(cancelled_, false)) return release_attempt();  // it drains, and closes
-  if (!attempt_) return advance();
+  if (std::exchange(cancelled_, false)) return release_attempt();  // The connection is draining and closes.
+  if (!attempt_) return send_next_command();
   const Query& query = *attempt_->query;
   Outcome outcome = Outcome::kServed;
   std::string message;
   if (tracker_.failed()) {
-    // An error may stand at the end of rows: then the client sees it there, and the rows before it.
+    // An error may follow rows; the client then receives the rows and the error.
     const bool is_first_packet = first_payload_.starts_with(kErrorPacket);
     mysql::ErrorInfo error = is_first_packet ? mysql::parse_error(first_payload_) : mysql::ErrorInfo{};
     outcome = outcome_of_error(error.code, was_executing);
@@ -396,7 +403,8 @@
   } else if (query.kind == Query::Kind::kUseSchema) {
     schema_ = query.statement;
   }
-  if (was_executing && is_procedure_call(query.statement)) drain();  // it may leave anything in the session
+  // A procedure may leave state in the session.
+  if (was_executing && is_procedure_call(query.statement)) drain();
   std::string body = response_.take();
   try {
     if (outcome == Outcome::kServed && query.rows_as_text_lines) body = mysql::format_rows(body);
@@ -405,7 +413,7 @@
     message = error.what();
   }
   end_attempt(outcome, outcome == Outcome::kServed ? std::move(body) : std::move(message));
-  if (ping_pending_ && state_ == State::kReady) advance();
+  if (ping_pending_ && state_ == State::kReady) send_next_command();
 }
 
 }  // namespace rookproxy
--- a/src/upstream/mysql_connection.h
+++ b/src/upstream/mysql_connection.h
@@ -1,4 +1,4 @@
-// One connection to an engine in MySQL's protocol.
+// A connection to an engine that uses the MySQL protocol.
 #pragma once
 
 #include <cstddef>
@@ -17,21 +17,23 @@
 
 class MysqlPool;
 
-// Runs one statement at a time. A prepared statement is prepared on the connection that runs it.
+// Runs one statement at a time. A prepared statement is prepared on the connection that executes it.
 class MysqlConnection final : public EngineConnection {
  public:
   MysqlConnection(MysqlPool& pool, SlotKey key, EngineId engine);
 
   bool cancel_attempt(AttemptKey attempt) override;
   bool has_attempt_started(AttemptKey attempt) const override;
-  void end_never_sent() override;
-  void on_connected() override {}  // usable only once it is logged in
+  void end_unsent_attempts() override;
+  // Does nothing: the connection is usable only after the login.
+  void on_connected() override {}
   std::size_t on_bytes(std::string_view bytes) override;
-  // Instead of serving attempts, it stops what that connection of the engine runs, and is closed.
-  void use_to_kill(std::uint32_t engine_connection_id) { connection_to_kill_ = engine_connection_id; }
+  // Dedicates this connection to killing the query that runs on the given connection of the engine. It is
+  // closed afterwards and serves no attempts.
+  void set_kill_target(std::uint32_t engine_connection_id) { kill_target_ = engine_connection_id; }
 
  private:
-  // Which response is awaited.
+  // The response that the connection waits for.
   enum class State { kGreeting, kLogin, kReady, kSelectSchema, kPrepare, kExecute, kPing, kKill };
 
   void start_attempt(const AttemptRequest& request) override;
@@ -45,12 +47,12 @@
 
   void handle_login_packet(std::string_view payload);
   void handle_login_error(std::string_view payload);
-  void answer_greeting(std::string_view payload);
+  void respond_to_greeting(std::string_view payload);
   void switch_auth_method(std::string_view payload);
   void send_password(std::string_view public_key);
 
-  void advance();
-  [[nodiscard]] bool confirm_start();
+  void send_next_command();
+  [[nodiscard]] bool check_start_allowed();
   void execute_prepared(std::uint32_t statement_id);
   void close_prepared(const std::string& text);
 
@@ -64,7 +66,7 @@
   [[nodiscard]] Outcome outcome_of_error(std::uint16_t code, bool was_executing);
   void end_attempt(Outcome outcome, std::string body = "");
 
-  [[nodiscard]] const std::string& wanted_schema(const Query& query) const;
+  [[nodiscard]] const std::string& required_schema(const Query& query) const;
 
   MysqlPool& mysql_pool_;
   State state_ = State::kGreeting;
@@ -72,16 +74,18 @@
   std::uint32_t engine_connection_id_ = 0;
   std::string nonce_;
   std::string schema_;
-  std::optional<std::uint32_t> connection_to_kill_;
+  std::optional<std::uint32_t> kill_target_;
   std::optional<AttemptRequest> attempt_;
-  bool cancelled_ = false;  // what runs was cancelled: its response is read and dropped
-  // The command that makes the attempt run.
+  // True if the running attempt was cancelled; its response is read and discarded.
+  bool cancelled_ = false;
+  // The write of the command that runs the attempt's statement.
   std::optional<Stream::WriteId> execute_write_;
   bool ping_pending_ = false;
   EngineStatementCache prepared_statements_;
   mysql::ResponseTracker tracker_;
   ResponseBuffer response_;
-  std::string first_payload_;  // of the response, cut off
+  // The first payload of the response, truncated.
+  std::string first_payload_;
 };
 
 }  // namespace rookproxy
--- a/src/upstream/mysql_error_class.cpp
+++ b/src/upstream/mysql_error_class.cpp
@@ -5,7 +5,7 @@
 namespace rookproxy {
 namespace {
 
-// Errors of the server's list that nothing else here needs to know.
+// Server error codes that are used only in this file.
 constexpr std::uint16_t kDiskFull = 1021;
 constexpr std::uint16_t kOutOfMemory = 1037;
 constexpr std::uint16_t kOutOfSortMemory = 1038;
--- a/src/upstream/mysql_error_class.h
+++ b/src/upstream/mysql_error_class.h
@@ -1,20 +1,23 @@
-// What the error codes of a MySQL server say about the attempt that got them.
+// Classifies the error codes of MySQL servers.
 #pragma once
 
 #include <cstdint>
 
 namespace rookproxy {
 
-// What is to be concluded from an error of an engine.
+// What an engine's error means for the attempt that received it.
 enum class MysqlErrorClass {
-  kStatement,         // it has judged the statement, and any other engine would judge it so
-  kOverloaded,        // it is in no state to run anything now, and has run nothing
-  kEngineFault,       // it failed while it ran the statement
-  kUnknownStatement,  // it no longer knows the prepared statement: nothing ran, and another attempt prepares
-                      // anew
+  // The statement itself is at fault; any other engine would report the same error.
+  kStatement,
+  // The engine can't run anything now and has run nothing.
+  kOverloaded,
+  // The engine failed while it ran the statement.
+  kEngineFault,
+  // The engine no longer knows the prepared statement. Nothing ran, and another attempt prepares it again.
+  kUnknownStatement,
 };
 
-// The class of a server's error code; 0 stands for an error that could not be read.
+// Returns the class of a server's error code. Code 0 stands for an error packet that could not be parsed.
 [[nodiscard]] MysqlErrorClass classify_mysql_error(std::uint16_t code);
 
 }  // namespace rookproxy
--- a/src/upstream/mysql_pool.cpp
+++ b/src/upstream/mysql_pool.cpp
@@ -20,7 +20,7 @@
 
 void MysqlPool::kill_query(EngineId engine, std::uint32_t engine_connection_id) {
   EngineConnection* connection = open_connection(engine).connection;
-  if (connection) static_cast<MysqlConnection*>(connection)->use_to_kill(engine_connection_id);
+  if (connection) static_cast<MysqlConnection*>(connection)->set_kill_target(engine_connection_id);
 }
 
 }  // namespace rookproxy
--- a/src/upstream/mysql_pool.h
+++ b/src/upstream/mysql_pool.h
@@ -1,4 +1,4 @@
-// Connections to engines that speak MySQL's protocol.
+// The pool of connections to engines that use the MySQL protocol.
 #pragma once
 
 #include <cstddef>
@@ -13,20 +13,23 @@
 
 namespace rookproxy {
 
-// How the dispatcher logs in at engines.
+// The account that the dispatcher uses to log in to engines.
 struct MysqlAccount {
   std::string user;
   std::string password;
-  std::string schema;  // for requests that name none; empty: none
+  // The schema for requests that name none; may be empty.
+  std::string schema;
 };
 
-// How much of engines' results is buffered, in bytes.
+// Limits of buffered results, in bytes.
 struct MysqlResultLimits {
-  std::size_t max_result_bytes = 0;        // of one result
-  std::size_t max_total_result_bytes = 0;  // of all that are coming in
+  // The limit for one result.
+  std::size_t max_result_bytes = 0;
+  // The limit for all results that are being received.
+  std::size_t max_total_result_bytes = 0;
 };
 
-// Makes MysqlConnections and holds what they share.
+// Creates MySQL connections and holds the state that they share.
 class MysqlPool final : public ConnectionPool {
  public:
   MysqlPool(EventLoop& loop, Logger& log, EngineTransportCallbacks& callbacks, Metrics& metrics,
@@ -34,10 +37,10 @@
 
   [[nodiscard]] const MysqlAccount& account() const { return account_; }
   [[nodiscard]] const MysqlResultLimits& result_limits() const { return result_limits_; }
-  // The bytes of all results that are coming in, which connections count.
+  // The total size of all results that are being received, in bytes. The connections update it.
   [[nodiscard]] std::size_t& buffered_result_bytes() { return buffered_result_bytes_; }
-  // Opens a connection that stops what this connection of the engine's runs, and is then closed; does nothing
-  // if none can be opened.
+  // Opens a connection that kills the query running on the given connection of the engine and is then closed.
+  // Does nothing if no connection can be opened.
   void kill_query(EngineId engine, std::uint32_t engine_connection_id);
 
  private:
--- a/src/upstream/request_id_history.h
+++ b/src/upstream/request_id_history.h
@@ -1,4 +1,4 @@
-// The request ids that a connection has lately carried.
+// The request ids that a connection carried recently.
 #pragma once
 
 #include <cstddef>
@@ -10,21 +10,21 @@
 
 namespace rookproxy {
 
-// Attempts of one request share its id, and a response to one must never be taken for another's: so a
-// connection carries each id once. Ids are forgotten once their request can't be sent again, since
-// connections live for hours. Not thread safe.
+// All attempts of a request share its id. A connection carries each id only once, so that the response to one
+// attempt can't be mistaken for the response to another. Ids are removed once their request can't be
+// repeated, because connections live for hours. Not thread safe.
 class RequestIdHistory {
  public:
-  // Remembers the id, and forgets those that were added more than `retention` before `now`.
+  // Adds the id and removes those that were added more than `retention` before `now`.
   void add(const std::string& id, Time now, Duration retention);
   [[nodiscard]] bool contains(const std::string& id) const { return ids_.contains(id); }
-  // True if it holds so many ids that the connection is better replaced.
+  // True if the history has reached its limit, so that the connection should be replaced.
   [[nodiscard]] bool is_full() const { return ids_.size() >= kMaxRequestIds; }
 
  private:
   static constexpr std::size_t kMaxRequestIds = 4096;
 
-  // An id and when it was added.
+  // An id and the time at which it was added.
   struct Entry {
     Time added_at;
     std::string id;
--- a/src/upstream/response_buffer.h
+++ b/src/upstream/response_buffer.h
@@ -1,4 +1,4 @@
-// A response that is coming in, counted into the total of all connections.
+// The buffer of a response that is being received.
 #pragma once
 
 #include <cstddef>
@@ -8,12 +8,12 @@
 
 namespace rookproxy {
 
-// Holds the bytes of one response and keeps `total` up to date, which sums up the buffers of all connections.
-// Its destructor does not touch the total, which belongs to a pool that is destroyed before its connections:
-// whoever closes a connection earlier has to clear its buffer.
+// Holds the bytes of one response and adds their number to `total`, the sum over the buffers of all
+// connections. The destructor does not update the total, because the total belongs to a pool that is
+// destroyed before its connections. Code that closes a connection earlier must clear its buffer.
 class ResponseBuffer {
  public:
-  // `total` in bytes; it must outlive every other call.
+  // `total` is in bytes and must outlive all other calls.
   explicit ResponseBuffer(std::size_t& total) : total_(total) {}
 
   void append(std::string_view bytes) {
--- a/src/upstream/responsiveness_monitor.h
+++ b/src/upstream/responsiveness_monitor.h
@@ -1,4 +1,4 @@
-// Detects a connection on which attempts are open and nothing is received.
+// Detects connections that receive nothing while attempts are open.
 #pragma once
 
 #include <functional>
@@ -11,21 +11,21 @@
 
 namespace rookproxy {
 
-// Calls back, on the loop's thread, each time nothing was received for the unresponsive timeout while it
-// runs. Engines report progress several times in that time, so a connection without any has probably lost its
-// peer.
+// Calls `on_unresponsive` on the event loop's thread each time nothing was received for the unresponsive
+// timeout. Engines report progress several times within that timeout, so a connection without any data has
+// probably lost its peer.
 class ResponsivenessMonitor {
  public:
-  // `limits` is read whenever the timer is set, and must outlive this, as must the loop.
+  // `limits` is read each time the timer is set. The loop and the limits must outlive the monitor.
   ResponsivenessMonitor(EventLoop& loop, const PoolLimits& limits, std::function<void()> on_unresponsive)
       : loop_(loop), limits_(limits), on_unresponsive_(std::move(on_unresponsive)), timer_(loop) {}
 
-  // Something was received.
+  // Records that data was received.
   void record_activity() { last_activity_ = loop_.now(); }
-  // When something was last received; the epoch if nothing was.
+  // Returns the time at which data was last received; the epoch if none was.
   [[nodiscard]] Time last_activity() const { return last_activity_; }
 
-  // Watches from now on; a timeout of 0 leaves things as they are.
+  // Starts monitoring. Does nothing if the unresponsive timeout is 0.
   void start();
   void stop() { timer_.cancel(); }
 
--- a/tests/upstream/connection_policies_test.cpp
+++ b/tests/upstream/connection_policies_test.cpp
@@ -1,4 +1,4 @@
-// What decides about connections: retries of attempts that were never sent, ids, responsiveness.
+// Tests of connection policies: retries of unsent attempts, request ids, and responsiveness.
 #include <catch2/catch.hpp>
 #include <chrono>
 #include <string>
@@ -13,21 +13,21 @@
 using namespace rookproxy;
 using namespace std::chrono_literals;
 
-TEST_CASE("connect retry: an attempt that was never sent is retried while the engine may be well") {
+TEST_CASE("connect retry: an unsent attempt is retried unless the engine appears to be failing") {
   struct Case {
-    NeverSentAttempt attempt;
+    UnsentAttempt attempt;
     bool retried;
   };
-  for (const Case& one :
+  for (const Case& test_case :
        {Case{{1, true, false}, true}, Case{{1, false, true}, true}, Case{{2, true, true}, true},
         Case{{1, false, false}, false}, Case{{3, true, true}, false}}) {
-    INFO(one.attempt.failed_connections << one.attempt.connection_was_usable
-                                        << one.attempt.other_connections_respond);
-    CHECK(should_retry_connection(one.attempt) == one.retried);
+    INFO(test_case.attempt.failed_connections << test_case.attempt.connection_was_usable
+                                              << test_case.attempt.other_connections_respond);
+    CHECK(should_retry_connection(test_case.attempt) == test_case.retried);
   }
 }
 
-TEST_CASE("request ids: one is remembered for the retention, and many are enough for a connection") {
+TEST_CASE("request ids: an id is removed after the retention time, and the history is full at its limit") {
   RequestIdHistory history;
   const Time start{};
   history.add("first", start, 30s);
@@ -41,7 +41,7 @@
   CHECK(history.is_full());
 }
 
-TEST_CASE("responsiveness: only a connection that receives nothing for the timeout is unresponsive") {
+TEST_CASE("responsiveness: a connection is unresponsive only if it receives nothing for the timeout") {
   Time now{1h};
   manual_clock = &now;
   EventLoop loop;
--- a/tests/upstream/line_protocol_test.cpp
+++ b/tests/upstream/line_protocol_test.cpp
@@ -1,4 +1,4 @@
-// The line protocol's grammar: whole responses, cut ones, malformed ones and damaged ones.
+// Tests of the line protocol's parser: complete, truncated, malformed and corrupted responses.
 #include "upstream/line_protocol.h"
 
 #include <catch2/catch.hpp>
@@ -9,7 +9,7 @@
 
 using namespace rookproxy;
 
-TEST_CASE("lines: responses, split at every byte") {
+TEST_CASE("line protocol: a response is parsed only when it is complete, wherever it is split") {
   const std::string bytes = "9b1f03aa5c7e2d41 data parts=2,use=queue:3;x0:0.5 6\r\na\tb\r\nc\r\n";
   for (std::size_t cut = 0; cut < bytes.size(); ++cut) {
     CHECK(parse_line_response(std::string_view(bytes).substr(0, cut)).status == LineParseStatus::kIncomplete);
@@ -19,7 +19,7 @@
   CHECK(parsed.consumed == bytes.size());
   CHECK(parsed.response.id == "9b1f03aa5c7e2d41");
   CHECK(parsed.response.kind == "data");
-  CHECK(parsed.response.body == "a\tb\r\nc");  // counted, not searched for a line's end
+  CHECK(parsed.response.body == "a\tb\r\nc");  // The length is given, so the body may contain line ends.
   CHECK(find_line_field(parsed.response.fields, "parts") == "2");
   const auto report = parse_load_report(*find_line_field(parsed.response.fields, "use"));
   REQUIRE(report);
@@ -27,7 +27,7 @@
   CHECK(report->memory_utilization == 0.5);
 }
 
-TEST_CASE("lines: what is no response is malformed") {
+TEST_CASE("line protocol: an invalid response is reported as malformed") {
   for (const char* malformed :
        {"id data -\r\n", "id data - x\r\n\r\n", "id  - 0\r\n\r\n", "id data - 1\r\nab\r\n", "a b c d e\r\n",
         "id data - 99999999999999999999\r\n", "id data - 70000\r\n"}) {
@@ -42,7 +42,7 @@
   });
 }
 
-TEST_CASE("lines: a request carries its options, limited to what the protocol knows") {
+TEST_CASE("line protocol: a request carries its options, clamped to the protocol's ranges") {
   Query query;
   query.id = "9b1f";
   query.class_name = "lookup";
--- a/tests/upstream/mysql_units_test.cpp
+++ b/tests/upstream/mysql_units_test.cpp
@@ -1,4 +1,4 @@
-// What a MySQL connection keeps and concludes: prepared statements, error codes, buffered responses.
+// Tests of the parts of a MySQL connection: prepared statements, error codes, and buffered responses.
 #include <catch2/catch.hpp>
 #include <string>
 #include <vector>
@@ -10,7 +10,7 @@
 
 using namespace rookproxy;
 
-TEST_CASE("prepared statements: the least recently used one is closed first") {
+TEST_CASE("statement cache: the least recently used statement is evicted first") {
   EngineStatementCache statements;
   CHECK_FALSE(statements.use("0"));
   for (std::uint32_t id = 0; id <= 64; ++id) statements.add(std::to_string(id), id);
@@ -23,7 +23,7 @@
   CHECK_FALSE(statements.use("6"));
 }
 
-TEST_CASE("mysql: what an engine's error says of the attempt") {
+TEST_CASE("mysql: an engine's error code determines the error class of the attempt") {
   CHECK(classify_mysql_error(mysql::kTooManyConnections) == MysqlErrorClass::kOverloaded);
   CHECK(classify_mysql_error(mysql::kServerNotAvailable) == MysqlErrorClass::kOverloaded);
   CHECK(classify_mysql_error(mysql::kServerShutdown) == MysqlErrorClass::kEngineFault);
@@ -33,7 +33,7 @@
   CHECK(classify_mysql_error(mysql::kEmptyQuery) == MysqlErrorClass::kStatement);
 }
 
-TEST_CASE("response buffer: the total of all connections follows each buffer") {
+TEST_CASE("response buffer: the total is updated when a buffer changes") {
   std::size_t total = 0;
   ResponseBuffer first(total);
   ResponseBuffer second(total);
