--- a/src/frontend/byte_reservation.h
+++ b/src/frontend/byte_reservation.h
@@ -1,4 +1,4 @@
-// A connection's part of a byte budget that all connections of a frontend share.
+// A connection's reservation in a byte budget that all connections of a frontend share.
 #pragma once
 
 #include <cstddef>
@@ -6,8 +6,9 @@
 
 namespace rookproxy {
 
-/// Holds bytes of a budget and gives them back when it is released or destroyed. `used`, the count of all
-/// bytes in use, must outlive it. Not synchronized: used on the event loop's thread.
+// Reserves bytes of a budget and returns them when it is released or destroyed. `used` is the number of bytes
+// reserved by all connections and must outlive this object. Not synchronized: must be used on the event
+// loop's thread.
 class ByteReservation {
  public:
   explicit ByteReservation(std::size_t& used) : used_(used) {}
@@ -15,7 +16,7 @@
   ByteReservation(const ByteReservation&) = delete;
   ByteReservation& operator=(const ByteReservation&) = delete;
 
-  /// Reserves `bytes` unless the budget would exceed `limit`; false if it would.
+  // Reserves `bytes` and returns true, or returns false if the total would exceed `limit`.
   [[nodiscard]] bool try_reserve(std::size_t bytes, std::size_t limit) {
     if (used_ + bytes > limit) return false;
     used_ += bytes;
--- a/src/frontend/connection_table.h
+++ b/src/frontend/connection_table.h
@@ -1,4 +1,4 @@
-// The client connections of one frontend, and what both frontends do with all of them.
+// The table of a frontend's client connections, with the operations that apply to all of them.
 #pragma once
 
 #include <algorithm>
@@ -12,15 +12,15 @@
 
 namespace rookproxy {
 
-/// Owns a frontend's connections, by keys that are never reused. `Connection` has is_evictable(Time) and
-/// eviction_order(), close_when_answered(), is_flushed(), unread_response_bytes() and recheck_certificate().
-/// Used on the event loop's thread; the loop must outlive it.
+// Owns a frontend's connections and identifies them by keys that are never reused. `Connection` must have
+// is_evictable(Time), eviction_order(), close_after_responses(), is_flushed(), unread_response_bytes() and
+// recheck_certificate(). Must be used on the event loop's thread; the loop must outlive it.
 template <class Connection>
 class ConnectionTable {
  public:
   explicit ConnectionTable(EventLoop& loop) : loop_(loop) {}
 
-  /// Creates a connection from its owner, its key and `arguments`.
+  // Creates a connection from its owner, its key and `arguments`.
   template <class Owner, class... Arguments>
   Connection& emplace(Owner& owner, Arguments&&... arguments) {
     const SlotKey key = connections_.insert(nullptr);
@@ -29,7 +29,7 @@
     slot = std::move(connection);
     return *slot;
   }
-  /// Removes a connection, which may be in the middle of a call: it is destroyed at the end of the iteration.
+  // Removes a connection. It is destroyed in a deferred task, because it may be in the middle of a call.
   void remove(SlotKey key) {
     auto removed = std::make_shared<std::unique_ptr<Connection>>(std::move(*connections_.take(key)));
     loop_.defer([removed] {});
@@ -41,7 +41,7 @@
   }
   [[nodiscard]] std::size_t size() const { return connections_.size(); }
 
-  /// Calls `visit` with each connection that is there now; one that goes meanwhile is left out.
+  // Calls `visit` with each current connection, except those that are removed during the iteration.
   template <class Visitor>
   void for_each(Visitor visit) const {
     for (const SlotKey key : connections_.keys()) {
@@ -49,18 +49,18 @@
     }
   }
 
-  /// Bytes written for clients that have not read them, of all connections.
+  // Returns the number of response bytes that clients have not read, over all connections.
   [[nodiscard]] std::size_t unread_response_bytes() const {
     std::size_t sum = 0;
     for_each([&sum](const Connection& connection) { sum += connection.unread_response_bytes(); });
     return sum;
   }
-  /// Whether nothing is queued for any client.
+  // Returns true if no bytes are queued for any client.
   [[nodiscard]] bool is_flushed() const {
     const auto keys = connections_.keys();
     return std::all_of(keys.begin(), keys.end(), [this](SlotKey key) { return find(key)->is_flushed(); });
   }
-  /// The evictable connection whose eviction order is the least; 0 if none is evictable.
+  // Returns the evictable connection that is first in eviction order; 0 if none is evictable.
   [[nodiscard]] SlotKey eviction_candidate() const {
     SlotKey candidate = 0;
     for (const SlotKey key : connections_.keys()) {
@@ -71,11 +71,11 @@
     return candidate;
   }
 
-  /// Closes each connection gracefully, once what is open on it has its response.
-  void close_when_answered() {
-    for_each([](Connection& connection) { connection.close_when_answered(); });
+  // Closes each connection gracefully once its open requests have their responses.
+  void close_after_responses() {
+    for_each([](Connection& connection) { connection.close_after_responses(); });
   }
-  /// Checks each connection's client certificate anew, a few connections an iteration.
+  // Checks each connection's client certificate again, a few connections per iteration of the event loop.
   void recheck_certificates() {
     if (!certificate_scan_) {
       certificate_scan_ = std::make_unique<IncrementalScan>(loop_, [this](SlotKey key) {
@@ -88,7 +88,8 @@
  private:
   EventLoop& loop_;
   SlotMap<std::unique_ptr<Connection>> connections_;
-  std::unique_ptr<IncrementalScan> certificate_scan_;  // made when it is first needed, to save idle memory
+  // Created on first use to save memory.
+  std::unique_ptr<IncrementalScan> certificate_scan_;
 };
 
 }  // namespace rookproxy
--- a/src/frontend/frame_codec.cpp
+++ b/src/frontend/frame_codec.cpp
@@ -6,12 +6,14 @@
 namespace rookproxy::frames {
 namespace {
 
-constexpr std::size_t kLengthSize = 4;  // bytes of a frame's length
+// Sizes and offsets are in bytes.
+constexpr std::size_t kLengthSize = 4;
 constexpr std::size_t kTypeOffset = 4;
 constexpr std::size_t kStreamIdOffset = 5;
 constexpr std::size_t kStreamIdSize = 4;
-constexpr std::size_t kNameLengthSize = 1;   // bytes of the length of a field's name
-constexpr std::size_t kValueLengthSize = 2;  // and of its value
+// Sizes of the length prefixes of a field's name and value.
+constexpr std::size_t kNameLengthSize = 1;
+constexpr std::size_t kValueLengthSize = 2;
 
 std::uint32_t read_big_endian(std::string_view bytes, std::size_t offset, std::size_t size) {
   std::uint32_t value = 0;
@@ -27,7 +29,7 @@
   }
 }
 
-// Takes a string that its length stands before; nothing if it is cut off.
+// Reads a length-prefixed string and removes it from `bytes`; empty if it is truncated.
 std::optional<std::string_view> take_string(std::string_view& bytes, std::size_t length_size) {
   if (bytes.size() < length_size) return std::nullopt;
   const std::size_t size = read_big_endian(bytes, 0, length_size);
@@ -48,7 +50,7 @@
   return header;
 }
 
-ParseStatus parse_frame(std::string_view bytes, Frame& frame, std::size_t& used) {
+ParseStatus parse_frame(std::string_view bytes, Frame& frame, std::size_t& consumed) {
   if (bytes.size() < kLengthSize) return ParseStatus::kIncomplete;
   const std::size_t length = read_big_endian(bytes, 0, kLengthSize);
   if (length < kMinFrameLength || length > kMaxSkippedLength) return ParseStatus::kMalformed;
@@ -56,9 +58,9 @@
   const FrameHeader header = parse_frame_header(bytes);
   frame.type = header.type;
   frame.stream_id = header.stream_id;
-  used = header.frame_size;
+  consumed = header.frame_size;
   if (length > kMaxFrameLength) return ParseStatus::kOversized;
-  if (bytes.size() < used) return ParseStatus::kIncomplete;
+  if (bytes.size() < consumed) return ParseStatus::kIncomplete;
   frame.payload = bytes.substr(kHeaderSize, length - kMinFrameLength);
   return ParseStatus::kComplete;
 }
--- a/src/frontend/frame_codec.h
+++ b/src/frontend/frame_codec.h
@@ -1,4 +1,4 @@
-// The platform's client protocol: binary frames over TCP. Encodes and parses them, without any I/O.
+// Encodes and parses the binary frames of the client protocol, without any I/O.
 #pragma once
 
 #include <cstddef>
@@ -12,7 +12,7 @@
 
 namespace rookproxy::frames {
 
-/// Types of frames, as they stand on the wire. Unscoped, since a frame that was received may hold any number.
+// Frame types with their values on the wire. Unscoped, because a received frame may contain any number.
 enum FrameType : std::uint8_t {
   kRequest = 2,
   kResponse = 4,
@@ -21,50 +21,54 @@
   kReadiness = 32,
   kGoAway = 64
 };
-/// The first byte of a response, as it stands on the wire.
+// The first byte of a response, with its values on the wire.
 enum ResponseCode : std::uint8_t { kServed = 0, kRejected = 1, kFailed = 2 };
 
-/// Bytes of a frame's length, type and stream id together.
+// The size of a frame's length, type and stream id together, in bytes.
 constexpr std::size_t kHeaderSize = 9;
-/// Bounds of the length that a frame announces, which counts all that follows the length itself.
+// Limits of a frame's length field, in bytes. The length does not include the length field itself.
 constexpr std::size_t kMinFrameLength = 5;
 constexpr std::size_t kMaxFrameLength = 262'144;
-/// A longer frame is still skipped, so that its stream can be given a response, up to this length.
+// A frame that is longer than kMaxFrameLength, up to this length, is skipped and its stream receives a
+// response.
 constexpr std::size_t kMaxSkippedLength = 1u << 20;
 
-/// One whole frame; the payload is a view of the bytes it was parsed from.
+// A complete frame. The payload is a view of the bytes that it was parsed from.
 struct Frame {
   std::uint8_t type = 0;
   std::uint32_t stream_id = 0;
   std::string_view payload;
 };
 
-/// What the header of a frame says before the whole frame has arrived.
+// The header of a frame, which can be parsed before the frame is complete.
 struct FrameHeader {
   std::uint8_t type = 0;
   std::uint32_t stream_id = 0;
-  std::size_t frame_size = 0;  // bytes, with the header
+  // The size of the frame in bytes, including the header.
+  std::size_t frame_size = 0;
 };
-/// Parses the header at the front of `bytes`, which hold at least kHeaderSize bytes.
+// Parses the header at the front of `bytes`, which must contain at least kHeaderSize bytes.
 [[nodiscard]] FrameHeader parse_frame_header(std::string_view bytes);
 
-/// What stands at the front of the bytes received; after kMalformed no further frame can be found.
+// The state of the frame at the front of the received bytes. After kMalformed no further frame can be parsed.
 enum class ParseStatus { kIncomplete, kComplete, kOversized, kMalformed };
-/// Parses one frame off the front of `bytes`; `used` is its size in bytes. Of an oversized frame `used` and
-/// the header's fields are set; otherwise both are set only if the frame is complete.
-ParseStatus parse_frame(std::string_view bytes, Frame& frame, std::size_t& used);
+// Parses one frame at the front of `bytes`; `consumed` is its size in bytes. For an oversized frame only
+// `consumed` and the header's fields are valid; otherwise the output parameters are valid only for a complete
+// frame.
+ParseStatus parse_frame(std::string_view bytes, Frame& frame, std::size_t& consumed);
 
-/// Named fields in front of the body of a request or a response.
+// The named fields that precede the body of a request or a response.
 using Fields = std::map<std::string, std::string, std::less<>>;
-/// Parses the fields and leaves the body in `payload`; false if they are cut off or a name comes twice.
+// Parses the fields and leaves the body in `payload`. Returns false if they are truncated or a name is
+// repeated.
 bool parse_fields(std::string_view& payload, Fields& fields);
 
-/// Encodes a frame of any type.
+// Encodes a frame of any type.
 std::string encode_frame(std::uint8_t type, std::uint32_t stream_id, std::string_view payload);
-/// Encodes the response on a stream; 0 is the connection itself.
+// Encodes a response on a stream. Stream 0 is the connection itself.
 std::string encode_response(std::uint32_t stream_id, ResponseCode code, const Fields& fields,
                             std::string_view body);
-/// The field that tells a client when to come back, in milliseconds, rounded up.
+// Returns the field that tells a client after how many milliseconds to retry, rounded up.
 Fields::value_type retry_after_field(Duration pause);
 
 }  // namespace rookproxy::frames
--- a/src/frontend/frame_request.cpp
+++ b/src/frontend/frame_request.cpp
@@ -13,12 +13,14 @@
 namespace rookproxy {
 namespace {
 
-// Values beyond these are no estimates: they would only mislead the routing about what usual requests take.
-constexpr int kMaxClassTimeouts = 4;  // that a client may wait
+// Larger values are rejected, because they would distort the routing module's estimates. kMaxClassTimeouts is
+// the longest timeout of a request as a multiple of its class's timeout.
+constexpr int kMaxClassTimeouts = 4;
 constexpr double kMaxWorkMs = 1e7;
 constexpr double kMaxMemoryMb = 1e7;
 constexpr double kMicrosecondsPerMillisecond = 1000;
-constexpr std::size_t kMaxNameLength = 255;  // bytes of a tenant's name or of an idempotency key
+// The maximum length of a tenant's name and of an idempotency key, in bytes.
+constexpr std::size_t kMaxNameLength = 255;
 constexpr std::size_t kCallIdLength = 16;
 
 std::optional<double> parse_amount(std::string_view text) {
@@ -36,7 +38,7 @@
   return text.size() == kCallIdLength && std::all_of(text.begin(), text.end(), is_hex_digit);
 }
 
-// The key goes on to engines as one value in a list of fields.
+// Engines receive the key as a value in a list of fields, so it must not contain the separators.
 bool is_idempotency_key(std::string_view text) {
   return !text.empty() && text.size() <= kMaxNameLength &&
          std::all_of(text.begin(), text.end(), [](char character) {
@@ -100,7 +102,7 @@
   return error;
 }
 
-// Where the settings have no tenants the field means nothing and does no harm. Its value goes into no log.
+// The field is ignored if the settings define no tenants. Its value is not logged.
 FrameRequestError FrameRequest::validate_tenant() {
   const auto name = field("org");
   if (!name || name->empty() || !dispatcher_.has_tenants()) return FrameRequestError::kNone;
@@ -109,7 +111,7 @@
     return FrameRequestError::kNone;
   }
   if (name->size() > kMaxNameLength) return FrameRequestError::kTenantNameTooLong;
-  // During a settings transition the client may go by a list of tenants that is not in force any more.
+  // During a settings transition the client may still use a tenant that is no longer configured.
   return dispatcher_.in_settings_transition() ? FrameRequestError::kNone : FrameRequestError::kUnknownTenant;
 }
 
@@ -136,7 +138,7 @@
   return FrameRequestError::kNone;
 }
 
-// An idempotent class needs no key, and engines expect none: there the field means nothing.
+// The field is ignored for an idempotent class, which needs no key and for which engines expect none.
 FrameRequestError FrameRequest::validate_idempotency_key(const routing::ClassSettings& settings) {
   if (settings.idempotency == routing::Idempotency::kIdempotent) return FrameRequestError::kNone;
   idempotency_key_ = field("dedupe");
--- a/src/frontend/frame_request.h
+++ b/src/frontend/frame_request.h
@@ -1,4 +1,4 @@
-// A request frame of the platform's protocol: validates its fields and turns it into a dispatcher's request.
+// Validates the fields of a request frame and converts it to a request of the dispatcher.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,7 @@
 
 namespace rookproxy {
 
-/// Why a request cannot be used; kNone if it can.
+// The reason why a request is invalid; kNone if it is valid.
 enum class FrameRequestError {
   kNone,
   kInvalidCallId,
@@ -25,26 +25,26 @@
   kInvalidIdempotencyKey,
   kCallIdInUse
 };
-/// The error as its client is told.
+// Returns the error text that is sent to the client.
 std::string_view frame_request_error_text(FrameRequestError error);
 
-/// The fields of one request frame. The fields, the statement and the dispatcher must outlive it.
+// A request frame. The fields, the statement and the dispatcher must outlive it.
 class FrameRequest {
  public:
   FrameRequest(const Dispatcher& dispatcher, const frames::Fields& fields, std::string_view statement);
 
-  /// Checks the fields in a fixed order up to the first error. `tenant_from_field`: the request itself names
-  /// its tenant; otherwise callers are identified, and what they proved says whose they are.
+  // Checks the fields in a fixed order and returns the first error. If `tenant_from_field` is true, a field
+  // of the request names the tenant; otherwise the caller's credentials determine it.
   [[nodiscard]] FrameRequestError validate(bool tenant_from_field);
-  /// The request for the dispatcher, once the fields are valid. Moves the tenant's name out.
+  // Returns the request for the dispatcher. The fields must be valid. Moves the tenant's name out.
   [[nodiscard]] IncomingRequest take_incoming(Time now);
 
   [[nodiscard]] std::optional<std::string_view> field(std::string_view name) const;
-  /// The client's id for the request, or an empty string.
+  // Returns the client's id of the request, or an empty string.
   [[nodiscard]] std::string_view call_id() const { return call_id_.value_or(""); }
   [[nodiscard]] std::string_view class_name() const { return class_name_.value_or(""); }
   [[nodiscard]] std::optional<routing::ClassIndex> class_index() const { return class_index_; }
-  /// Empty until the field is validated, and where the request names no known tenant.
+  // Returns an empty string before validation, or if the request names no known tenant.
   [[nodiscard]] const std::string& tenant() const { return tenant_; }
 
  private:
--- a/src/frontend/frames_connection.cpp
+++ b/src/frontend/frames_connection.cpp
@@ -8,13 +8,13 @@
 namespace rookproxy {
 namespace {
 
-// A frame whose bytes pause for longer has stalled.
+// The longest pause between two parts of a frame before it counts as stalled.
 constexpr Duration kMaxPauseWithinFrame = std::chrono::milliseconds(700);
-// Nobody is evicted before what it sent with its connection could be read.
+// The time during which a new connection is not evicted, so that its first bytes can be read.
 constexpr Duration kEvictionGracePeriod = std::chrono::milliseconds(20);
-// Larger partial frames share a budget.
+// The size in bytes above which partial frames are counted against a shared budget.
 constexpr std::size_t kLargeFrameThreshold = 16 * 1024;
-// Input is buffered up to the largest frame and a part of the next one.
+// The input buffer holds the largest frame and a part of the next one.
 constexpr std::size_t kInputLimit = frames::kMaxFrameLength + 4096;
 
 }  // namespace
@@ -39,30 +39,30 @@
 }
 
 std::size_t FramesFrontend::Connection::on_bytes(std::string_view bytes) {
-  if (framing_lost_) return bytes.size();
+  if (framing_failed_) return bytes.size();
   last_bytes_at_ = frontend_.loop_.now();
   if (bytes_to_skip_ > 0) return skip_bytes(bytes);
-  if (waiting_for_reader_) {
+  if (paused_for_unread_responses_) {
     scan_for_cancellations(bytes);
     if (bytes.size() >= kLargeFrameThreshold) stream_.set_read_paused(true);
     return 0;
   }
   frames::Frame frame;
-  std::size_t used = 0;
-  switch (frames::parse_frame(bytes, frame, used)) {
+  std::size_t consumed = 0;
+  switch (frames::parse_frame(bytes, frame, consumed)) {
     case frames::ParseStatus::kIncomplete:
       return handle_partial_frame(bytes);
     case frames::ParseStatus::kMalformed:
-      return lose_framing("unreadable frame", bytes);
+      return handle_framing_error("unreadable frame", bytes);
     case frames::ParseStatus::kOversized:
-      return handle_oversized_frame(frame, used, bytes);
+      return handle_oversized_frame(frame, consumed, bytes);
     case frames::ParseStatus::kComplete:
       break;
   }
   last_frame_at_ = frontend_.loop_.now();
   frame_finished();
   handle_frame(frame);
-  return used;
+  return consumed;
 }
 
 std::size_t FramesFrontend::Connection::skip_bytes(std::string_view bytes) {
@@ -72,8 +72,8 @@
   return skipped;
 }
 
-// A large frame may be buffered only while the budget for such frames lasts, and every frame only for so
-// long.
+// Buffers a partial frame. A large frame is buffered only if the shared budget permits it. Every partial
+// frame must be completed within the frame timeout.
 std::size_t FramesFrontend::Connection::handle_partial_frame(std::string_view bytes) {
   frame_started();
   if (bytes.size() < frames::kHeaderSize || reserved_bytes_.is_active()) return 0;
@@ -81,7 +81,7 @@
   if (header.frame_size <= kLargeFrameThreshold) return 0;
   if (reserved_bytes_.try_reserve(header.frame_size, frontend_.limits_.max_partial_frame_bytes)) return 0;
   if (closing_ || !starts_request(header.type, header.stream_id)) {
-    return lose_framing("no room for a frame so large", bytes);
+    return handle_framing_error("no room for a frame so large", bytes);
   }
   respond(header.stream_id, frames::kRejected,
           {frames::retry_after_field(frontend_.dispatcher_.overload_retry_after())},
@@ -93,15 +93,16 @@
 std::size_t FramesFrontend::Connection::handle_oversized_frame(const frames::Frame& frame,
                                                                std::size_t frame_size,
                                                                std::string_view bytes) {
-  if (!starts_request(frame.type, frame.stream_id)) return lose_framing("oversized frame", bytes);
+  if (!starts_request(frame.type, frame.stream_id)) return handle_framing_error("oversized frame", bytes);
   frame_started();
   fail_request(frame.stream_id, "larger than a frame may be");
   bytes_to_skip_ = frame_size;
   return skip_bytes(bytes);
 }
 
-std::size_t FramesFrontend::Connection::lose_framing(std::string_view reason, std::string_view bytes) {
-  framing_lost_ = true;
+std::size_t FramesFrontend::Connection::handle_framing_error(std::string_view reason,
+                                                             std::string_view bytes) {
+  framing_failed_ = true;
   protocol_error(reason);
   return bytes.size();
 }
@@ -110,15 +111,15 @@
   return type == frames::kRequest && stream_id != 0 && !open_requests_.contains(stream_id);
 }
 
-// What a client sends while it does not read its responses stays buffered, up to the size of a usual frame,
-// and is handled in its turn. A cancellation takes effect at once: its client has gone, and nothing may start
-// for it. When its turn comes it finds nothing to cancel.
+// Frames from a client that does not read its responses stay buffered, up to the large-frame threshold, and
+// are handled later in order. Cancellations among them take effect immediately, so that no attempt starts for
+// a cancelled request; handling them again later has no effect.
 void FramesFrontend::Connection::scan_for_cancellations(std::string_view bytes) {
   frames::Frame frame;
-  std::size_t used = 0;
-  while (frames::parse_frame(bytes, frame, used) == frames::ParseStatus::kComplete) {
+  std::size_t consumed = 0;
+  while (frames::parse_frame(bytes, frame, consumed) == frames::ParseStatus::kComplete) {
     if (frame.type == frames::kCancel) cancel_request(frame.stream_id);
-    bytes.remove_prefix(used);
+    bytes.remove_prefix(consumed);
   }
 }
 
@@ -163,19 +164,20 @@
   update_idle_state();
 }
 
-// A client that does not read its responses gets no further frame handled until it does.
+// Pauses the handling of frames while the client does not read its responses.
 void FramesFrontend::Connection::write(std::string bytes) {
   stream_.write(std::move(bytes));
   if (stream_.queued_bytes() <= frontend_.limits_.max_unread_bytes_per_connection) return;
-  waiting_for_reader_ = true;
+  paused_for_unread_responses_ = true;
   if (frontend_.connections_.unread_response_bytes() <= frontend_.limits_.max_unread_response_bytes) return;
-  // Not gracefully: that would wait for just those bytes of which there are too many.
-  frontend_.log_.write(LogLevel::kNotice, "frames", "answers not taken", {});
+  // A graceful close would wait until the client reads the very bytes that exceed the limit.
+  frontend_.log_.write(LogLevel::kNotice, "frames",
+                       "client does not read its responses; closing the connection", {});
   frontend_.loop_.defer([&frontend = frontend_, key = key_] { frontend.drop(key); });
 }
 
 void FramesFrontend::Connection::on_flushed() {
-  if (!std::exchange(waiting_for_reader_, false)) return;
+  if (!std::exchange(paused_for_unread_responses_, false)) return;
   stream_.set_read_paused(false);
   stream_.schedule_read();
 }
@@ -203,9 +205,9 @@
   return correlation_ids;
 }
 
-// Silent clients and partial frames hold descriptors that others need. Where requests are open the connection
-// stays for them in any case, so the rest of a frame may still come, as it does behind a network that was cut
-// for some seconds: it is a request like any other then.
+// Closes connections of silent clients and with incomplete frames, because they occupy descriptors. A
+// connection with open requests stays open for their responses, so an incomplete frame may still be
+// completed, for example after a short network interruption.
 void FramesFrontend::Connection::start_frame_timer(Duration timeout) {
   frontend_.loop_.cancel(frame_timer_);
   frame_timer_ = frontend_.loop_.run_at(frontend_.loop_.now() + timeout, [this] {
@@ -218,14 +220,15 @@
   });
 }
 
-// Starts, stops or fires what depends on whether a request is open.
+// Starts or stops the idle timer, or starts a pending close, depending on whether a request is open.
 void FramesFrontend::Connection::update_idle_state() {
   if (closing_) {
     if (open_requests_.empty()) close_gracefully();
     return;
   }
   if (denial_ != policy::Denial::kNone) {
-    // Only once, whatever else arrives: a request that crosses the go-away is still rejected with its reason.
+    // The timer is started only once. Until it fires, requests that crossed the go-away frame are rejected
+    // with the reason of the denial.
     if (!open_requests_.empty() || idle_timer_ != TimerId{}) return;
     idle_timer_ = frontend_.loop_.run_at(frontend_.loop_.now() + frontend_.linger_timeout_,
                                          [this] { protocol_error("its credentials are not good"); });
@@ -236,13 +239,13 @@
   idle_timer_ = frontend_.loop_.run_at(frontend_.loop_.now() + frontend_.limits_.idle_timeout, [this] {
     idle_timer_ = {};
     read_now();
-    // A frame in progress has its own timer, and its end starts this one again.
+    // A frame in progress has its own timer, and the idle timer is restarted when the frame ends.
     if (open_requests_.empty() && !frame_in_progress_ && idle_timer_ == TimerId{}) close_gracefully();
   });
 }
 
-// Open requests still get their one response, each by its deadline at the latest, then the connection closes.
-// Further requests are rejected at once, as long as frames can be told apart: what is dropped unread is lost.
+// Reports the error to the client. The connection closes once all open requests have their responses. Further
+// requests are rejected immediately as long as the input can still be split into frames.
 void FramesFrontend::Connection::protocol_error(std::string_view reason) {
   if (closing_) return;
   frontend_.log_.write(LogLevel::kNotice, "frames", reason, {});
@@ -263,7 +266,7 @@
   if (denial != policy::Denial::kNone) close_for_denial(denial);
 }
 
-// The connection closes once no request is open.
+// Sends a go-away frame; the connection closes once no request is open.
 void FramesFrontend::Connection::close_for_denial(policy::Denial denial) {
   if (closing_ || denial_ != policy::Denial::kNone) return;
   denial_ = denial;
@@ -281,7 +284,7 @@
   stream_.close_gracefully(frontend_.linger_timeout_);
 }
 
-void FramesFrontend::Connection::close_when_answered() {
+void FramesFrontend::Connection::close_after_responses() {
   read_now();
   if (open_requests_.empty()) return close_gracefully();
   stop_accepting_requests();
--- a/src/frontend/frames_connection.h
+++ b/src/frontend/frames_connection.h
@@ -1,4 +1,4 @@
-// One client connection of the frames frontend. Only for the frontend's own sources.
+// A client connection of the frames frontend. This header is internal to the frontend.
 #pragma once
 
 #include <compare>
@@ -19,13 +19,14 @@
 
 namespace rookproxy {
 
-/// Reads a client's frames, writes its responses and ends the connection by itself: when it is idle, when a
-/// frame stays incomplete, after a protocol error and when its credentials lose their validity.
+// Reads a client's frames and writes the responses. Closes itself when it is idle, when a frame stays
+// incomplete, after a protocol error, and when the client's credentials become invalid.
 class FramesFrontend::Connection final : public StreamHandler {
  public:
-  /// Which connection is evicted first: the least in this order, the longest silent one of each class.
+  // Classes of connections in the order in which they are evicted. Within a class, the connection that has
+  // been silent for the longest time is evicted first.
   enum class EvictionClass { kNoRequestYet, kStalledFrame, kIdle, kReceiving };
-  /// The place of a connection in the order of eviction.
+  // The sort key of a connection in eviction order.
   struct EvictionOrder {
     EvictionClass eviction_class = EvictionClass::kIdle;
     Time last_bytes_at;
@@ -41,37 +42,37 @@
   std::size_t on_bytes(std::string_view bytes) override;
   void on_closed(std::string_view) override { frontend_.drop(key_); }
   void on_flushed() override;
-  // Nothing of a client that has gone is sent on, not even what it sent before.
+  // Unread requests of a disconnected client are discarded.
   void on_hangup() override { frontend_.client_disconnected(key_); }
 
-  /// Writes the one response to the request on this stream.
+  // Writes the response to the request on this stream.
   void respond(std::uint32_t stream_id, frames::ResponseCode code, const frames::Fields& fields,
                std::string_view body);
   void send_go_away() { write(frames::encode_frame(frames::kGoAway, 0, "")); }
 
-  /// Whether no request is open and it is not closing already.
+  // Returns true if no request is open and the connection is not closing.
   [[nodiscard]] bool is_closable() const { return open_requests_.empty() && !closing_; }
-  /// The same, once there was time to read what the client sent with its connection.
+  // Returns true if the connection is closable and its first bytes could be read since it was accepted.
   [[nodiscard]] bool is_evictable(Time now) const;
   [[nodiscard]] EvictionOrder eviction_order() const;
   [[nodiscard]] std::size_t unread_response_bytes() const { return stream_.queued_bytes(); }
   [[nodiscard]] bool is_flushed() const { return stream_.queued_bytes() == 0; }
-  /// Whether a frame has begun whose bytes still come.
+  // Returns true if a partial frame has been received and has not stalled.
   [[nodiscard]] bool is_receiving() const;
 
-  /// Tells a client to go away whose certificate has lost its validity, whether it sends a request or not.
+  // Closes the connection if the client's certificate is no longer valid, even without a new request.
   void recheck_certificate();
-  /// Handles what has arrived but was not read yet. Called before a decision to close: it was sent to a
-  /// connection that was open.
+  // Handles bytes that have arrived but were not read yet. Called before a decision to close the connection,
+  // so that requests sent while it was open are served.
   void read_now() { stream_.read_now(); }
-  /// Reads and writes nothing more, but for what is queued. All closes are graceful, except where a client
-  /// does not read its responses (FramesFrontend::drop).
+  // Stops reading and writing, except for queued output. Connections are closed gracefully unless the client
+  // does not read its responses (see FramesFrontend::drop).
   void close_gracefully();
-  /// Closes gracefully once the open requests have their responses.
-  void close_when_answered();
-  /// Closes at once.
+  // Closes gracefully once the open requests have their responses.
+  void close_after_responses();
+  // Closes the connection immediately.
   void close() { stream_.close(); }
-  /// The correlation ids of all open requests, which are not open any more.
+  // Returns the correlation ids of all open requests and marks them as no longer open.
   std::vector<SlotKey> take_open_requests();
 
  private:
@@ -80,7 +81,7 @@
   std::size_t handle_partial_frame(std::string_view bytes);
   std::size_t handle_oversized_frame(const frames::Frame& frame, std::size_t frame_size,
                                      std::string_view bytes);
-  std::size_t lose_framing(std::string_view reason, std::string_view bytes);
+  std::size_t handle_framing_error(std::string_view reason, std::string_view bytes);
   [[nodiscard]] bool starts_request(std::uint8_t type, std::uint32_t stream_id) const;
   void scan_for_cancellations(std::string_view bytes);
   void frame_started();
@@ -110,19 +111,30 @@
 
   FramesFrontend& frontend_;
   SlotKey key_;
-  std::unique_ptr<auth::CertificateAuthenticator> certificate_;  // null without TLS
-  std::map<std::uint32_t, SlotKey> open_requests_;               // correlation id by stream id
-  std::size_t bytes_to_skip_ = 0;                                // of an oversized frame
-  bool closing_ = false;                                         // no request is accepted any more
-  bool framing_lost_ = false;        // nothing is read: where the next frame starts is unknown
-  bool close_started_ = false;       // nothing is written either
-  bool waiting_for_reader_ = false;  // nothing is handled until the client has read its responses
-  policy::Denial denial_ = policy::Denial::kNone;  // for which the connection closes
-  bool frame_in_progress_ = false;                 // a frame has begun and is not complete
-  ByteReservation reserved_bytes_;                 // of the budget for large partial frames
+  // Null without TLS.
+  std::unique_ptr<auth::CertificateAuthenticator> certificate_;
+  // The correlation ids of the open requests by stream id.
+  std::map<std::uint32_t, SlotKey> open_requests_;
+  // The number of bytes left to skip of an oversized frame.
+  std::size_t bytes_to_skip_ = 0;
+  // True if no new requests are accepted.
+  bool closing_ = false;
+  // True if the start of the next frame is unknown; all further input is discarded.
+  bool framing_failed_ = false;
+  // True once the graceful close has started; nothing more is written.
+  bool close_started_ = false;
+  // True if no frames are handled until the client has read its responses.
+  bool paused_for_unread_responses_ = false;
+  // The denial that causes the connection to close.
+  policy::Denial denial_ = policy::Denial::kNone;
+  // True if a frame was received only in part.
+  bool frame_in_progress_ = false;
+  // The reservation in the budget for large partial frames.
+  ByteReservation reserved_bytes_;
   Time accepted_at_;
   Time last_bytes_at_;
-  Time last_frame_at_;  // a default one: no frame yet
+  // Default-initialized until the first frame has arrived.
+  Time last_frame_at_;
   TimerId idle_timer_{};
   TimerId frame_timer_{};
   Stream stream_;
--- a/src/frontend/frames_connection_requests.cpp
+++ b/src/frontend/frames_connection_requests.cpp
@@ -1,5 +1,5 @@
-// The requests of a frames connection: from a request frame to the dispatcher, by way of authentication and
-// authorization where callers are identified.
+// Handles the requests of a frames connection: validation, authentication, authorization, and submission to
+// the dispatcher.
 #include <algorithm>
 #include <utility>
 #include <variant>
@@ -12,7 +12,7 @@
 namespace rookproxy {
 namespace {
 
-// The check of a token is given up this long before the client's deadline, to respond in time.
+// A token check is abandoned this long before the request's deadline, so that the response arrives in time.
 constexpr Duration kResponseMargin = std::chrono::milliseconds(8);
 
 }  // namespace
@@ -24,8 +24,8 @@
   FrameRequest request(frontend_.dispatcher_, fields, statement);
   if (denial_ != policy::Denial::kNone) return deny_request(frame.stream_id, request);
   FrameRequestError error = request.validate(frontend_.authenticator_ == nullptr);
-  // Engines know requests by their call id: under one that is open, another statement would end or answer the
-  // wrong one.
+  // Engines identify requests by their call id. A second open request with the same id could cancel the first
+  // one or receive its response.
   if (error == FrameRequestError::kNone &&
       frontend_.open_call_ids_.contains(std::string(request.call_id()))) {
     error = FrameRequestError::kCallIdInUse;
@@ -47,7 +47,7 @@
   open_request(frame.stream_id, request);
 }
 
-// For a request on a connection that closes because its credentials have lost their validity.
+// Rejects a request on a connection that is closing because its credentials are no longer valid.
 void FramesFrontend::Connection::deny_request(std::uint32_t stream_id, const FrameRequest& request) {
   frontend_.authenticator_->audit_denial(denial_, {}, request.class_name(), {"frames", request.call_id()});
   if (request.class_index()) {
@@ -71,7 +71,8 @@
 
 void FramesFrontend::Connection::cancel_request(std::uint32_t stream_id) {
   const auto found = open_requests_.find(stream_id);
-  if (found == open_requests_.end()) return;  // its response was already on its way
+  // The response may have been sent before the cancellation arrived.
+  if (found == open_requests_.end()) return;
   const SlotKey correlation_id = found->second;
   open_requests_.erase(found);
   frontend_.cancel_request(correlation_id);
@@ -83,7 +84,7 @@
   frontend_.pending_requests_.find(correlation_id)->request = request;
 }
 
-// A token is passed on no further than the authenticator.
+// The token is passed to the authenticator only.
 void FramesFrontend::Connection::authenticate(SlotKey correlation_id, IncomingRequest incoming,
                                               std::optional<std::string_view> token) {
   if (!token) return authorize(correlation_id, std::move(incoming), authenticate_by_certificate());
@@ -108,10 +109,10 @@
                                              std::string_view token) {
   const std::size_t bytes = incoming.query->bytes();
   auto waiting = std::make_shared<IncomingRequest>(std::move(incoming));
-  // Destroyed with its check, which ends with this connection at the latest.
+  // The callback is destroyed with the check, which ends no later than this connection.
   const auto on_checked = [this, correlation_id, waiting](auth::AuthenticationResult result) {
     frontend_.finish_check(*frontend_.pending_requests_.find(correlation_id));
-    // The settings may have changed meanwhile, and the index of the class with them.
+    // A change of the settings during the check may have changed the class index.
     const auto class_index = frontend_.dispatcher_.find_class(waiting->query->class_name);
     if (!class_index) {
       return fail_request(frontend_.take_pending_request(correlation_id)->stream_id,
@@ -133,17 +134,17 @@
 
 void FramesFrontend::Connection::authorize(SlotKey correlation_id, IncomingRequest incoming,
                                            auth::AuthenticationResult authentication) {
-  static const policy::Identity kNobody;
+  static const policy::Identity kNoIdentity;
   const Query& query = *incoming.query;
   const auth::AuditContext audit{"frames", query.id};
   policy::Denial denial = authentication.denial;
   if (denial != policy::Denial::kNone) {
-    frontend_.authenticator_->audit_denial(denial, kNobody, query.class_name, audit);
+    frontend_.authenticator_->audit_denial(denial, kNoIdentity, query.class_name, audit);
   } else {
     const policy::Identity& identity = authentication.credential->identity;
     const routing::ClassSettings& settings = frontend_.dispatcher_.class_settings(incoming.class_index);
     const bool may_write = settings.idempotency == routing::Idempotency::kNonIdempotent;
-    // Which engine will run the statement, and in which dialect, is not known here.
+    // The engine that will run the statement, and so its dialect, is not known yet.
     const auto analysis = sql::analyze_statement(query.statement, "", sql::Dialect::kAny);
     denial = frontend_.authenticator_->authorize(identity, query.class_name, may_write, analysis, audit);
     incoming.tenant = identity.tenant;
--- a/src/frontend/frames_frontend.cpp
+++ b/src/frontend/frames_frontend.cpp
@@ -10,7 +10,7 @@
 namespace rookproxy {
 namespace {
 
-// Of a response, besides its body: its header, code and fields fit into this.
+// The maximum size of a response's header, code and fields, in bytes.
 constexpr std::size_t kResponseOverhead = 1024;
 
 std::string_view response_message(const Response& response) {
@@ -54,7 +54,7 @@
   return request;
 }
 
-// The client does not wait for it any more.
+// Cancels a request whose client no longer waits for the response.
 void FramesFrontend::cancel_request(SlotKey correlation_id) {
   const auto request = take_pending_request(correlation_id);
   if (!request) return;
@@ -75,12 +75,13 @@
   return connections_.size() - closing_.size() + max_closing() >= limits_.max_connections;
 }
 
-// Closes the connection that is first in eviction order, unless bytes that lie unread on it change that
-// order.
+// Closes the connection that is first in eviction order. Its unread bytes are handled first; if they change
+// its order, the next candidate is considered.
 void FramesFrontend::evict_idle_connection() {
   for (std::size_t attempts = connections_.size();; --attempts) {
     const SlotKey key = connections_.eviction_candidate();
-    if (key == 0 || !is_full()) return;  // the bytes read have ended a connection
+    // Handling unread bytes may have closed a connection.
+    if (key == 0 || !is_full()) return;
     Connection* candidate = connections_.find(key);
     const Connection::EvictionOrder order = candidate->eviction_order();
     candidate->read_now();
@@ -89,7 +90,7 @@
   }
 }
 
-// Its open requests are cancelled at once; what was written to it still gets there.
+// Cancels the client's open requests immediately. Responses that were already written are still delivered.
 void FramesFrontend::client_disconnected(SlotKey key) {
   Connection* connection = connections_.find(key);
   if (!connection) return;
@@ -99,7 +100,7 @@
 
 void FramesFrontend::accept(FileDescriptor fd) {
   if (is_full()) evict_idle_connection();
-  // When all descriptors for clients are in use, the connection that began to close first has had its time.
+  // When all client descriptors are in use, the connection that started to close first is dropped.
   if (connections_.size() >= limits_.max_connections && !closing_.empty()) drop(closing_.front());
   auto channel = tls_ ? std::make_unique<tls::ServerChannel>(tls_) : nullptr;
   Connection& connection = connections_.emplace(*this, std::move(fd), std::move(channel));
@@ -150,7 +151,7 @@
 void FramesFrontend::close_all_gracefully(Duration timeout) {
   linger_timeout_ = timeout;
   set_accepting(false);
-  connections_.close_when_answered();
+  connections_.close_after_responses();
 }
 
 void FramesFrontend::set_resource_limits(std::size_t max_connections, std::size_t max_partial_frame_bytes,
--- a/src/frontend/frames_frontend.h
+++ b/src/frontend/frames_frontend.h
@@ -1,5 +1,5 @@
-// The frontend for the platform's clients: accepts their connections and passes requests on to the
-// dispatcher.
+// The frontend for clients that use binary frames. Accepts their connections and submits their requests to
+// the dispatcher.
 #pragma once
 
 #include <algorithm>
@@ -23,28 +23,32 @@
 
 namespace rookproxy {
 
-/// Serves binary frames over TCP, or over TLS. Lives on the event loop's thread; what is passed to the
-/// constructor by reference or pointer must outlive it.
+// Serves binary frames over TCP or TLS. Must be used on the event loop's thread. Everything passed to the
+// constructor by reference or pointer must outlive it.
 class FramesFrontend final : public ResponseHandler {
  public:
-  /// What the clients may take up, and how long they may be silent.
+  // Limits of the clients' resource usage and inactivity.
   struct Limits {
     std::size_t max_connections = 400;
-    std::size_t max_open_requests = 32;  // of one connection
-    /// Response bytes that one client has not read, above which nothing more is read from it.
+    // The limit for one connection.
+    std::size_t max_open_requests = 32;
+    // The number of unread response bytes of one client above which its frames are not handled.
     std::size_t max_unread_bytes_per_connection = 256 * 1024;
-    /// For all connections together: large frames that have only partly arrived, and unread response bytes.
+    // Limits for all connections together: bytes of partially received large frames, and unread response
+    // bytes.
     std::size_t max_partial_frame_bytes = 4u << 20;
     std::size_t max_unread_response_bytes = 8u << 20;
     Duration idle_timeout = std::chrono::seconds(60);
-    /// A client that has sent no frame by then is closed, and a frame must be complete so long after its
-    /// first byte. Clients write one in up to 2 s, and bad ones are owed a close within 3 s of connecting.
+    // A connection without a frame after this time is closed. Must be less than the 3 s within which the
+    // protocol requires faulty clients to be disconnected.
     Duration first_request_timeout = std::chrono::milliseconds(2500);
+    // A frame must be complete this long after its first byte. Must be more than the 2 s that clients may
+    // take to write a frame.
     Duration frame_timeout = std::chrono::milliseconds(2600);
   };
 
-  /// Accepts nothing until set_accepting(true). Without an authenticator callers are not identified; with
-  /// `tls` every connection is encrypted from its first byte.
+  // Accepts no connections until set_accepting(true) is called. Without an authenticator callers are not
+  // identified. With `tls` every connection is encrypted from its first byte.
   FramesFrontend(EventLoop& loop, Logger& log, Dispatcher& dispatcher, FileDescriptor listener, Limits limits,
                  auth::Authenticator* authenticator = nullptr,
                  std::shared_ptr<const tls::ServerContext> tls = nullptr);
@@ -53,41 +57,41 @@
   FramesFrontend& operator=(const FramesFrontend&) = delete;
 
   ResponseStatus on_response(std::uint64_t correlation_id, Response response) override;
-  /// Tells every client that this process is no longer ready; requests that still arrive are served.
+  // Tells all clients that this process is no longer ready. Requests that still arrive are served.
   void drain();
-  /// Takes new TLS settings for new connections, and checks the certificates of open ones anew.
+  // Applies new TLS settings to new connections and checks the certificates of open connections again.
   void update_tls_context(std::shared_ptr<const tls::ServerContext> tls);
-  /// Accepts nobody any more and closes each connection once its open requests have their responses. A
-  /// request that arrives meanwhile is rejected, one that arrives behind our end is ignored. A client that
-  /// does not close its side within `timeout` is closed.
+  // Stops accepting connections and closes each connection once its open requests have their responses.
+  // Requests that arrive before that are rejected; requests that arrive after this side was shut down are
+  // ignored. A connection whose client does not close its side within `timeout` is closed.
   void close_all_gracefully(Duration timeout);
   [[nodiscard]] bool has_connections() const { return connections_.size() > 0; }
   void set_accepting(bool accepting) { accepting ? acceptor_.start() : acceptor_.stop(); }
-  /// Changes the limits that depend on how many processes share the dispatcher's resources; what exceeds them
-  /// goes as new clients come.
+  // Changes the limits that depend on how many processes share the dispatcher's resources. Connections above
+  // the new limits are evicted when new clients connect.
   void set_resource_limits(std::size_t max_connections, std::size_t max_partial_frame_bytes,
                            std::size_t max_unread_response_bytes);
-  /// Whether nothing is queued for any client and no token waits to be checked.
+  // Returns true if no bytes are queued for any client and no token check is pending.
   [[nodiscard]] bool is_flushed() const;
-  /// Whether a request is arriving on any connection.
+  // Returns true if a frame is being received on any connection.
   [[nodiscard]] bool is_receiving() const;
   [[nodiscard]] std::uint16_t port() const { return acceptor_.port(); }
 
  private:
   class Connection;
-  /// A request that has no response yet, by the correlation id that the dispatcher knows it by.
+  // A request without a response. The dispatcher identifies it by its correlation id.
   struct PendingRequest {
     SlotKey connection = 0;
     std::uint32_t stream_id = 0;
     RequestKey request = 0;
     std::string call_id;
-    auth::Authenticator::CheckId check = 0;  // of its token, while that is being checked; 0: none
+    // The pending check of the request's token; 0 if there is none.
+    auth::Authenticator::CheckId check = 0;
     std::size_t bytes_in_check = 0;
   };
   void accept(FileDescriptor fd);
   void drop(SlotKey key);
-  // This part of the descriptors for clients is kept for connections that are closing gracefully, while
-  // others have come.
+  // Returns the number of client descriptors that are reserved for connections that are closing gracefully.
   [[nodiscard]] std::size_t max_closing() const {
     return std::max<std::size_t>(1, limits_.max_connections / 8);
   }
@@ -103,16 +107,20 @@
   Logger& log_;
   Dispatcher& dispatcher_;
   Limits limits_;
-  auth::Authenticator* authenticator_;  // null: callers are not identified
+  // Null if callers are not identified.
+  auth::Authenticator* authenticator_;
   std::shared_ptr<const tls::ServerContext> tls_;
-  std::size_t partial_frame_bytes_ = 0;  // announced by large frames that have only partly arrived
-  std::size_t bytes_in_check_ = 0;       // of requests whose tokens are being checked
+  // The total size of all partially received large frames.
+  std::size_t partial_frame_bytes_ = 0;
+  // The total size of the requests whose tokens are being checked.
+  std::size_t bytes_in_check_ = 0;
   ConnectionTable<Connection> connections_;
   SlotMap<PendingRequest> pending_requests_;
-  std::vector<SlotKey> closing_;  // connections that close gracefully, the first to be dropped first
+  // The connections that are closing gracefully, in the order in which they are dropped.
+  std::vector<SlotKey> closing_;
   std::unordered_set<std::string> open_call_ids_;
   bool draining_ = false;
-  // For a client to close its side after we have closed ours.
+  // How long a client may take to close its side after the dispatcher's side was shut down.
   Duration linger_timeout_ = std::chrono::milliseconds(300);
   Acceptor acceptor_;
 };
--- a/src/frontend/mysql_connection.cpp
+++ b/src/frontend/mysql_connection.cpp
@@ -10,15 +10,20 @@
 
 using mysql::PayloadReader;
 
-constexpr std::size_t kMaxCommandBytes = 4u << 20;       // of one command, as a server's max_allowed_packet
-constexpr std::size_t kMaxLoginPacketBytes = 64 * 1024;  // of a packet before the log-in is complete
+// The maximum size of a command, like a server's max_allowed_packet.
+constexpr std::size_t kMaxCommandBytes = 4u << 20;
+// The maximum size of a packet before the login is complete.
+constexpr std::size_t kMaxLoginPacketBytes = 64 * 1024;
 constexpr std::size_t kInputLimit = kMaxCommandBytes + 64 * 1024;
-constexpr std::size_t kMaxUnreadBytes = 8u << 20;          // that one client may leave unread
-constexpr std::size_t kLargeCommandThreshold = 16 * 1024;  // larger partial commands share a budget
-constexpr char kErrorPacket = '\xff';                      // first byte of a packet that reports an error
+// The maximum number of response bytes that one client may leave unread.
+constexpr std::size_t kMaxUnreadBytes = 8u << 20;
+// The size in bytes above which partial commands are counted against a shared budget.
+constexpr std::size_t kLargeCommandThreshold = 16 * 1024;
+// The first byte of an error packet.
+constexpr char kErrorPacket = '\xff';
 constexpr std::size_t kPacketLengthSize = 3;
 
-// Numbers the packets of a response from `sequence` on, where they are not numbered so already.
+// Renumbers the packets of a response to start at `sequence`, unless they already do.
 void renumber(std::string& packets, std::uint8_t sequence) {
   for (std::size_t offset = 0; offset + mysql::kHeaderSize <= packets.size();) {
     if (offset == 0 && static_cast<std::uint8_t>(packets[kPacketLengthSize]) == sequence) return;
@@ -44,10 +49,10 @@
   greeting.plugin = mysql::kCachingSha2;
   greeting.version = "8.0.36-rookproxy";
   reply(mysql::greeting_payload(greeting));
-  close_after(kLoginTimeout);
+  start_close_timer(kLoginTimeout);
 }
 
-// One command at a time, as a server's session has it.
+// Handles one command at a time, like a server session.
 std::size_t MysqlFrontend::Connection::on_bytes(std::string_view bytes) {
   if (state_ == State::kClosing) return bytes.size();
   if (is_waiting()) return 0;
@@ -76,7 +81,7 @@
     } else if (state_ == State::kAuthResponse) {
       handle_auth_response(message.payload);
     } else {
-      close_after(frontend_.config_.idle_timeout);
+      start_close_timer(frontend_.config_.idle_timeout);
       handle_command(message.payload);
     }
   } catch (const mysql::MalformedPacketError& malformed) {
@@ -84,8 +89,8 @@
   }
 }
 
-// A large command may be buffered only while the budget for such commands lasts. False: the client has been
-// told.
+// Reserves budget for a partially received large command. If none is left, sends an error to the client and
+// returns false.
 bool MysqlFrontend::Connection::reserve_command_bytes(std::string_view bytes) {
   if (bytes.size() < mysql::kHeaderSize || reserved_bytes_.is_active()) return true;
   const std::size_t length = PayloadReader(bytes.substr(0, kPacketLengthSize)).integer(kPacketLengthSize);
@@ -96,8 +101,8 @@
   return false;
 }
 
-// A client that does not read its responses is not closed gracefully: that would wait for just those bytes of
-// which there are too many.
+// A connection whose client does not read its responses is not closed gracefully, because that would wait
+// until the client reads the very bytes that exceed the limit.
 void MysqlFrontend::Connection::write(std::string packets) {
   stream_.write(std::move(packets));
   const std::size_t queued = stream_.queued_bytes();
@@ -106,7 +111,8 @@
       frontend_.connections_.unread_response_bytes() <= frontend_.max_unread_response_bytes_) {
     return;
   }
-  frontend_.log_.write(LogLevel::kNotice, "mysql", "answers not taken", {{"user", login_.user}});
+  frontend_.log_.write(LogLevel::kNotice, "mysql",
+                       "client does not read its responses; closing the connection", {{"user", login_.user}});
   frontend_.loop_.defer([&frontend = frontend_, key = key_] { frontend.drop(key); });
 }
 
@@ -132,7 +138,7 @@
   return "Refused, nothing was run; try again in " + std::to_string(pause.count()) + " ms";
 }
 
-std::string MysqlFrontend::Connection::may_have_run() const {
+std::string MysqlFrontend::Connection::may_have_run_text() const {
   return pending_writes_ ? "it may have run" : "it changed nothing";
 }
 
@@ -140,19 +146,19 @@
   request_.reset();
   state_ = State::kReady;
   stream_.set_read_paused(false);
-  close_after(frontend_.config_.idle_timeout);
+  start_close_timer(frontend_.config_.idle_timeout);
   if (response.status == ResponseStatus::kServed) {
     handle_result(std::move(response.body));
   } else if (response.status == ResponseStatus::kRejected) {
     error(mysql::kServerNotAvailable, retry_message(response.retry_after));
   } else if (response.cause == ResponseCause::kDeadline) {
-    error(mysql::kQueryTimeout, "No answer within the deadline; " + may_have_run());
+    error(mysql::kQueryTimeout, "No answer within the deadline; " + may_have_run_text());
   } else {
     error(mysql::kUnknownError,
-          "Failed, " + may_have_run() + (response.detail.empty() ? "" : ": " + response.detail));
+          "Failed, " + may_have_run_text() + (response.detail.empty() ? "" : ": " + response.detail));
   }
   if (frontend_.closing_after_response_ && state_ == State::kReady) {
-    // Its next command is for a process that stays. What it may have sent already is not run.
+    // The client reconnects to a process that stays. Commands that it has already sent are not run.
     return close_gracefully();
   }
   recheck_certificate();
@@ -161,27 +167,28 @@
 void MysqlFrontend::Connection::handle_result(std::string packets) {
   const bool failed = packets.size() > mysql::kHeaderSize && packets[mysql::kHeaderSize] == kErrorPacket;
   if (pending_kind_ == Query::Kind::kUseSchema && !failed) schema_ = pending_schema_;
-  if (pending_kind_ == Query::Kind::kPrepare && !failed) keep_prepared_statement(packets);
+  if (pending_kind_ == Query::Kind::kPrepare && !failed) store_prepared_statement(packets);
   if (!autocommit_ && pending_kind_ != Query::Kind::kPrepare) mysql::clear_autocommit_status(packets);
   renumber(packets, sequence_);
   write(std::move(packets));
 }
 
-// The statement id in the response is the engine's: the client gets one of ours, valid on every engine.
-void MysqlFrontend::Connection::keep_prepared_statement(std::string& packets) {
+// Replaces the engine's statement id in the response by an id of this connection, which is valid for every
+// engine.
+void MysqlFrontend::Connection::store_prepared_statement(std::string& packets) {
   PayloadReader reader(std::string_view{packets}.substr(mysql::kHeaderSize));
-  reader.integer(7);  // status, statement id and number of columns
+  reader.integer(7);  // Skips the status, the statement id and the number of columns.
   pending_statement_.parameter_count = reader.integer(2);
   std::string id;
   mysql::append_integer(id, statements_.add(std::move(pending_statement_)), kStatementIdSize);
   packets.replace(mysql::kHeaderSize + 1, kStatementIdSize, id);
 }
 
-void MysqlFrontend::Connection::close_after(Duration timeout) {
+void MysqlFrontend::Connection::start_close_timer(Duration timeout) {
   frontend_.loop_.cancel(timer_);
   timer_ = frontend_.loop_.run_at(frontend_.loop_.now() + timeout, [this] {
     timer_ = {};
-    read_now();  // a command that lies unread starts the timer again
+    read_now();  // An unread command restarts the timer.
     if (!is_waiting() && timer_ == TimerId{}) close_gracefully();
   });
 }
@@ -212,7 +219,7 @@
   stream_.close_gracefully(frontend_.linger_timeout_);
 }
 
-void MysqlFrontend::Connection::close_when_answered() {
+void MysqlFrontend::Connection::close_after_responses() {
   read_now();
   if (!is_waiting()) close_gracefully();
 }
--- a/src/frontend/mysql_connection.h
+++ b/src/frontend/mysql_connection.h
@@ -1,4 +1,4 @@
-// One client connection of the MySQL frontend. Only for the frontend's own sources.
+// A client connection of the MySQL frontend. This header is internal to the frontend.
 #pragma once
 
 #include <chrono>
@@ -18,7 +18,7 @@
 
 namespace rookproxy {
 
-/// Runs one client's session: the log-in, then one command at a time, each with one response.
+// Runs a client's session: the login, then one command at a time, each with one response.
 class MysqlFrontend::Connection final : public StreamHandler {
  public:
   Connection(MysqlFrontend& frontend, SlotKey key, FileDescriptor fd);
@@ -28,40 +28,41 @@
 
   std::size_t on_bytes(std::string_view bytes) override;
   void on_closed(std::string_view) override { frontend_.drop(key_); }
-  // Nothing of a client that has gone is sent on, not even what it sent before.
+  // Unread commands of a disconnected client are discarded.
   void on_hangup() override { frontend_.client_disconnected(key_); }
 
-  /// Writes the response to the command that was submitted to the dispatcher.
+  // Writes the response to the command that was submitted to the dispatcher.
   void handle_response(Response response);
 
   [[nodiscard]] bool is_flushed() const { return stream_.queued_bytes() == 0; }
   [[nodiscard]] std::size_t unread_response_bytes() const { return stream_.queued_bytes(); }
   [[nodiscard]] bool is_logged_in() const { return state_ == State::kReady || state_ == State::kBusy; }
-  /// Clients that have not logged in are evicted, the oldest first: keys sort by age.
+  // Connections that have not logged in are evicted, the oldest first. Keys sort by age.
   [[nodiscard]] bool is_evictable(Time) const { return !is_logged_in(); }
   [[nodiscard]] SlotKey eviction_order() const { return key_; }
 
-  /// Closes a ready connection whose client showed a certificate that has lost its validity.
+  // Closes the connection if it is ready and its client certificate is no longer valid.
   void recheck_certificate();
-  /// Handles what has arrived but was not read yet. Called before a decision to close: it was sent to a
-  /// connection that was open.
+  // Handles bytes that have arrived but were not read yet. Called before a decision to close the connection,
+  // so that commands sent while it was open are served.
   void read_now() { stream_.read_now(); }
-  /// Reads and writes nothing more, but for what is queued. All closes are graceful, except where a client
-  /// does not read its responses (MysqlFrontend::drop).
+  // Stops reading and writing, except for queued output. Connections are closed gracefully unless the client
+  // does not read its responses (see MysqlFrontend::drop).
   void close_gracefully();
-  /// Closes gracefully, behind the response to an open command; a token check is waited for, too.
-  void close_when_answered();
-  /// Closes at once.
+  // Closes gracefully after the response to an open command or the end of a token check.
+  void close_after_responses();
+  // Closes the connection immediately.
   void close() { stream_.close(); }
-  /// The open command's request, which is not open any more. A token check is cancelled.
+  // Returns the request of the open command and marks it as no longer open. Cancels a pending token check.
   std::optional<RequestKey> take_open_request();
 
  private:
-  // For a log-in or a change of user, from its first packet to its last.
+  // The limit for a login or a change of user, from the first packet to the last.
   static constexpr Duration kLoginTimeout = std::chrono::seconds(10);
-  static constexpr std::size_t kStatementIdSize = 4;  // bytes
+  // The size of a statement id in bytes.
+  static constexpr std::size_t kStatementIdSize = 4;
 
-  /// What the session waits for, or that it ends.
+  // The state of the session.
   enum class State { kLogin, kAuthResponse, kCheckingToken, kReady, kBusy, kClosing };
 
   // Reading and writing.
@@ -77,18 +78,18 @@
   void error(std::uint16_t code, const std::string& text);
   void fatal(std::uint16_t code, const std::string& text);
   void not_supported(const std::string& what);
-  void close_after(Duration timeout);
+  void start_close_timer(Duration timeout);
   [[nodiscard]] static std::string retry_message(std::optional<Duration> retry_after);
-  [[nodiscard]] std::string may_have_run() const;
+  [[nodiscard]] std::string may_have_run_text() const;
   void handle_result(std::string packets);
-  void keep_prepared_statement(std::string& packets);
+  void store_prepared_statement(std::string& packets);
 
-  // Log-in.
+  // Login.
   void log_in(std::string_view payload);
   void authenticate();
   void begin_tls();
   bool check_charset();
-  [[nodiscard]] bool is_secret() const { return stream_.channel() != nullptr; }
+  [[nodiscard]] bool is_encrypted() const { return stream_.channel() != nullptr; }
   [[nodiscard]] bool has_password() const { return frontend_.config_.users.contains(login_.user); }
   [[nodiscard]] bool has_client_certificate() const;
   [[nodiscard]] bool expects_token() const;
@@ -124,22 +125,30 @@
   SlotKey key_;
   std::string nonce_;
   State state_ = State::kLogin;
-  std::uint8_t sequence_ = 0;  // of the next packet that is written
+  // The sequence number of the next packet that is written.
+  std::uint8_t sequence_ = 0;
   mysql::Login login_;
   std::string schema_;
-  std::unique_ptr<auth::CertificateAuthenticator> certificate_;  // null without TLS
-  std::shared_ptr<const policy::VerifiedCredential> caller_;     // null where callers are not identified
+  // Null without TLS.
+  std::unique_ptr<auth::CertificateAuthenticator> certificate_;
+  // Null if callers are not identified.
+  std::shared_ptr<const policy::VerifiedCredential> caller_;
   std::uint64_t caller_revision_ = 0;
-  auth::Authenticator::CheckId token_check_ = 0;  // 0: none
-  bool autocommit_ = true;                        // as the client set it; every engine's session has it on
+  // The pending token check; 0 if there is none.
+  auth::Authenticator::CheckId token_check_ = 0;
+  // The client's setting. Autocommit is always on in the engines' sessions.
+  bool autocommit_ = true;
   PreparedStatements statements_;
   std::optional<RequestKey> request_;
-  ByteReservation reserved_bytes_;                      // of the budget for large partial commands
-  Query::Kind pending_kind_ = Query::Kind::kStatement;  // of the open command
+  // The reservation in the budget for large partial commands.
+  ByteReservation reserved_bytes_;
+  // The pending members describe the open command.
+  Query::Kind pending_kind_ = Query::Kind::kStatement;
   bool pending_writes_ = false;
   PreparedStatement pending_statement_;
   std::string pending_schema_;
-  TimerId timer_{};  // of the log-in, or of idleness
+  // The timer of the login or of the idle timeout.
+  TimerId timer_{};
   Stream stream_;
 };
 
--- a/src/frontend/mysql_connection_commands.cpp
+++ b/src/frontend/mysql_connection_commands.cpp
@@ -1,4 +1,4 @@
-// The commands of a MySQL session: what is answered here, and what is submitted to the dispatcher.
+// Handles the commands of a MySQL session, either locally or by submitting them to the dispatcher.
 #include <utility>
 
 #include "frontend/mysql_connection.h"
@@ -14,15 +14,15 @@
 
 constexpr std::uint16_t kNoDatabaseSelected = 1046;
 
-// Whether another caller could run the statement that this one may not run.
-bool concerns_caller(policy::Denial denial) {
+// Returns true if the denial depends on the caller, so that another caller could run the statement.
+bool depends_on_caller(policy::Denial denial) {
   return denial == policy::Denial::kExpired || denial == policy::Denial::kRevocationUnknown ||
          denial == policy::Denial::kUnknownTenant || denial == policy::Denial::kNoKnownRole;
 }
 
 }  // namespace
 
-// False: the client has been told.
+// Returns false after sending an error to the client.
 bool MysqlFrontend::Connection::authorize(Query::Kind kind, const std::string& statement) {
   if (!frontend_.authenticator_) return true;
   if (!revalidate_caller()) return false;
@@ -39,7 +39,7 @@
   return false;
 }
 
-// A prepare needs the rights that the execution would need.
+// A prepare command requires the same rights as the execution.
 bool MysqlFrontend::Connection::authorize_statement(const std::string& statement) {
   const policy::Identity& identity = caller_->identity;
   const auto analysis = sql::analyze_statement(statement, schema_, sql::Dialect::kMysql);
@@ -52,7 +52,7 @@
                                          ResponseStatus::kRejected, identity.tenant);
   std::string reason(policy::reason_message(denial));
   if (denial == policy::Denial::kUnresolvedTables) reason += " (" + analysis.unresolved_reason + ")";
-  error(concerns_caller(denial) ? mysql::kAccessDenied : mysql::kCommandDenied,
+  error(depends_on_caller(denial) ? mysql::kAccessDenied : mysql::kCommandDenied,
         "Command denied to user '" + login_.user + "': " + reason);
   return false;
 }
@@ -102,8 +102,8 @@
   return state.has_value();
 }
 
-// With autocommit off a server would open a transaction here, to be ended by a COMMIT that could reach
-// another engine.
+// Rejects a statement for which a server with autocommit off would open a transaction, because the COMMIT
+// could reach another engine.
 bool MysqlFrontend::Connection::needs_transaction(const std::string& statement) {
   if (autocommit_ || sql::is_read_only(statement) || sql::commits_implicitly(statement)) return false;
   error(mysql::kNotSupportedYet,
@@ -112,7 +112,7 @@
   return true;
 }
 
-// Statements that concern the session alone need no engine.
+// Handles statements that affect only the session, without an engine.
 bool MysqlFrontend::Connection::answered_locally(const std::string& statement) {
   const sql::SessionStatement kind = sql::classify_session_statement(statement);
   switch (kind) {
@@ -153,7 +153,8 @@
   submit(Query::Kind::kPrepare, std::move(statement));
 }
 
-// Reads a statement's id. Null: the client has been told that there is none.
+// Reads a statement id and finds the statement. If there is none, sends an error to the client and returns
+// null.
 PreparedStatement* MysqlFrontend::Connection::find_statement(PayloadReader& reader) {
   const auto id = static_cast<std::uint32_t>(reader.integer(kStatementIdSize));
   PreparedStatement* statement = statements_.find(id);
@@ -194,7 +195,7 @@
   const MysqlFrontendConfig& config = frontend_.config_;
   const std::string& class_name = writes ? config.load_class : config.read_class;
   IncomingRequest incoming;
-  // By name each time: a reload may have changed the index.
+  // The class is looked up by name each time, because a reload may have changed its index.
   incoming.class_index = frontend_.dispatcher_.find_class(class_name).value();
   const bool names_tables = runs || kind == Query::Kind::kPrepare;
   incoming.table_group = names_tables ? sql::table_group(statement, schema_) : 0;
@@ -211,7 +212,7 @@
   pending_kind_ = kind;
   pending_writes_ = writes;
   state_ = State::kBusy;
-  // What the client sends ahead waits in the kernel and takes no memory here.
+  // Further commands of the client wait in the kernel's buffer and use no memory of this process.
   stream_.set_read_paused(true);
   frontend_.loop_.cancel(timer_);
   request_ = frontend_.dispatcher_.submit(incoming, frontend_, key_);
--- a/src/frontend/mysql_connection_login.cpp
+++ b/src/frontend/mysql_connection_login.cpp
@@ -1,4 +1,5 @@
-// The log-in of a MySQL connection: TLS, certificate, token or password, and a change of user in a session.
+// Handles the login of a MySQL connection with TLS, a certificate, a token or a password, and the change of
+// user.
 #include <utility>
 #include <variant>
 
@@ -7,16 +8,17 @@
 namespace rookproxy {
 namespace {
 
-// A log-in waits no longer for the check of its token.
+// The limit for the token check of a login.
 constexpr Duration kTokenCheckTimeout = std::chrono::seconds(2);
-// Tells this frontend's connections from those of other frontends, which have the same keys.
+// Distinguishes this frontend's connections from those of other frontends with the same keys.
 constexpr auth::Authenticator::SourceId kSourceFlag = std::uint64_t{1} << 63;
-// Of caching_sha2_password: the password is known and correct.
+// caching_sha2_password: the password is cached by the server and correct.
 constexpr std::string_view kFastAuthSuccess = "\x01\x03";
 constexpr char kAuthSwitchRequest = '\xfe';
 
-// The collations of UTF-8, ASCII and binary: all that passes to an engine's UTF-8 session unchanged.
-bool passes_as_utf8(unsigned collation) {
+// Returns true for the collations of UTF-8, ASCII and binary, whose text can be passed to an engine's UTF-8
+// session unchanged.
+bool is_utf8_compatible(unsigned collation) {
   return collation == 33 || collation == 45 || collation == 46 || collation == 63 || collation == 83 ||
          collation == 11 || collation == 65 || collation == 76 || (collation >= 192 && collation <= 247) ||
          collation == 255;
@@ -27,10 +29,10 @@
 void MysqlFrontend::Connection::log_in(std::string_view payload) {
   if (mysql::is_ssl_request(payload)) return begin_tls();
   login_ = mysql::parse_login(payload);
-  if ((login_.capabilities & mysql::kSsl) != 0 && !is_secret()) {
+  if ((login_.capabilities & mysql::kSsl) != 0 && !is_encrypted()) {
     return fatal(mysql::kHandshakeError, "Bad handshake: TLS is not offered here");
   }
-  if (frontend_.tls_required_ && !is_secret()) {
+  if (frontend_.tls_required_ && !is_encrypted()) {
     return fatal(mysql::kSecureTransportRequired, "Connections using insecure transport are prohibited here");
   }
   if (!check_charset()) return;
@@ -44,21 +46,21 @@
     return result.denial == policy::Denial::kNone ? complete_login(result.credential) : reject_login(result);
   }
   if (expects_token()) {
-    // Some clients send it without being asked, by their own settings.
+    // Some clients are configured to send the token without a request.
     if (login_.plugin == mysql::kClearPassword && !login_.auth_response.empty()) {
       return check_token(login_.auth_response);
     }
     return request_auth_method(mysql::kClearPassword);
   }
   if (login_.plugin == mysql::kCachingSha2) return check_password(login_.auth_response);
-  // The response belongs to another method than the greeting's, or to an older client's: the client is asked
-  // again, by a method of its own and with the same nonce.
+  // The response was computed for another method than the one in the greeting. The client is asked to
+  // authenticate again, by a method that it supports and with the same nonce.
   const bool is_native = login_.plugin == mysql::kNativePassword;
   request_auth_method(is_native ? mysql::kNativePassword : mysql::kCachingSha2);
 }
 
 void MysqlFrontend::Connection::begin_tls() {
-  if (!frontend_.tls_ || is_secret()) {
+  if (!frontend_.tls_ || is_encrypted()) {
     return fatal(mysql::kHandshakeError, "Bad handshake: TLS is not offered here");
   }
   auto channel = std::make_unique<tls::ServerChannel>(frontend_.tls_);
@@ -68,9 +70,9 @@
   stream_.install_channel(std::move(channel));
 }
 
-// False: the client has been told.
+// Returns false after sending an error to the client.
 bool MysqlFrontend::Connection::check_charset() {
-  if (passes_as_utf8(login_.charset)) return true;
+  if (is_utf8_compatible(login_.charset)) return true;
   fatal(mysql::kUnknownCharset, "Unknown character set here: only UTF-8, ASCII and binary are served");
   return false;
 }
@@ -79,10 +81,10 @@
   return certificate_ && certificate_->is_presented() && !has_password();
 }
 
-// A token is never requested where others could read it.
+// A token is requested only on an encrypted connection.
 bool MysqlFrontend::Connection::expects_token() const {
-  return frontend_.authenticator_ != nullptr && frontend_.authenticator_->accepts_tokens() && is_secret() &&
-         !has_password();
+  return frontend_.authenticator_ != nullptr && frontend_.authenticator_->accepts_tokens() &&
+         is_encrypted() && !has_password();
 }
 
 void MysqlFrontend::Connection::request_auth_method(std::string_view plugin) {
@@ -98,7 +100,7 @@
 void MysqlFrontend::Connection::check_password(std::string_view auth_response) {
   const auto user = frontend_.config_.users.find(login_.user);
   const bool is_known = user != frontend_.config_.users.end();
-  // An unknown user takes the same steps as a wrong password.
+  // An unknown user is handled by the same steps as a wrong password.
   const std::string password = is_known ? user->second : nonce_;
   const auto expected = mysql::make_auth_response(login_.plugin, password, nonce_);
   if (!expected || !mysql::constant_time_equal(*expected, auth_response) || !is_known) {
@@ -131,7 +133,7 @@
   stream_.set_read_paused(true);
 }
 
-// The user named at the log-in must be the one that the token was issued to.
+// The user name of the login must match the subject of the token.
 void MysqlFrontend::Connection::finish_token_check(auth::AuthenticationResult authentication) {
   if (authentication.denial == policy::Denial::kNone &&
       authentication.credential->identity.subject != login_.user) {
@@ -165,12 +167,13 @@
     }
   }
   state_ = State::kReady;
-  close_after(frontend_.config_.idle_timeout);
-  if (!login_.schema.empty()) return use_schema(login_.schema);  // its response is that to the log-in, too
+  start_close_timer(frontend_.config_.idle_timeout);
+  // The response to the schema selection also completes the login.
+  if (!login_.schema.empty()) return use_schema(login_.schema);
   ok();
 }
 
-// Another caller, or the same one with a new token, continues on this connection with a new session.
+// Starts a new session on this connection for another caller, or for the same caller with a new token.
 void MysqlFrontend::Connection::change_user(std::string_view payload) {
   login_ = mysql::parse_change_user(payload, login_.capabilities);
   if (!check_charset()) return;
@@ -179,12 +182,12 @@
   schema_.clear();
   caller_.reset();
   nonce_ = mysql::generate_nonce();
-  close_after(kLoginTimeout);
+  start_close_timer(kLoginTimeout);
   request_auth_method(expects_token() ? mysql::kClearPassword : mysql::kCachingSha2);
 }
 
-// Verifies the caller again if keys, revocations or rights have changed since. False: the client has been
-// told.
+// Verifies the caller again if keys, revocations or rights have changed. Returns false after sending an error
+// to the client.
 bool MysqlFrontend::Connection::revalidate_caller() {
   if (!frontend_.authenticator_ || caller_revision_ == frontend_.authenticator_->revision()) return true;
   const bool by_certificate = caller_->identity.credential_kind == policy::CredentialKind::kCertificate;
--- a/src/frontend/mysql_frontend.cpp
+++ b/src/frontend/mysql_frontend.cpp
@@ -14,7 +14,7 @@
 
 constexpr std::size_t kCallIdLength = 16;
 constexpr std::size_t kBitsPerHexDigit = 4;
-// Odd, so that steps of it pass through all 64-bit numbers before one comes twice.
+// An odd increment, so that the sequence visits all 64-bit numbers before it repeats.
 constexpr std::uint64_t kCallIdStep = 0x9e3779b97f4a7c15ULL;
 
 }  // namespace
@@ -38,8 +38,8 @@
 
 MysqlFrontend::~MysqlFrontend() = default;
 
-// Ids look like the platform's, 16 hex digits: never the same twice in a process's life, and unlikely to meet
-// another process's.
+// Generates an id of 16 hex digits, like the ids of the frame protocol. Ids are unique within a process and
+// unlikely to collide with those of other processes.
 std::string MysqlFrontend::new_call_id() {
   call_id_state_ += kCallIdStep;
   std::string id;
@@ -50,22 +50,22 @@
   return id;
 }
 
-// At the limit the oldest connection that has not logged in is evicted: silent clients must not shut out
-// those who have a password. False if there is none.
-bool MysqlFrontend::evict_if_full() {
+// At the connection limit, evicts the oldest connection that has not logged in, so that silent clients can't
+// lock out others. Returns false if none can be evicted.
+bool MysqlFrontend::ensure_capacity() {
   if (connections_.size() < config_.max_connections) return true;
   const SlotKey oldest = connections_.eviction_candidate();
   if (oldest == 0) return false;
   Connection* connection = connections_.find(oldest);
-  // A log-in may lie unread. Otherwise nothing but a greeting was written, which a reset may take along.
+  // A login may have arrived unread. Otherwise only the greeting was written, and its loss does no harm.
   connection->read_now();
   if (!connection->is_logged_in()) drop(oldest);
   return connections_.size() < config_.max_connections;
 }
 
 void MysqlFrontend::accept(FileDescriptor fd) {
-  if (!evict_if_full()) {
-    // Rejected as a server does it, so that the client's library can say why.
+  if (!ensure_capacity()) {
+    // Sends the same error as a server, so that the client's library can report the reason.
     std::uint8_t sequence = 0;
     const std::string packet = mysql::split_into_packets(
         mysql::error_payload(mysql::kTooManyConnections, "Too many connections"), sequence);
@@ -75,7 +75,7 @@
   connections_.emplace(*this, std::move(fd));
 }
 
-// Its open command is cancelled at once; what was written to it still gets there.
+// Cancels the client's open command immediately. Responses that were already written are still delivered.
 void MysqlFrontend::client_disconnected(SlotKey key) {
   Connection* connection = connections_.find(key);
   if (!connection) return;
@@ -129,10 +129,10 @@
   linger_timeout_ = timeout;
   shutting_down_ = true;
   close_after_next_response();
-  connections_.close_when_answered();
+  connections_.close_after_responses();
 }
 
-// The acceptor is destroyed at the iteration's end: the signal may have come in the middle of its own call.
+// The acceptor is destroyed in a deferred task, because the signal may arrive during one of its own calls.
 void MysqlFrontend::stop_listening() {
   loop_.defer([this] { acceptor_.reset(); });
 }
--- a/src/frontend/prepared_statements.cpp
+++ b/src/frontend/prepared_statements.cpp
@@ -6,8 +6,10 @@
 namespace rookproxy {
 namespace {
 
-constexpr std::size_t kMaxLongDataBytes = 4u << 20;  // sent ahead for one execution
-constexpr std::uint64_t kCursorFlags = 7;            // CURSOR_TYPE_READ_ONLY, _FOR_UPDATE and _SCROLLABLE
+// The maximum size of the long data for one execution.
+constexpr std::size_t kMaxLongDataBytes = 4u << 20;
+// CURSOR_TYPE_READ_ONLY, CURSOR_TYPE_FOR_UPDATE and CURSOR_TYPE_SCROLLABLE.
+constexpr std::uint64_t kCursorFlags = 7;
 
 }  // namespace
 
@@ -30,15 +32,16 @@
 void PreparedStatements::append_long_data(mysql::PayloadReader& reader) {
   PreparedStatement* statement = find(static_cast<std::uint32_t>(reader.integer(4)));
   const auto parameter = static_cast<std::uint16_t>(reader.integer(2));
-  if (!statement) return;  // its execution will report that
+  // The command has no response; the execution reports the unknown statement.
+  if (!statement) return;
   const std::string_view data = reader.take_remaining();
-  // Counted also above the limit, so that the execution finds that it was too much.
+  // Bytes above the limit are counted but not stored, so that the execution can report the error.
   statement->long_data_bytes += data.size();
   if (statement->long_data_bytes <= kMaxLongDataBytes) statement->long_data[parameter] += data;
 }
 
-// The parameters are passed on as they came. Only types that were bound by an earlier execution are inserted
-// again, since this one may run on an engine that never saw that one.
+// Passes the parameters on unchanged, but inserts the types that an earlier execution bound, because this
+// execution may run on an engine that did not receive the earlier one.
 PreparedExecution PreparedStatements::make_execution(PreparedStatement& statement,
                                                      mysql::PayloadReader& reader) {
   if (statement.long_data_bytes > kMaxLongDataBytes) return {ExecutionError::kLongDataTooLarge, nullptr};
@@ -49,7 +52,8 @@
   mysql::append_integer(parameters, flags, 1);
   mysql::append_integer(parameters, iterations, 4);
   if (statement.parameter_count > 0) {
-    parameters += reader.take((statement.parameter_count + 7) / 8);  // which of them are NULL, a bit each
+    // The bitmap of NULL parameters.
+    parameters += reader.take((statement.parameter_count + 7) / 8);
     const bool binds_types = reader.integer(1) != 0;
     if (binds_types) {
       statement.parameter_types = reader.take(2 * statement.parameter_count);
--- a/tests/frontend/parsers_test.cpp
+++ b/tests/frontend/parsers_test.cpp
@@ -1,4 +1,4 @@
-// The parsers of engine and MySQL protocols and of SQL: complete, cut, split at every byte and damaged input.
+// Tests of the parsers of the MySQL protocol and of SQL with complete, truncated, split and corrupted input.
 #include <catch2/catch.hpp>
 
 #include "discovery/dns.h"
@@ -13,7 +13,7 @@
 
 using namespace rookproxy;
 
-TEST_CASE("mysql: numbers, lengths and messages") {
+TEST_CASE("mysql: encoded integers and messages are parsed back, and truncated ones are not") {
   for (const std::uint64_t value :
        {0ull, 250ull, 251ull, 65535ull, 65536ull, 16777215ull, 16777216ull, ~0ull}) {
     std::string bytes;
@@ -39,15 +39,15 @@
   }
 }
 
-TEST_CASE("mysql: greeting and log-in read back, in part or damaged they throw or are read as something") {
+TEST_CASE("mysql: greeting and login are parsed back, and corrupted ones throw or are parsed") {
   mysql::Greeting greeting;
   greeting.connection_id = 9;
   greeting.capabilities = mysql::kCapabilities;
   greeting.nonce = mysql::generate_nonce();
   greeting.plugin = mysql::kCachingSha2;
   greeting.version = "8.0";
-  const std::string hello = mysql::greeting_payload(greeting);
-  const auto read = mysql::parse_greeting(hello);
+  const std::string greeting_bytes = mysql::greeting_payload(greeting);
+  const auto read = mysql::parse_greeting(greeting_bytes);
   CHECK(read.nonce == greeting.nonce);
   CHECK(read.plugin == greeting.plugin);
   CHECK(read.capabilities == greeting.capabilities);
@@ -60,20 +60,23 @@
   const std::string bytes = mysql::login_payload(login);
   CHECK(mysql::parse_login(bytes).schema == "s");
   CHECK(mysql::parse_login(bytes).auth_response == login.auth_response);
-  const auto survive = [](auto read_it) {
+  const auto ignore_malformed_packet = [](auto parse) {
     try {
-      read_it();
+      parse();
     } catch (const mysql::MalformedPacketError&) {
     }
   };
-  test::parse_damaged(hello,
-                      [&](const std::string& bad) { survive([&] { (void)mysql::parse_greeting(bad); }); });
-  test::parse_damaged(bytes,
-                      [&](const std::string& bad) { survive([&] { (void)mysql::parse_login(bad); }); });
+  test::parse_damaged(greeting_bytes, [&](const std::string& bad) {
+    ignore_malformed_packet([&] { (void)mysql::parse_greeting(bad); });
+  });
+  test::parse_damaged(bytes, [&](const std::string& bad) {
+    ignore_malformed_packet([&] { (void)mysql::parse_login(bad); });
+  });
 }
 
-TEST_CASE("mysql: proofs are those of the public specification") {
-  // SHA1(password) XOR SHA1(nonce + SHA1(SHA1(password))), computed with another implementation.
+TEST_CASE("mysql: authentication responses match the published specification") {
+  // The expected values were computed with another implementation. The first one is SHA1(password) XOR
+  // SHA1(nonce + SHA1(SHA1(password))).
   const std::string nonce = "abcdefghijklmnopqrst";
   const auto hex = [](const std::string& bytes) {
     std::string out;
@@ -91,7 +94,7 @@
   CHECK_FALSE(mysql::make_auth_response("sha256_password", "secret", nonce));
 }
 
-TEST_CASE("mysql: a response is followed to its end and no further") {
+TEST_CASE("mysql: the response tracker detects the end of a response") {
   using namespace std::string_view_literals;
   const std::string_view eof = "\xfe\0\0\2\0"sv;
   mysql::ResponseTracker ok, rows, prepare(mysql::ResponseTracker::Kind::kPrepare);
@@ -113,7 +116,7 @@
   CHECK_THROWS_AS(local.on_packet("\xfb/etc/passwd"sv), mysql::MalformedPacketError);
 }
 
-TEST_CASE("sql: the group of tables") {
+TEST_CASE("sql: the table group is the numeric suffix of the first table schema that has one") {
   using sql::table_group;
   CHECK(table_group("SELECT a FROM sales_17.orders") == 17);
   CHECK(table_group("select a from `sales_17`.`orders`") == 17);
@@ -121,7 +124,7 @@
   CHECK(table_group("INSERT INTO staging.t SELECT * FROM big_3_12.orders") == 12);
   CHECK(table_group("SELECT 'x_1.y', \"z_2.w\" /* a_3.b */ -- c_4.d\n FROM e_5.f # g_6.h") == 5);
   CHECK(table_group("SELECT 'it''s \\' x_1.y' FROM e_5.f") == 5);
-  CHECK(table_group("SELECT t_9.a FROM e_5.f AS t_9") == 5);  // an alias is no schema
+  CHECK(table_group("SELECT t_9.a FROM e_5.f AS t_9") == 5);  // An alias is not a schema.
   CHECK(table_group("SELECT a FROM (e_5.f)") == 5);
   CHECK(table_group("UPDATE `a``b_8`.t SET x = 1") == 8);
   CHECK(table_group("SELECT 1") == 0);
@@ -134,7 +137,7 @@
   });
 }
 
-TEST_CASE("sql: only what is known to read is no load") {
+TEST_CASE("sql: only statements that are known to read are read-only") {
   using sql::is_read_only;
   for (const char* read :
        {"SELECT 1", " (select a from b)", "/* INSERT */ SELECT COUNT(*) FROM t", "SHOW TABLES",
@@ -152,7 +155,7 @@
   }
 }
 
-TEST_CASE("sql: what a session asks for is told apart from what it would change") {
+TEST_CASE("sql: session statements are classified by their effect") {
   using sql::SessionStatement;
   const std::vector<std::pair<const char*, SessionStatement>> cases{
       {"SET AUTOCOMMIT = 0", SessionStatement::kAutocommitOff},
@@ -175,13 +178,13 @@
       {"SET", SessionStatement::kNone},
       {"SET NAMES", SessionStatement::kNone},
       {"", SessionStatement::kNone}};
-  for (const auto& [statement, ask] : cases) {
+  for (const auto& [statement, expected] : cases) {
     INFO(statement);
-    CHECK(sql::classify_session_statement(statement) == ask);
+    CHECK(sql::classify_session_statement(statement) == expected);
   }
 }
 
-TEST_CASE("mysql: 'autocommit is on' is taken out of every status, and nothing else changes") {
+TEST_CASE("mysql: the autocommit flag is cleared in every status, and all other bytes are unchanged") {
   std::uint8_t sequence = 1;
   std::string ok = mysql::split_into_packets(mysql::ok_payload(300, 70000), sequence);
   const std::string off = ok;
@@ -192,7 +195,7 @@
   std::string rows =
       mysql::split_into_packets("\1", sequence) + mysql::split_into_packets("column", sequence);
   const std::string end(mysql::split_into_packets(std::string("\xfe\0\0\2\0", 5), sequence));
-  // A row may begin with 0xfe or 0 and hold the same bit.
+  // A row may begin with 0xfe or 0 and contain the same bit.
   const std::string row = mysql::split_into_packets(std::string("\0\xff\2\2\2", 5), sequence);
   std::string whole = rows + end + row + end;
   mysql::clear_autocommit_status(whole);
@@ -201,7 +204,7 @@
   CHECK(whole == rows + cleared + row + cleared);
 }
 
-TEST_CASE("sql: session state is seen for what it is") {
+TEST_CASE("sql: statements that depend on session state are detected") {
   using sql::find_session_state;
   for (const char* state : {"begin", "START TRANSACTION", "SET autocommit=0", "LOCK TABLES t READ",
                             "CREATE TEMPORARY TABLE t (a INT)", "SELECT @a", "SELECT GET_LOCK('a', 1)",
@@ -210,9 +213,9 @@
     INFO(state);
     CHECK(find_session_state(state));
   }
-  for (const char* fine : {"SELECT '@a begin'", "SELECT @@version_comment LIMIT 1",
-                           "INSERT INTO t VALUES ('lock')", "SELECT a FROM t;"}) {
-    INFO(fine);
-    CHECK_FALSE(find_session_state(fine));
+  for (const char* stateless : {"SELECT '@a begin'", "SELECT @@version_comment LIMIT 1",
+                                "INSERT INTO t VALUES ('lock')", "SELECT a FROM t;"}) {
+    INFO(stateless);
+    CHECK_FALSE(find_session_state(stateless));
   }
 }
