--- a/src/net/acceptor.cpp
+++ b/src/net/acceptor.cpp
@@ -13,11 +13,12 @@
 namespace rookproxy {
 namespace {
 
-constexpr int kAcceptsPerIteration = 16;  // what they sent is read before more are accepted
+// Bounded, so that the data of accepted connections is read before more connections are accepted.
+constexpr int kAcceptsPerIteration = 16;
 constexpr Duration kCapacityRetryInterval = std::chrono::milliseconds(5);
 constexpr Duration kResourceRetryInterval = std::chrono::milliseconds(50);
 
-constexpr Duration kPassingLackRetryInterval = std::chrono::milliseconds(5);
+constexpr Duration kTransientShortageRetryInterval = std::chrono::milliseconds(5);
 
 FileDescriptor open_reserve_descriptor() { return FileDescriptor(::open("/dev/null", O_RDONLY | O_CLOEXEC)); }
 
@@ -41,7 +42,7 @@
 void Acceptor::start() {
   if (key_ != 0) return;
   key_ = loop_.watch(listener_.get(), *this);
-  if (key_ == 0) throw std::system_error(errno, std::generic_category(), "watching a listener");
+  if (key_ == 0) throw std::system_error(errno, std::generic_category(), "epoll_ctl on a listening socket");
 }
 
 void Acceptor::stop() {
@@ -50,11 +51,11 @@
 }
 
 void Acceptor::on_ready(std::uint32_t) {
-  // A reserve that was lost (below) is replaced before anything is accepted: without it no peer could be
-  // told.
+  // If the reserve descriptor was lost, it is reopened before a connection is accepted. Without it, peers
+  // can't be rejected when descriptors run out.
   if (!reserve_descriptor_) reserve_descriptor_ = open_reserve_descriptor();
   for (int accepted = 0;; ++accepted) {
-    if (key_ == 0) return;  // stopped by the callback
+    if (key_ == 0) return;  // The callback called stop().
     if (accepted == kAcceptsPerIteration) return loop_.requeue(key_, EPOLLIN);
     if (has_capacity_ && !has_capacity_()) return retry_after(kCapacityRetryInterval);
     FileDescriptor connection = accept_connection(listener_);
@@ -66,21 +67,23 @@
   }
 }
 
-// True: accepting goes on at once.
+// Returns true if the next connection can be accepted immediately.
 bool Acceptor::handle_accept_error(int error) {
   const SystemErrorClass error_class = classify_system_error(error);
   if (error_class == SystemErrorClass::kTransient) return true;
   if (error_class == SystemErrorClass::kWouldBlock) return false;
-  // Connections that wait cause no further edge. They are shut only while this process itself has no room
-  // left: a lack that passes, or that of the host, ends sooner than a client that is turned away comes back.
-  const bool process_is_full = error_class == SystemErrorClass::kProcessExhausted && !can_open_descriptor();
-  if (process_is_full && reserve_descriptor_ && reject_with_reserve()) return true;
-  retry_after(process_is_full ? kResourceRetryInterval : kPassingLackRetryInterval);
+  // Waiting connections trigger no further edge, so a timer retries. Connections are rejected only if this
+  // process has no descriptor left; a shortage that is transient or concerns the whole host usually ends
+  // before a rejected client would reconnect.
+  const bool process_is_exhausted =
+      error_class == SystemErrorClass::kProcessExhausted && !can_open_descriptor();
+  if (process_is_exhausted && reserve_descriptor_ && reject_with_reserve()) return true;
+  retry_after(process_is_exhausted ? kResourceRetryInterval : kTransientShortageRetryInterval);
   return false;
 }
 
-// Closes the next connection right after accepting it on the reserve's descriptor. False: something else in
-// this process took the descriptor meanwhile, so that trying on at once is of no use.
+// Accepts the next connection with the reserve descriptor and closes it immediately. Returns false if
+// something else in this process took the descriptor, so that an immediate retry would fail.
 bool Acceptor::reject_with_reserve() {
   reserve_descriptor_.reset();
   const bool rejected = static_cast<bool>(accept_connection(listener_));
--- a/src/net/acceptor.h
+++ b/src/net/acceptor.h
@@ -1,4 +1,4 @@
-// Accepts the connections of a listening socket.
+// Accepts connections on a listening socket.
 #pragma once
 
 #include <cstdint>
@@ -11,25 +11,26 @@
 
 namespace rookproxy {
 
-// Accepts until the kernel has no more, up to a fair share an iteration, or until `has_capacity` says no:
-// then it asks again a little later, and connections wait in the kernel. When descriptors run out, it accepts
-// on a descriptor kept in reserve and closes the connection, so that the peer is told and the listener does
-// not spin. Belongs to the loop's thread.
+// Accepts connections until none is pending, the limit per iteration is reached, or `has_capacity` returns
+// false; it then retries after a short interval, and connections wait in the kernel. When descriptors run
+// out, it uses a reserve descriptor to accept and close a connection, so that the peer is notified and the
+// event loop does not spin. Must be used on the event loop's thread.
 class Acceptor final : private EventHandler {
  public:
-  // `on_accepted` gets each connection and may call stop(). Owns `listener`. Without `accepting` it waits for
-  // start(). Without `has_capacity` there is always capacity.
+  // Takes ownership of `listener`. `on_accepted` receives each connection and may call stop(). If `accepting`
+  // is false, no connection is accepted before start(). Without `has_capacity` the capacity is unlimited.
   Acceptor(EventLoop& loop, FileDescriptor listener, std::function<void(FileDescriptor)> on_accepted,
            bool accepting = true, std::function<bool()> has_capacity = nullptr);
   ~Acceptor();
   Acceptor(const Acceptor&) = delete;
   Acceptor& operator=(const Acceptor&) = delete;
 
-  // Throws std::system_error if the listener can't be watched.
+  // Throws std::system_error if the listening socket can't be registered with epoll.
   void start();
-  // Leaves connections that wait to whoever else holds the listening socket, or to a later start().
+  // Stops accepting. Pending connections are left to other processes that hold the listening socket, or to a
+  // later start().
   void stop();
-  // The port of the listener.
+  // Returns the port of the listening socket.
   [[nodiscard]] std::uint16_t port() const { return local_port(listener_); }
 
  private:
--- a/src/net/clock.h
+++ b/src/net/clock.h
@@ -1,15 +1,15 @@
-// The program's clock: Unix time that never goes backwards.
+// A monotonic clock that reads as Unix time.
 #pragma once
 
 #include "base/time.h"
 
 namespace rookproxy {
 
-// Replaces the clock while it is not null, so that a test can set the time.
+// If not null, replaces the clock, so that tests can set the time.
 inline const Time* manual_clock = nullptr;
 
-// The steady clock, shifted once at the start to read as Unix time: a step of the system's clock must neither
-// fire every deadline at once nor hold them back, and the routing module's clock may never go backwards.
+// Returns the time of the steady clock, shifted to Unix time at the first call. Steps of the system clock
+// must not affect deadlines, and the routing module requires a clock that never goes backwards.
 [[nodiscard]] inline Time monotonic_now() {
   if (manual_clock) return *manual_clock;
   using std::chrono::duration_cast;
--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -13,7 +13,7 @@
 
 constexpr int kEventsPerWait = 128;
 constexpr std::int64_t kLongestWaitMilliseconds = 60'000;
-constexpr int kWaitForEver = -1;
+constexpr int kWaitForever = -1;
 
 }  // namespace
 
@@ -51,21 +51,20 @@
 
 void EventLoop::run() {
   while (!stopped_) run_iteration(true);
-  stopped_ = false;  // it may be run again
+  stopped_ = false;  // run() may be called again.
 }
 
 bool EventLoop::run_due_timers() {
-  // Only those that are due and were set before this iteration's timers began: one set meanwhile for a time
-  // already past (as when the routing module wants to be called at once) waits for the next iteration, which
-  // does not wait for events. Otherwise a timer that sets itself again would keep the iteration, and its
-  // clock, for ever.
+  // Runs only timers that were set before this function was called. A timer that is set meanwhile for a time
+  // in the past runs in the next iteration, which does not wait for events. Otherwise a timer that sets
+  // itself again would keep this iteration running forever, with its clock stopped.
   std::vector<TimerId> due;
   for (auto timer = timers_.begin(); timer != timers_.end() && timer->first.due <= now_; ++timer) {
     due.push_back(timer->first);
   }
   for (const TimerId& id : due) {
     auto node = timers_.extract(id);
-    if (!node.empty()) node.mapped()();  // empty: cancelled by a timer before it
+    if (!node.empty()) node.mapped()();  // The node is empty if an earlier timer cancelled this one.
   }
   return !due.empty();
 }
@@ -78,19 +77,19 @@
   }
 }
 
-// How long to wait for events: not at all, until the first timer is due, or for ever. Reports the iteration
-// that ends here if it was a long one.
+// Returns how long to wait for events: not at all, until the first timer is due, or without limit. Reports
+// the iteration that ends here if it stalled.
 int EventLoop::wait_milliseconds(bool may_wait) {
   if (!may_wait || !requeued_.empty()) return 0;
-  if (timers_.empty()) return kWaitForEver;
+  if (timers_.empty()) return kWaitForever;
   const Time now = monotonic_now();
   if (now - now_ >= stall_threshold_) on_stalled_iteration_(now - now_);
   const auto remaining = std::chrono::ceil<std::chrono::milliseconds>(timers_.begin()->first.due - now);
   return static_cast<int>(std::clamp<std::int64_t>(remaining.count(), 0, kLongestWaitMilliseconds));
 }
 
-// The kernel's events, then the requeued ones: a listener that has used up its share must not push out the
-// connections it has just accepted before what they sent is read.
+// Returns the kernel's events, followed by the requeued ones, so that the data of accepted connections is
+// read before a requeued listener accepts more.
 std::vector<EventLoop::ReadyEvent> EventLoop::wait_for_events(int timeout_milliseconds) {
   epoll_event events[kEventsPerWait];
   const int count = ::epoll_wait(epoll_.get(), events, kEventsPerWait, timeout_milliseconds);
@@ -98,20 +97,22 @@
   now_ = monotonic_now();
   std::vector<ReadyEvent> ready;
   for (int i = 0; i < count; ++i) {
-    const epoll_event event = events[i];  // the kernel's struct is packed: no references into it
+    // The struct is packed, so it is copied instead of referenced.
+    const epoll_event event = events[i];
     ready.push_back({event.data.u64, event.events});
   }
   ready.insert(ready.end(), requeued_.begin(), requeued_.end());
   requeued_.clear();
-  idle_ = count >= 0 && ready.empty();  // a wait that a signal cut short has found out nothing
+  // A wait that a signal interrupted does not show whether there are events.
+  idle_ = count >= 0 && ready.empty();
   return ready;
 }
 
 bool EventLoop::run_iteration(bool may_wait) {
   const std::vector<ReadyEvent> ready = wait_for_events(wait_milliseconds(may_wait));
   for (const ReadyEvent& event : ready) {
-    // Looked up for each event: an earlier one in this iteration may have closed this handler and reused its
-    // slot.
+    // The handler is looked up for each event, because an earlier event of this iteration may have closed it
+    // and reused its slot.
     if (EventHandler** handler = handlers_.find(event.key)) (*handler)->on_ready(event.events);
   }
   const bool timers_ran = run_due_timers();
--- a/src/net/event_loop.h
+++ b/src/net/event_loop.h
@@ -1,4 +1,4 @@
-// The event loop: edge-triggered epoll, timers in one ordered map, and tasks deferred to the iteration's end.
+// An event loop with edge-triggered epoll, timers, and tasks that are deferred to the end of the iteration.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,7 @@
 
 namespace rookproxy {
 
-// Receives the events of one descriptor that it registered with an EventLoop.
+// Receives the events of a descriptor that is registered with an EventLoop.
 class EventHandler {
  public:
   // `events` are epoll's flags.
@@ -23,7 +23,8 @@
   ~EventHandler() = default;
 };
 
-// Identifies a timer of an EventLoop; a default one is not set. Timers run in this order.
+// Identifies a timer of an EventLoop. Timers run in the order of their ids. A default-constructed id is not
+// set.
 struct TimerId {
   Time due{};
   std::uint64_t sequence = 0;
@@ -32,50 +33,51 @@
   [[nodiscard]] bool is_set() const { return sequence != 0; }
 };
 
-// Runs handlers, timers and deferred tasks, one after another. All of it belongs to the thread that calls
-// run(); nothing here is thread safe. It must outlive whatever is registered with it.
+// Runs event handlers, timers and deferred tasks sequentially on the thread that calls run(). Not thread
+// safe. Must outlive everything that is registered with it.
 class EventLoop {
  public:
   using Task = std::function<void()>;
 
-  // Throws std::system_error if the kernel gives no epoll instance.
+  // Throws std::system_error if the epoll instance can't be created.
   EventLoop();
 
-  // Watches for reading, writing and hang-ups, edge-triggered. Returns 0 if the kernel refuses.
+  // Registers a descriptor for read, write and hang-up events, edge-triggered. Returns 0 on failure, with
+  // errno set.
   SlotKey watch(int descriptor, EventHandler& handler);
-  // Ends that; an unknown key is ignored.
+  // Removes the registration. An unknown key is ignored.
   void unwatch(SlotKey key, int descriptor);
-  // Calls the handler with these events again in the next iteration: for one that has used up its share of
-  // this one.
+  // Calls the handler again with these events in the next iteration. Used by handlers that reached their
+  // limit for this iteration.
   void requeue(SlotKey key, std::uint32_t events);
 
-  // Runs the task once, in the first iteration at or after `due`.
+  // Runs the task once, in the first iteration whose time is at or after `due`.
   TimerId run_at(Time due, Task task);
-  // Cancels a timer that has not run, and resets `id`.
+  // Cancels the timer if it has not run, and resets `id`.
   void cancel(TimerId& id);
-  // Runs the task after this iteration's events and timers. Objects that are in the middle of a call are
-  // destroyed in such a task.
+  // Runs the task after this iteration's events and timers. Used, for example, to destroy objects that are in
+  // the middle of a call.
   void defer(Task task) { deferred_.push_back(std::move(task)); }
-  // Sets what runs at the end of every iteration, after the deferred tasks.
+  // Sets a task that runs at the end of every iteration, after the deferred tasks.
   void on_iteration_end(Task task) { on_iteration_end_ = std::move(task); }
-  // Sets what is called with the length of an iteration, from the end of its wait to the next wait, if that
-  // is `threshold` or more. Timers due meanwhile are late by as much, whether by our own work or by a core
-  // that was busy elsewhere.
+  // Sets a callback for iterations whose duration, from the end of one wait to the next wait, is `threshold`
+  // or more. It receives the duration, by which timers may be late because of this process's work or a busy
+  // CPU.
   void on_stalled_iteration(Duration threshold, std::function<void(Duration)> callback) {
     stall_threshold_ = threshold;
     on_stalled_iteration_ = std::move(callback);
   }
 
-  // The time at which this iteration's wait ended.
+  // Returns the time at which this iteration's wait ended.
   [[nodiscard]] Time now() const { return now_; }
-  // True if this iteration's wait found no event.
+  // Returns true if this iteration's wait found no event.
   [[nodiscard]] bool is_idle() const { return idle_; }
-  // Runs iterations until stop() is called; may be called again afterwards.
+  // Runs iterations until stop() is called. May be called again afterwards.
   void run();
   void stop() { stopped_ = true; }
-  // Runs one iteration that does not wait; false if there was nothing to do.
+  // Runs one iteration without waiting. Returns false if there was nothing to do.
   bool poll() { return run_iteration(false); }
-  // When the first timer is due; Time::max() if there is none.
+  // Returns when the first timer is due; Time::max() if there is none.
   [[nodiscard]] Time next_timer_due() const {
     return timers_.empty() ? Time::max() : timers_.begin()->first.due;
   }
--- a/src/net/file_watcher.cpp
+++ b/src/net/file_watcher.cpp
@@ -51,7 +51,7 @@
   previous_ = current;
   if (!settled || current == reported_) return;
   reported_ = current;
-  on_change_();  // may destroy this
+  on_change_();  // May destroy this object.
 }
 
 }  // namespace rookproxy
--- a/src/net/file_watcher.h
+++ b/src/net/file_watcher.h
@@ -1,4 +1,4 @@
-// Notices changes of files by polling, whether they are rewritten in place or replaced by a rename.
+// Detects changes of files by polling, including replacement by a rename.
 #pragma once
 
 #include <cstdint>
@@ -11,16 +11,16 @@
 
 namespace rookproxy {
 
-// Polls a set of files and calls back, on the loop's thread, once a change has settled.
+// Polls a set of files and calls a callback on the event loop's thread once a change is stable.
 class FileWatcher {
  public:
-  // Calls `on_change` once a changed state was the same in two polls, so that a file that is being written is
-  // left alone; and again after each further change. The callback may destroy this object.
+  // Calls `on_change` after each change, once the new state was the same in two consecutive polls, so that a
+  // file that is still being written is not reported. The callback may destroy this object.
   FileWatcher(EventLoop& loop, std::vector<std::string> paths, Duration interval,
               std::function<void()> on_change);
 
  private:
-  // What tells one state of a file from another. A file that does not exist has the default state.
+  // The attributes that identify a state of a file. A file that does not exist has the default state.
   struct FileState {
     std::uint64_t device = 0;
     std::uint64_t inode = 0;
--- a/src/net/incremental_scan.h
+++ b/src/net/incremental_scan.h
@@ -1,4 +1,4 @@
-// A scan over many keys that is spread over iterations of the event loop.
+// Scans many keys over several iterations of the event loop.
 #pragma once
 
 #include <functional>
@@ -11,13 +11,14 @@
 
 namespace rookproxy {
 
-// Visits a few keys an iteration, so that nothing else has to wait for all of them.
+// Visits a few keys per iteration, so that a long scan does not delay other work.
 class IncrementalScan {
  public:
   IncrementalScan(EventLoop& loop, std::function<void(SlotKey)> visit)
       : loop_(loop), visit_(std::move(visit)), timer_(loop) {}
 
-  // Starts anew with these keys, from the last to the first. `visit` has to expect keys whose value is gone.
+  // Starts a new scan over these keys, from the last to the first. `visit` must accept keys whose values have
+  // been removed.
   void start(std::vector<SlotKey> keys) {
     remaining_ = std::move(keys);
     timer_.cancel();
--- a/src/net/secure_channel.h
+++ b/src/net/secure_channel.h
@@ -1,4 +1,4 @@
-// What may stand between a stream's bytes and its socket's, as TLS does.
+// The interface of an encryption layer, such as TLS, between a stream and its socket.
 #pragma once
 
 #include <string>
@@ -6,18 +6,18 @@
 
 namespace rookproxy {
 
-// Translates between plain bytes and those on the wire. It does no I/O of its own.
+// Converts between plain and encrypted bytes, without any I/O.
 class SecureChannel {
  public:
   virtual ~SecureChannel() = default;
 
-  // Takes bytes as they came from the socket; none at first, where this side speaks first. Appends what they
-  // decrypt to to `plain`, and what has to be sent to `out`. False: the channel has ended, for the reason
-  // that end_reason() gives; `out` may still hold a last record to send.
+  // Processes bytes received from the socket. The side that starts the handshake first calls it with no
+  // bytes. Appends decrypted bytes to `plain` and bytes to send to `out`. Returns false if the channel has
+  // ended, for the reason that end_reason() returns; `out` may still contain a last record to send.
   [[nodiscard]] virtual bool receive(std::string_view bytes, std::string& plain, std::string& out) = 0;
-  // Encrypts plain bytes and appends the result to `out`; only once the handshake is done.
+  // Encrypts plain bytes and appends the result to `out`. The handshake must be complete.
   virtual void seal(std::string_view plain, std::string& out) = 0;
-  // Appends the announcement of this side's end, by which the peer knows that nothing was cut off.
+  // Appends the closing message of this side, by which the peer detects truncation.
   virtual void finish(std::string& out) = 0;
   [[nodiscard]] virtual bool is_handshake_complete() const = 0;
   [[nodiscard]] virtual std::string end_reason() const = 0;
--- a/src/net/signal_watcher.h
+++ b/src/net/signal_watcher.h
@@ -1,4 +1,4 @@
-// Signals as events of the loop.
+// Delivers signals as events of the event loop.
 #pragma once
 
 #include <functional>
@@ -9,15 +9,15 @@
 
 namespace rookproxy {
 
-// Blocks these signals until a SignalWatcher takes them, and ignores SIGPIPE. A program calls this first: a
-// signal that comes while it starts must neither kill it nor be lost.
+// Blocks the signals until a SignalWatcher receives them, and ignores SIGPIPE. Must be called at the start of
+// the program, so that a signal during the startup neither terminates the process nor is lost.
 void block_signals(std::initializer_list<int> signals);
 
-// Hands signals to a callback on the loop's thread.
+// Passes signals to a callback on the event loop's thread.
 class SignalWatcher final : private EventHandler {
  public:
-  // Blocks these signals and passes them to `on_signal`, also those that are pending already. Throws
-  // std::system_error if the kernel refuses.
+  // Blocks the signals and passes them to `on_signal`, including those that are already pending. Throws
+  // std::system_error on failure.
   SignalWatcher(EventLoop& loop, std::initializer_list<int> signals, std::function<void(int)> on_signal);
   ~SignalWatcher();
   SignalWatcher(const SignalWatcher&) = delete;
--- a/src/net/slot_map.h
+++ b/src/net/slot_map.h
@@ -1,4 +1,4 @@
-// A map of values by generated keys, in numbered slots that are reused.
+// A map of values by generated keys, with slots that are reused.
 #pragma once
 
 #include <cstddef>
@@ -9,12 +9,13 @@
 
 namespace rookproxy {
 
-// Names a slot and the generation of the value in it: the generation in the upper bits, the slot's index in
-// the lower ones. 0 is no key. Generations are counted over the whole map, so keys also sort by age.
+// Identifies a slot and the generation of its value, with the generation in the upper bits and the slot's
+// index in the lower bits. 0 is not a valid key. Generations are counted over the whole map, so keys sort by
+// age.
 using SlotKey = std::uint64_t;
 
-// Keeps values in slots. A key that outlives its value (of a stale event or a late response) finds nothing,
-// never the next value in that slot. Not thread safe.
+// Stores values in slots. The key of a removed value, for example of a stale event or a late response, never
+// finds a later value in the same slot. Not thread safe.
 template <class T>
 class SlotMap {
  public:
@@ -31,14 +32,14 @@
     slots_[index].value.emplace(std::move(value));
     return slots_[index].key;
   }
-  // The value of that key, or null. Valid until the next insert().
+  // Returns the value of the key, or null. The pointer is valid until the next insert().
   [[nodiscard]] T* find(SlotKey key) {
     const std::uint64_t index = key & kSlotIndexMask;
     const bool is_present = index < slots_.size() && slots_[index].key == key && slots_[index].value;
     return is_present ? &*slots_[index].value : nullptr;
   }
   [[nodiscard]] const T* find(SlotKey key) const { return const_cast<SlotMap*>(this)->find(key); }
-  // Removes the value and returns it, so that it is destroyed only once the map is consistent again.
+  // Removes the value and returns it, so that it is destroyed after the map is consistent again.
   std::optional<T> take(SlotKey key) {
     if (!find(key)) return std::nullopt;
     const std::uint64_t index = key & kSlotIndexMask;
@@ -47,7 +48,7 @@
     return std::exchange(slots_[index].value, std::nullopt);
   }
   [[nodiscard]] std::size_t size() const { return slots_.size() - free_slots_.size(); }
-  // The keys in use, in the order of their slots.
+  // Returns the keys in use, in the order of their slots.
   [[nodiscard]] std::vector<SlotKey> keys() const {
     std::vector<SlotKey> keys;
     for (const auto& slot : slots_) {
--- a/src/net/socket_address.h
+++ b/src/net/socket_address.h
@@ -16,13 +16,13 @@
   std::uint16_t port = 0;
 
   auto operator<=>(const SocketAddress&) const = default;
-  // As "a.b.c.d:port".
+  // Formats the address as "a.b.c.d:port".
   [[nodiscard]] std::string to_string() const;
   [[nodiscard]] sockaddr_in to_sockaddr() const;
   [[nodiscard]] static SocketAddress from_sockaddr(const sockaddr_in& address);
 };
 
-// Reads "a.b.c.d:port"; empty if `text` is anything else. Host names are not resolved.
+// Parses "a.b.c.d:port"; returns an empty result for any other text. Host names are not resolved.
 [[nodiscard]] std::optional<SocketAddress> parse_socket_address(std::string_view text);
 
 }  // namespace rookproxy
--- a/src/net/sockets.cpp
+++ b/src/net/sockets.cpp
@@ -14,8 +14,8 @@
 namespace rookproxy {
 namespace {
 
-// Connections can arrive in bursts larger than one iteration accepts; a connection request that finds the
-// queue full is repeated by its client only a second later.
+// Large enough for bursts of connections: a connection request that finds the queue full is retransmitted
+// only after a second.
 constexpr int kListenBacklog = 4096;
 
 FileDescriptor open_socket(int family, int type) {
@@ -48,7 +48,7 @@
   return address;
 }
 
-// The value of an integer option of the socket level; -1 with errno set if it can't be read.
+// Returns the value of an integer option at the socket level, or -1 with errno set on failure.
 int socket_option(int descriptor, int option) {
   int value = -1;
   socklen_t size = sizeof value;
@@ -118,7 +118,7 @@
   if (connection) {
     const int accept_errno = errno;
     const int enabled = 1;
-    // Fails on a Unix socket, where it is not needed.
+    // This fails on a Unix socket, where the option is not needed.
     ::setsockopt(connection.get(), IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof enabled);
     errno = accept_errno;
   }
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -13,9 +13,10 @@
 namespace rookproxy {
 namespace {
 
-constexpr std::size_t kUsualInputCapacity = 16 * 1024;
+constexpr std::size_t kInputBufferSize = 16 * 1024;
 constexpr std::size_t kReadChunkSize = 16 * 1024;
-constexpr std::size_t kRecordSize = 16 * 1024;  // the most that a channel is given at once
+// The maximum number of bytes that a channel encrypts at a time.
+constexpr std::size_t kMaxRecordSize = 16 * 1024;
 constexpr std::size_t kWritesPerCall = 32;
 
 bool would_block(int error) { return error == EAGAIN || error == EWOULDBLOCK; }
@@ -32,7 +33,7 @@
       input_limit_(input_limit) {
   if (channel) install_channel(std::move(channel));
   key_ = loop_.watch(socket_.get(), *this);
-  if (key_ == 0) fail("could not be watched");
+  if (key_ == 0) fail("cannot register the socket with epoll");
 }
 
 Stream::~Stream() {
@@ -52,8 +53,7 @@
   socket_.reset();
 }
 
-// The handler is told of an error only at the iteration's end: it may be in the middle of a write to this
-// very stream.
+// Reports the error in a deferred task, because the handler may be in the middle of a write to this stream.
 void Stream::fail(std::string reason) {
   if (failed_) return;
   failed_ = true;
@@ -69,8 +69,8 @@
   flush();
 }
 
-// Only once: after shutdown() the socket reports itself writable, and each further shutdown() makes another
-// such edge, so that one for each edge would keep the loop from waiting until the connection closes.
+// Calls shutdown() only once. Each call causes another write event, so calling it for every write event would
+// keep the event loop busy until the connection closes.
 void Stream::half_close() {
   if (std::exchange(half_closed_, true)) return;
   ::shutdown(socket_.get(), SHUT_WR);
@@ -79,15 +79,15 @@
 
 void Stream::close_gracefully(Duration timeout) {
   if (!socket_ || failed_ || closing_gracefully_) return;
-  if (connecting_) return fail("ended before it was connected");
+  if (connecting_) return fail("closed before the connection was established");
   closing_gracefully_ = true;
   read_paused_ = false;
   close_timer_.set(loop_.now() + timeout, [this] {
     close_timer_.mark_as_run();
-    fail("the peer did not end in time");
+    fail("the peer did not close its side in time");
   });
   shutdown_write();
-  schedule_read();  // the peer's end is behind whatever came before
+  schedule_read();  // The end of the peer's data follows any unread bytes.
 }
 
 void Stream::read_now() {
@@ -122,15 +122,16 @@
   if (socket_) loop_.requeue(key_, EPOLLIN);
 }
 
-// Bytes from the socket go through the channel, and what it has to send goes out before anything else.
+// Passes received bytes through the channel. Bytes that the channel has to send are sent before any other
+// output.
 void Stream::receive_through_channel(std::string_view bytes) {
-  const bool goes_on = secure_->channel->receive(bytes, input_, secure_->encrypted);
+  const bool channel_is_open = secure_->channel->receive(bytes, input_, secure_->encrypted);
   flush();
   if (!input_.empty() && !read_paused_) deliver_input();
-  if (!goes_on) fail(secure_->channel->end_reason());
+  if (!channel_is_open) fail(secure_->channel->end_reason());
 }
 
-// False: the kernel takes no more for now, or the stream has failed.
+// Returns false if the kernel's buffer is full or the stream has failed.
 bool Stream::send_encrypted() {
   SecureState& state = *secure_;
   while (state.sent < state.encrypted.size()) {
@@ -149,13 +150,13 @@
   return true;
 }
 
-// Moves the next bytes from the queue into `record`. A write has started once the channel has some of it:
-// from then on the peer may come to see it.
+// Moves the next queued bytes into `record`. A write has started once the channel has received some of its
+// bytes, because the peer may receive them from then on.
 void Stream::fill_record(std::string& record) {
   record.clear();
-  while (!pending_writes_.empty() && record.size() < kRecordSize) {
+  while (!pending_writes_.empty() && record.size() < kMaxRecordSize) {
     PendingWrite& front = pending_writes_.front();
-    const std::size_t part = std::min(kRecordSize - record.size(), front.bytes.size() - front_bytes_sent_);
+    const std::size_t part = std::min(kMaxRecordSize - record.size(), front.bytes.size() - front_bytes_sent_);
     record.append(front.bytes, front_bytes_sent_, part);
     front_bytes_sent_ += part;
     queued_bytes_ -= part;
@@ -172,7 +173,7 @@
   std::string record;
   while (socket_ && !failed_ && send_encrypted()) {
     if (!state.channel->is_handshake_complete()) {
-      // What waits for the end of a handshake that is cut short could never be read.
+      // Queued bytes can't be sent without a complete handshake.
       if (closing_gracefully_) half_close();
       return;
     }
@@ -187,7 +188,7 @@
   }
 }
 
-// Removes what the kernel has taken from the front of the queue.
+// Removes the bytes that the kernel has accepted from the front of the queue.
 void Stream::remove_sent(std::size_t bytes) {
   queued_bytes_ -= bytes;
   front_bytes_sent_ += bytes;
@@ -201,8 +202,8 @@
   if (front_bytes_sent_ > 0) first_unstarted_write_ = pending_writes_.front().id + 1;
 }
 
-// One call to the kernel with the first pending writes. False: it takes no more for now, or the stream has
-// failed.
+// Sends the first pending writes with one system call. Returns false if the kernel's buffer is full or the
+// stream has failed.
 bool Stream::send_pending() {
   iovec parts[kWritesPerCall];
   std::size_t count = 0;
@@ -233,7 +234,7 @@
   if (write_shutdown_requested_ && pending_writes_.empty() && socket_ && !failed_) half_close();
 }
 
-// The handler may close this stream, write to it or be called again through it; it must not destroy it here.
+// The handler may close this stream, write to it, or be called again through it, but must not destroy it.
 void Stream::deliver_input() {
   std::size_t consumed = 0;
   while (consumed < input_.size() && socket_ && !read_paused_ && !closing_gracefully_) {
@@ -242,31 +243,31 @@
     if (consumed_now == 0) break;
     consumed += consumed_now;
     if (secure_ && !was_secure) {
-      // The handler installed a channel: the bytes behind what it has consumed are the channel's.
+      // The handler installed a channel; the remaining bytes belong to it.
       const std::string remaining = std::exchange(input_, "").substr(consumed);
       return receive_through_channel(remaining);
     }
   }
   if (closing_gracefully_) consumed = input_.size();
   input_.erase(0, consumed);
-  // One large message must not keep its memory for the connection's life.
-  if (input_.empty() && input_.capacity() > 2 * kUsualInputCapacity) input_.shrink_to_fit();
+  // Releases the memory of a large message.
+  if (input_.empty() && input_.capacity() > 2 * kInputBufferSize) input_.shrink_to_fit();
 }
 
-void Stream::take_chunk(std::string_view bytes) {
+void Stream::handle_received_bytes(std::string_view bytes) {
   if (closing_gracefully_) return;
   if (secure_) return receive_through_channel(bytes);
   input_.append(bytes);
   deliver_input();
 }
 
-void Stream::on_read_end() {
+void Stream::on_end_of_stream() {
   if (closing_gracefully_ && !half_closed_) {
-    peer_closed_ = true;  // it may still take what is queued
+    peer_closed_ = true;  // The peer may still read queued bytes.
     return;
   }
-  // A channel that was ended properly has failed the stream already, with a reason of its own.
-  fail(secure_ ? "cut off by the peer" : "closed by the peer");
+  // A channel that was closed properly has already failed the stream with its own reason.
+  fail(secure_ ? "closed by the peer without ending the secure channel" : "closed by the peer");
 }
 
 void Stream::read_available() {
@@ -274,11 +275,11 @@
   std::size_t bytes_read = 0;
   while (socket_ && !read_paused_ && !failed_) {
     if (bytes_read >= kReadBytesPerIteration) return loop_.requeue(key_, EPOLLIN);
-    if (input_.size() >= input_limit_) return fail("a message larger than the buffer");
+    if (input_.size() >= input_limit_) return fail("message larger than the input buffer");
     char chunk[kReadChunkSize];
     const std::size_t capacity = std::min(sizeof chunk, input_limit_ - input_.size());
     const ssize_t received = ::recv(socket_.get(), chunk, capacity, 0);
-    if (received == 0) return on_read_end();
+    if (received == 0) return on_end_of_stream();
     if (received < 0) {
       if (errno == EINTR) continue;
       if (!would_block(errno)) fail(std::string("read: ") + std::strerror(errno));
@@ -286,11 +287,11 @@
     }
     const std::string_view bytes(chunk, static_cast<std::size_t>(received));
     bytes_read += bytes.size();
-    take_chunk(bytes);
+    handle_received_bytes(bytes);
   }
 }
 
-// False: the connection is not set up yet, or has failed.
+// Returns false if the connection is not established yet or has failed.
 bool Stream::finish_connecting(std::uint32_t events) {
   if ((events & (EPOLLOUT | EPOLLERR | EPOLLHUP)) == 0) return false;
   int error = 0;
@@ -301,11 +302,12 @@
     return false;
   }
   if ((events & EPOLLOUT) == 0) {
-    fail("connect: hung up");
+    fail("connect: the peer hung up");
     return false;
   }
   connecting_ = false;
-  if (secure_) receive_through_channel({});  // the side that connects speaks first
+  // The connecting side starts the handshake.
+  if (secure_) receive_through_channel({});
   handler_.on_connected();
   return true;
 }
--- a/src/net/stream.h
+++ b/src/net/stream.h
@@ -16,97 +16,99 @@
 
 namespace rookproxy {
 
-// Receives what happens on a stream. It is called on the loop's thread, may close the stream or write to it
-// in any call, and must not destroy it there.
+// Receives the events of a stream on the event loop's thread. It may close the stream or write to it in any
+// call, but must not destroy it.
 class StreamHandler {
  public:
   virtual void on_connected() {}
-  // Bytes that have not been consumed, in order; returns how many are consumed now. Must consume something of
-  // a full buffer.
+  // Receives the unconsumed bytes in order and returns how many it consumed. Must consume bytes if the buffer
+  // is full.
   virtual std::size_t on_bytes(std::string_view bytes) = 0;
-  // The stream has ended, by the peer or by an error. Not called after close().
+  // Called when the peer has closed the stream or an error occurred, but not after close().
   virtual void on_closed(std::string_view reason) = 0;
-  // Everything that was queued has left.
+  // Called when the kernel has accepted all queued bytes.
   virtual void on_flushed() {}
-  // The peer has ended its side or is gone, perhaps behind bytes that are still unread; also called while
-  // reading is paused. Those bytes are handed over as usual, unless the handler closes the stream here.
+  // Called when the peer has closed its side or the connection, even while reading is paused. Unread bytes
+  // are delivered afterwards unless the handler closes the stream in this call.
   virtual void on_hangup() {}
 
  protected:
   ~StreamHandler() = default;
 };
 
-// Reads from and writes to one connected (or connecting) socket, which it owns. Belongs to the loop's thread;
-// the loop and the handler must outlive it.
+// Reads from and writes to a connected or connecting socket, which it owns. Must be used on the event loop's
+// thread; the loop and the handler must outlive it.
 class Stream final : private EventHandler {
  public:
-  // Identifies one write, so that it can be cancelled while none of its bytes has left.
+  // Identifies a write, so that it can be cancelled before any of its bytes is sent.
   using WriteId = std::uint64_t;
-  // What one peer may send in an iteration before others are served.
+  // The number of bytes after which reading is interrupted until the next iteration, so that other streams
+  // are served.
   static constexpr std::size_t kReadBytesPerIteration = 64 * 1024;
 
-  // `connecting`: the socket's connection is still being set up. `input_limit`: the most bytes that are
-  // buffered for the handler. `channel`: what the bytes pass through from the first one on; none: they pass
-  // unchanged.
+  // `connecting` is true if the connection is still being established. `input_limit` is the maximum number of
+  // bytes that are buffered for the handler. If `channel` is not null, all bytes pass through it.
   Stream(EventLoop& loop, FileDescriptor socket, StreamHandler& handler, bool connecting,
          std::size_t input_limit, std::unique_ptr<SecureChannel> channel = nullptr);
   ~Stream();
   Stream(const Stream&) = delete;
   Stream& operator=(const Stream&) = delete;
 
-  // Queues the bytes. `completed_counter`, if there is one, is incremented once their last byte is with the
-  // kernel; it must live until then.
+  // Queues the bytes. `completed_counter`, if not null, is incremented once the kernel has accepted the last
+  // byte; it must live until then.
   WriteId write(std::string bytes, std::uint64_t* completed_counter = nullptr);
-  // True if no byte of that write had left: it is dropped, and the peer never saw any of it.
+  // Cancels a write of which no byte was sent. Returns false if it has started or is unknown.
   bool cancel_write(WriteId id);
-  // True once a byte of it was handed to the kernel (or to the channel): from then on the peer may have seen
-  // it.
+  // Returns true once a byte of the write was passed to the kernel or to the channel: the peer may have
+  // received it.
   [[nodiscard]] bool has_write_started(WriteId id) const { return id < first_unstarted_write_; }
 
-  // From here on bytes pass through the channel, also those that have come and are not consumed. To be called
-  // from within on_bytes(), with nothing queued.
+  // Makes all further bytes pass through the channel, including received bytes that are not consumed. Must be
+  // called from within on_bytes(), with no bytes queued.
   void install_channel(std::unique_ptr<SecureChannel> channel);
-  // Null if there is none.
+  // Returns null if there is no channel.
   [[nodiscard]] const SecureChannel* channel() const { return secure_ ? secure_->channel.get() : nullptr; }
 
-  // Closes the socket at once.
+  // Closes the socket immediately.
   void close();
-  // Ends this side once what is queued has left.
+  // Shuts down this side once all queued bytes are sent.
   void shutdown_write();
-  // A lingering close, which loses nothing that was written: what is queued still leaves, then this side is
-  // ended, and what the peer still sends is read and dropped, since closing a socket with unread bytes resets
-  // the connection, which may discard what was just written. Once the peer ends its side too, or after
-  // `timeout`, the stream closes and the handler is told so, and of nothing before. Later writes are dropped.
+  // Closes the stream without losing written data. Sends the queued bytes and shuts down this side. Until the
+  // peer closes its side, received bytes are read and discarded, because closing a socket with unread bytes
+  // resets the connection and may discard sent data. Then, or after `timeout`, the stream closes and calls
+  // on_closed(); no other callback is called before. Later writes are discarded.
   void close_gracefully(Duration timeout);
 
-  // Reads what has come at once, not at the stream's next event: for one last look before the stream is
-  // closed as idle.
+  // Reads available bytes immediately instead of at the next event. Used to check for input before a stream
+  // is closed as idle.
   void read_now();
-  // Stops reading, which makes the peer wait, or goes on.
+  // Pauses or resumes reading. While reading is paused, the peer's data stays in the kernel's buffer.
   void set_read_paused(bool paused);
-  // Offers the handler in the next iteration what it left in the buffer.
+  // Passes the remaining bytes in the buffer to the handler again in the next iteration.
   void schedule_read();
 
   [[nodiscard]] bool is_open() const { return static_cast<bool>(socket_); }
   [[nodiscard]] bool is_connected() const { return !connecting_; }
-  // Bytes that wait for the kernel.
+  // Returns the number of bytes that the kernel has not accepted yet.
   [[nodiscard]] std::size_t queued_bytes() const {
     return queued_bytes_ + (secure_ ? secure_->encrypted.size() - secure_->sent : 0);
   }
 
  private:
-  // Bytes that wait for the kernel, and the counter to increment once it has them.
+  // Queued bytes, and the counter to increment once the kernel has accepted them.
   struct PendingWrite {
     WriteId id;
     std::string bytes;
     std::uint64_t* completed_counter;
   };
-  // What a channel needs; a stream without one has none of it.
+  // The state of the channel, which exists only if there is one.
   struct SecureState {
     std::unique_ptr<SecureChannel> channel;
-    std::string encrypted;  // on its way to the kernel
-    std::size_t sent = 0;   // bytes of it that the kernel has
-    // Of the writes whose last byte is in `encrypted`.
+    // Encrypted bytes to send.
+    std::string encrypted;
+    // The number of bytes of `encrypted` that the kernel has accepted.
+    std::size_t sent = 0;
+    // The counters of the writes whose last byte is in `encrypted`.
     std::vector<std::uint64_t*> completed_counters;
     bool close_notify_sent = false;
   };
@@ -114,8 +116,8 @@
   void on_ready(std::uint32_t events) override;
   bool finish_connecting(std::uint32_t events);
   void read_available();
-  void take_chunk(std::string_view bytes);
-  void on_read_end();
+  void handle_received_bytes(std::string_view bytes);
+  void on_end_of_stream();
   void deliver_input();
   void receive_through_channel(std::string_view bytes);
   void flush();
@@ -135,19 +137,23 @@
   bool read_paused_ = false;
   bool failed_ = false;
   bool write_shutdown_requested_ = false;
-  bool closing_gracefully_ = false;  // nothing more is handed to the handler
-  bool half_closed_ = false;         // the peer has been sent this side's end
-  bool peer_closed_ = false;         // the peer has ended its side
+  // True after close_gracefully(); received bytes are no longer passed to the handler.
+  bool closing_gracefully_ = false;
+  // True once this side was shut down.
+  bool half_closed_ = false;
+  // True once the peer has closed its side.
+  bool peer_closed_ = false;
   Timer close_timer_;
   std::size_t input_limit_;
   std::string input_;
   std::deque<PendingWrite> pending_writes_;
   std::unique_ptr<SecureState> secure_;
-  std::size_t front_bytes_sent_ = 0;  // of the first pending write
+  // The number of bytes of the first pending write that were sent.
+  std::size_t front_bytes_sent_ = 0;
   std::size_t queued_bytes_ = 0;
   WriteId next_write_id_ = 1;
   WriteId first_unstarted_write_ = 1;
-  // False once this is destroyed: for deferred tasks.
+  // Deferred tasks check this flag, which is false once the stream is destroyed.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/net/system_error_class.h
+++ b/src/net/system_error_class.h
@@ -1,20 +1,26 @@
-/// Tells what an error of a system call says, in one place for all callers.
+// Classifies errors of system calls.
 #pragma once
 
 namespace rookproxy {
 
-/// What an errno of a call on sockets or descriptors is due to.
+// The cause of an errno of a call on sockets or descriptors.
 enum class SystemErrorClass {
-  kTransient,   // the same call may be made again at once: a signal, a connection that ended in the queue
-  kWouldBlock,  // nothing to do until the descriptor is ready
-  kProcessExhausted,  // this process is at its own limit of descriptors
-  kHostExhausted,     // the host is short of descriptors, memory, buffers or ports, mostly for a moment
-  kOther              // the peer, the path to it, or the arguments
+  // The call may be repeated immediately, for example after a signal or an aborted connection.
+  kTransient,
+  // The descriptor is not ready.
+  kWouldBlock,
+  // This process has reached its descriptor limit.
+  kProcessExhausted,
+  // The host has no free descriptors, memory, buffers or ports, usually for a short time.
+  kHostExhausted,
+  // The peer, the path to it, or the arguments.
+  kOther
 };
 
 [[nodiscard]] SystemErrorClass classify_system_error(int error);
 
-/// Whether this process or its host lacks something, which says nothing about the peer or the way to it.
+// Returns true if the error is caused by a lack of resources of this process or its host, not by the peer or
+// the network.
 [[nodiscard]] bool is_resource_exhaustion(int error);
 
 }  // namespace rookproxy
--- a/src/net/timer.h
+++ b/src/net/timer.h
@@ -1,4 +1,4 @@
-// A timer that its owner's destruction cancels.
+// A timer that is cancelled when its owner is destroyed.
 #pragma once
 
 #include <utility>
@@ -7,8 +7,8 @@
 
 namespace rookproxy {
 
-// Runs one task on the loop's thread unless it is cancelled, replaced or destroyed first. The loop must
-// outlive it.
+// Runs a task on the event loop's thread unless it is cancelled, replaced or destroyed before. The loop must
+// outlive the timer.
 class Timer {
  public:
   explicit Timer(EventLoop& loop) : loop_(loop) {}
@@ -16,13 +16,14 @@
   Timer(Timer&& other) noexcept : loop_(other.loop_), id_(std::exchange(other.id_, {})) {}
   Timer& operator=(Timer&&) = delete;
 
-  // Replaces the task that was set before, if it has not run.
+  // Sets the task and its time, replacing a task that has not run.
   void set(Time due, EventLoop::Task task) {
     cancel();
     id_ = loop_.run_at(due, std::move(task));
   }
   void cancel() { loop_.cancel(id_); }
-  // To be called first in the task if is_set() is to be false from then on: it does not know that it ran.
+  // Makes is_set() return false. The timer does not detect that its task ran, so the task must call this
+  // first if is_set() is used.
   void mark_as_run() { id_ = {}; }
   [[nodiscard]] bool is_set() const { return id_.is_set(); }
 
--- a/tests/net/acceptor_test.cpp
+++ b/tests/net/acceptor_test.cpp
@@ -1,4 +1,4 @@
-// An acceptor in a process that has no descriptor left.
+// Tests of the acceptor in a process that has no descriptors left.
 #include "net/acceptor.h"
 
 #include <sys/socket.h>
@@ -19,7 +19,7 @@
 
 using namespace std::chrono_literals;
 
-// Connections that are opened at once.
+// A group of client connections.
 struct Clients {
   std::vector<FileDescriptor> fds;
   void connect(std::uint16_t port, std::size_t count) {
@@ -33,7 +33,7 @@
   }
 };
 
-TEST_CASE("descriptors: an acceptor without any closes new connections, also after its reserve was taken") {
+TEST_CASE("acceptor: without free descriptors it closes new connections, even after losing its reserve") {
   EventLoop loop;
   std::vector<FileDescriptor> accepted;
   Acceptor acceptor(loop, test::listen_on_free_port(),
@@ -45,7 +45,7 @@
   bool late = false;
   bool reserve_lost = false;
   std::optional<test::DescriptorExhaustion> exhaustion;
-  std::optional<test::DescriptorLimit> limit;  // the reserve, once closed, can not be opened again
+  std::optional<test::DescriptorLimit> limit;  // Prevents the acceptor from reopening its reserve descriptor.
   first.connect(acceptor.port(), 1);
   loop.on_iteration_end([&] {
     ++iterations;
@@ -68,9 +68,9 @@
   });
   loop.run();
   limit.reset();
-  exhaustion.reset();  // a check that fails, and a sanitizer's own, need descriptors
+  exhaustion.reset();  // A failing check and a sanitizer need descriptors.
   CHECK(reserve_lost);
-  CHECK(iterations_without_descriptors < 20);  // it looks again now and then, and does not spin
+  CHECK(iterations_without_descriptors < 20);  // The acceptor retries after an interval and does not spin.
   CHECK_FALSE(late);
   CHECK(accepted.size() == 1);
 }
--- a/tests/net/event_loop_test.cpp
+++ b/tests/net/event_loop_test.cpp
@@ -1,4 +1,4 @@
-// The event loop's timers.
+// Tests of the event loop's timers and of its stall detection.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <functional>
@@ -11,7 +11,7 @@
 using namespace rookproxy;
 using namespace std::chrono_literals;
 
-TEST_CASE("event loop: timers fire in order, cancelled ones don't, one set by a timer waits") {
+TEST_CASE("event loop: timers run in order, cancelled timers don't run, and a timer may set another") {
   EventLoop loop;
   std::string order;
   const Time now = loop.now();
@@ -41,8 +41,8 @@
   for (const Duration stall : stalls) CHECK(stall >= 50ms);
 }
 
-// A timer that set itself again for the iteration's time once kept the iteration running for ever: no wait,
-// and the clock stood still. The decision module's timers did so on a full-size day.
+// Guards against a timer that sets itself again for the current time and so keeps the iteration running
+// forever.
 TEST_CASE("event loop: a timer set again for the iteration's time runs in the next iteration, after a wait") {
   EventLoop loop;
   int fired = 0;
--- a/tests/net/sockets_test.cpp
+++ b/tests/net/sockets_test.cpp
@@ -1,4 +1,4 @@
-// Options of the sockets that the program opens.
+// Tests of socket options.
 #include <netinet/tcp.h>
 #include <sys/socket.h>
 
@@ -11,12 +11,12 @@
 using namespace rookproxy;
 using namespace rookproxy::test;
 
-TEST_CASE("net: small writes leave at once on every TCP socket") {
+TEST_CASE("sockets: TCP_NODELAY is set on connected and accepted sockets") {
   const FileDescriptor listener = listen_on_free_port();
-  const FileDescriptor dialled = connect_tcp({0x7f000001, local_port(listener)});
+  const FileDescriptor outgoing = connect_tcp({0x7f000001, local_port(listener)});
   REQUIRE(wait_until_readable(listener, kWaitLimit));
   const FileDescriptor accepted = accept_connection(listener);
-  for (const FileDescriptor* fd : {&dialled, &accepted}) {
+  for (const FileDescriptor* fd : {&outgoing, &accepted}) {
     int on = 0;
     socklen_t size = sizeof on;
     REQUIRE(::getsockopt(fd->get(), IPPROTO_TCP, TCP_NODELAY, &on, &size) == 0);
--- a/tests/net/stream_close_test.cpp
+++ b/tests/net/stream_close_test.cpp
@@ -1,4 +1,5 @@
-// How streams end, on real sockets, with the loop in a thread of its own and the peer in the test's.
+// Tests of closing streams on real sockets. The event loop runs in a separate thread and the peer in the
+// test's thread.
 #include <sys/socket.h>
 
 #include <catch2/catch.hpp>
@@ -23,7 +24,7 @@
 
 namespace {
 
-// Keeps what it is told.
+// Records received bytes and close reasons.
 struct RecordingHandler final : StreamHandler {
   std::string received;
   std::vector<std::string> end_reasons;
@@ -34,7 +35,7 @@
   void on_closed(std::string_view reason) override { end_reasons.emplace_back(reason); }
 };
 
-// One stream and the peer at its other end.
+// A stream and its peer.
 struct StreamPair {
   EventLoopThread host;
   FileDescriptor listener = listen_on_free_port();
@@ -54,10 +55,11 @@
 
 }  // namespace
 
-TEST_CASE("stream: a graceful close loses nothing that was written, though input is unread") {
-  // Guards against a close that resets the connection, which may discard what was just written.
+TEST_CASE("stream: a graceful close loses no written data when input is unread") {
+  // Guards against a close that resets the connection, which may discard sent data.
   StreamPair pair;
-  const std::string response(16u << 20, 'a');  // more than kernels hold, so that some is queued
+  // Exceeds the kernel's buffers, so that some bytes stay queued.
+  const std::string response(16u << 20, 'a');
   pair.host.run([&] { pair.stream->set_read_paused(true); });
   pair.peer.send(std::string(100'000, 'q'));
   pair.host.run([&] {
@@ -78,7 +80,7 @@
   CHECK(pair.host.run([&] { return pair.handler.received; }) == "");
 }
 
-TEST_CASE("stream: a graceful close still delivers to a peer that has ended its side") {
+TEST_CASE("stream: a graceful close still delivers data to a peer that has closed its side") {
   StreamPair pair;
   const std::string response(16u << 20, 'a');
   pair.host.run([&] {
@@ -92,9 +94,9 @@
   CHECK(pair.host.until([&] { return pair.handler.end_reasons.size() == 1; }));
 }
 
-TEST_CASE("stream: a graceful close ends at its timeout, and the loop waits meanwhile") {
-  // Guards against a peer that never ends, and against a loop that does not wait: each shutdown() of a
-  // socket makes it ready once more.
+TEST_CASE("stream: a graceful close ends at its timeout without keeping the event loop busy") {
+  // Guards against a peer that never closes its side, and against a busy event loop: each shutdown() of a
+  // socket causes another event.
   for (const bool peer_sends : {false, true}) {
     StreamPair pair;
     if (peer_sends) pair.peer.send(std::string(1000, 'q'));
@@ -108,7 +110,7 @@
     finished.get_future().get();
     CHECK(std::chrono::steady_clock::now() - start >= 200ms);
     CHECK(pair.host.run([&] { return pair.handler.end_reasons; }) ==
-          std::vector<std::string>{"the peer did not end in time"});
+          std::vector<std::string>{"the peer did not close its side in time"});
     CHECK(pair.host.iterations - iterations < 50);
     CHECK(read_to_end(pair.peer.fd()).error == 0);
   }
--- a/tests/net/stream_test.cpp
+++ b/tests/net/stream_test.cpp
@@ -1,4 +1,4 @@
-// Streams over real sockets.
+// Tests of streams on real sockets.
 #include "net/stream.h"
 
 #include <catch2/catch.hpp>
@@ -15,13 +15,13 @@
 
 namespace {
 
-// Reads everything.
+// Consumes all bytes.
 struct ReadingHandler final : StreamHandler {
   std::size_t on_bytes(std::string_view bytes) override { return bytes.size(); }
   void on_closed(std::string_view) override {}
 };
 
-// Leaves everything in the stream's buffer.
+// Consumes nothing, so that all bytes stay in the stream's buffer.
 struct UnreadingHandler final : StreamHandler {
   std::size_t on_bytes(std::string_view) override { return 0; }
   void on_closed(std::string_view reason) override { close_reason = reason; }
@@ -32,8 +32,8 @@
 
 }  // namespace
 
-TEST_CASE("stream: only a write that has not started can be cancelled") {
-  // The proof that a request never ran rests on this.
+TEST_CASE("stream: a write can be cancelled only before it has started") {
+  // Guards against reporting a request as not sent although the engine may have received it.
   EventLoop loop;
   FileDescriptor listener = test::listen_on_free_port();
   ReadingHandler handler;
@@ -52,7 +52,7 @@
   CHECK(peer.take(6) == "second");
 }
 
-TEST_CASE("stream: a message larger than the buffer ends the stream") {
+TEST_CASE("stream: a message larger than the input buffer closes the stream") {
   UnreadingHandler handler;
   EventLoop loop;
   FileDescriptor listener = test::listen_on_free_port();
@@ -62,5 +62,5 @@
   peer.send(std::string(5000, 'x'));
   loop.run_at(loop.now() + 100ms, [&] { loop.stop(); });
   loop.run();
-  CHECK(handler.close_reason == "a message larger than the buffer");
+  CHECK(handler.close_reason == "message larger than the input buffer");
 }
--- a/tests/net/timer_test.cpp
+++ b/tests/net/timer_test.cpp
@@ -1,4 +1,4 @@
-// The timer that its owner's destruction cancels.
+// Tests of the timer.
 #include "net/timer.h"
 
 #include <catch2/catch.hpp>
@@ -13,7 +13,7 @@
 using namespace rookproxy;
 using namespace std::chrono_literals;
 
-TEST_CASE("timer: it runs once, and not once it is replaced, cancelled or destroyed") {
+TEST_CASE("timer: a task runs once, and not after the timer is replaced, cancelled or destroyed") {
   Time now{1h};
   manual_clock = &now;
   EventLoop loop;
