--- a/src/app/app.cpp
+++ b/src/app/app.cpp
@@ -18,17 +18,16 @@
 namespace rookproxy {
 namespace {
 
-// An iteration of the loop that takes this long is logged: every response that was due in it is late by as
-// much.
-constexpr Duration kStalledIteration = std::chrono::milliseconds(100);
+// Loop iterations that take at least this long are logged: they delay every response that is due in them.
+constexpr Duration kStalledIterationThreshold = std::chrono::milliseconds(100);
 
-// How often a process looks whether another one of its dispatcher runs.
+// How often a process checks whether another process of the same dispatcher is running.
 constexpr Duration kProcessCheckInterval = std::chrono::milliseconds(100);
 
-// Of one result from an engine that speaks MySQL.
+// Limit on one result from an engine that speaks MySQL.
 constexpr std::size_t kMaxMysqlResultBytes = 8U << 20;
 
-std::string process_lease_file(const Config& config) {
+std::string process_lock_path(const Config& config) {
   std::string name = config.name;
   std::replace(name.begin(), name.end(), '/', '_');
   return config.shared_folder + "/rookproxy-" + name + ".locks";
@@ -46,7 +45,7 @@
   return longest;
 }
 
-// A dispatcher whose peers are unusable serves as if it had none.
+// Invalid peers do not end the process: the dispatcher then serves as if it had none.
 void log_peers(Logger& log, const Config& config) {
   if (config.peers_error) {
     log.write(LogLevel::kWarning, "config", std::string("no peers: ") + config.peers_error->what(), {});
@@ -72,7 +71,7 @@
           loop, [this] { return !discovery_ || discovery_->has_endpoint_list(); },
           [this] { serve_clients(); }) {
   dispatcher_.set_transport(*connection_pool_);
-  // Watched before they are read, so that no change falls in between.
+  // The watch starts before the files are read, so that no change in between is missed.
   credential_watch_ = watch_credential_files(config);
   if (config.tls) tls_context_ = tls::ServerContext::load(config.tls->server);
   if (config.access) {
@@ -85,11 +84,11 @@
   log_peers(log, config);
   frontends_ =
       std::make_unique<Frontends>(loop, log, dispatcher_, config, authenticator_.get(), tls_context_);
-  open_process_lease();
+  open_process_lock_file();
   open_admin_server();
   if (config.cluster) cluster_ = std::make_unique<Cluster>(loop, log, cluster_settings(config), config.seed);
   apply_resource_share();
-  if (process_lease_) update_process_count();
+  if (process_lock_file_) update_process_count();
   readiness_.start();
   observe_loop();
 }
@@ -106,12 +105,14 @@
       MysqlResultLimits{kMaxMysqlResultBytes, max_buffered_bytes(config.memory_mb)});
 }
 
-void App::open_process_lease() {
+void App::open_process_lock_file() {
   if (!has_passed_listener(config_)) return;
-  process_lease_.emplace(process_lease_file(config_));
-  if (process_lease_->is_acquired()) return;
-  log_.write(LogLevel::kWarning, "start", "no lock in the shared folder: taken to be alone",
-             {{"folder", config_.shared_folder}});
+  process_lock_file_.emplace(process_lock_path(config_));
+  if (process_lock_file_->is_acquired()) return;
+  log_.write(
+      LogLevel::kWarning, "start",
+      "cannot lock a file in the shared folder; assuming that no other process of this dispatcher runs",
+      {{"folder", config_.shared_folder}});
 }
 
 void App::open_admin_server() {
@@ -125,8 +126,9 @@
 
 void App::observe_loop() {
   loop_.on_iteration_end([this] { dispatcher_.process_events(); });
-  loop_.on_stalled_iteration(kStalledIteration, [this](Duration took) {
-    log_.write(LogLevel::kWarning, "loop", "stood still", {{"ms", milliseconds_field(took)}});
+  loop_.on_stalled_iteration(kStalledIterationThreshold, [this](Duration took) {
+    log_.write(LogLevel::kWarning, "loop", "event loop iteration stalled",
+               {{"ms", milliseconds_field(took)}});
   });
 }
 
@@ -139,12 +141,12 @@
 
 void App::serve_clients() {
   frontends_->start_accepting();
-  if (process_lease_) process_lease_->set_ready(true);
+  if (process_lock_file_) process_lock_file_->set_ready(true);
   log_.write(LogLevel::kNotice, "start", "ready to serve", {});
 }
 
 void App::update_process_count() {
-  const bool another_runs = process_lease_->another_is_running();
+  const bool another_runs = process_lock_file_->another_is_running();
   if (another_runs != another_process_runs_) {
     another_process_runs_ = another_runs;
     log_.write(LogLevel::kNotice, "start",
@@ -154,8 +156,8 @@
   loop_.run_at(loop_.now() + kProcessCheckInterval, [this] { update_process_count(); });
 }
 
-// Two processes of one dispatcher share one limit on memory and on sockets. The shares are halved and not the
-// limit, as what a process needs for itself is no less with another beside it.
+// While two processes of one dispatcher run, they share its limits on memory and sockets. Only the parts for
+// clients and engines are halved: what a process needs for itself does not shrink.
 void App::apply_resource_share() {
   const std::size_t process_count = another_process_runs_ ? 2 : 1;
   frontends_->set_resource_limits(config_, process_count);
@@ -163,7 +165,7 @@
   connection_pool_->update_limits(pool_limits(config_, process_count));
 }
 
-// Changed files apply without a signal: a revoked credential must not wait for one.
+// Credential files are reloaded when they change, so that a revocation takes effect without a signal.
 std::unique_ptr<FileWatcher> App::watch_credential_files(const Config& config) {
   std::vector<std::string> files;
   if (config.access) files = config.access->watched_files();
@@ -185,7 +187,8 @@
   }
 }
 
-// Takes over keys, certificates, revocation lists and rights: all of them, or it throws and takes none.
+// Applies keys, certificates, revocation lists and permissions. Throws and changes nothing if any of them
+// can't be loaded.
 void App::apply_credentials(const Config& config) {
   auto fresh = config.tls ? tls::ServerContext::load(config.tls->server, tls_context_.get()) : nullptr;
   if (authenticator_) authenticator_->replace_settings(*config.access);
@@ -219,14 +222,14 @@
   }
 }
 
-// What may throw comes first, so that a reload is taken as a whole or not at all.
+// Steps that may throw come first, so that a reload applies completely or not at all.
 void App::apply_configuration(Config fresh) {
   keep_process_settings(config_, fresh);
   check_reloadable(config_, fresh);
   std::optional<Cluster::PreparedReload> cluster_reload;
   if (cluster_) cluster_reload = cluster_->prepare_reload(cluster_settings(fresh));
   auto watch = watch_credential_files(fresh);
-  apply_credentials(fresh);  // the last step that may throw
+  apply_credentials(fresh);  // The last step that may throw.
   if (cluster_reload) cluster_->apply_reload(std::move(*cluster_reload));
   credential_watch_ = std::move(watch);
   fresh.peers = peers_after_reload(config_, fresh);
@@ -235,7 +238,7 @@
   log_peers(log_, config_);
   dispatcher_.change_settings(config_.settings, config_.zones, dispatcher_limits(config_));
   configure_discovery();
-  // With service discovery the file's endpoints are those of some start, perhaps long ago.
+  // With service discovery, the endpoints in the file may be long out of date.
   if (!discovery_) dispatcher_.update_endpoints(config_.initial_endpoints, false);
   frontends_->reload(config_);
   apply_resource_share();
@@ -248,16 +251,16 @@
   readiness_.stop();
   log_.write(LogLevel::kNotice, "stop", "draining",
              {{"open", std::to_string(dispatcher_.open_request_count())}});
-  if (process_lease_) process_lease_->set_ready(false);
+  if (process_lock_file_) process_lock_file_->set_ready(false);
   if (cluster_) cluster_->leave();
   frontends_->drain(config_);
-  GracefulShutdown::Circumstances circumstances;
-  circumstances.max_request_timeout = max_request_timeout(config_.settings);
-  circumstances.was_ready = readiness_.was_ready();
-  circumstances.listener_is_shared = has_passed_listener(config_);
-  const ProcessLease* lease = process_lease_ ? &*process_lease_ : nullptr;
-  shutdown_.emplace(loop_, log_, dispatcher_, *frontends_, lease);
-  shutdown_->start(circumstances);
+  GracefulShutdown::InitialState initial_state;
+  initial_state.max_request_timeout = max_request_timeout(config_.settings);
+  initial_state.was_ready = readiness_.was_ready();
+  initial_state.listener_is_shared = has_passed_listener(config_);
+  const ProcessLockFile* process_lock_file = process_lock_file_ ? &*process_lock_file_ : nullptr;
+  shutdown_.emplace(loop_, log_, dispatcher_, *frontends_, process_lock_file);
+  shutdown_->start(initial_state);
 }
 
 }  // namespace rookproxy
--- a/src/app/app.h
+++ b/src/app/app.h
@@ -1,4 +1,4 @@
-// One dispatcher process: its parts, and how they hear of a start, a reload and a stop.
+// One dispatcher process: creates its components and coordinates start, reload and shutdown.
 #pragma once
 
 #include <functional>
@@ -10,7 +10,7 @@
 #include "admin/admin_server.h"
 #include "app/frontends.h"
 #include "app/graceful_shutdown.h"
-#include "app/process_lease.h"
+#include "app/process_lock_file.h"
 #include "app/readiness.h"
 #include "auth/authenticator.h"
 #include "cluster/runtime/cluster.h"
@@ -23,21 +23,23 @@
 
 namespace rookproxy {
 
-// Owns everything but the event loop and the log, which have to outlive it. Used on the event loop's thread.
+// Owns every component except the event loop and the logger, which must outlive it. Used on the event loop's
+// thread.
 class App final : public AdminSource {
  public:
   // Opens the listeners and reads the files that the configuration names. Throws SettingsError. Clients are
-  // let in once the loop runs.
+  // accepted once the loop runs.
   App(EventLoop& loop, Logger& log, const Config& config);
 
-  // Takes over what a new configuration says and a running dispatcher can change: the settings, the name
-  // server, the fixed list of engines, the log, credentials, and the MySQL frontend's classes, users, times
-  // and limit. Open requests and the version of the endpoint list go on. If `load` or a check throws, the
-  // former configuration stays as a whole and the error is logged: a bad file must not end what serves.
+  // Applies those parts of a new configuration that a running dispatcher can change: the settings, the name
+  // server, the fixed list of engines, the log, credentials, and the MySQL frontend's classes, users,
+  // timeouts and limit. Open requests and the version of the endpoint list are kept. If `load` or a check
+  // throws, the whole previous configuration stays in force and the error is logged: an invalid file must not
+  // end a process that serves.
   void reload(const std::function<Config(const Config& running)>& load);
 
-  // Begins a graceful shutdown (policy/shutdown.h), which stops the event loop at its end. A second call
-  // changes nothing.
+  // Starts a graceful shutdown (policy/shutdown.h), which stops the event loop once it is complete. Further
+  // calls have no effect.
   void drain();
 
  private:
@@ -47,7 +49,7 @@
   std::vector<NamedMetric> optional_metrics() const override;
 
   std::unique_ptr<ConnectionPool> make_connection_pool(const Config& config);
-  void open_process_lease();
+  void open_process_lock_file();
   void open_admin_server();
   void observe_loop();
   void serve_clients();
@@ -61,18 +63,19 @@
 
   EventLoop& loop_;
   Logger& log_;
-  Config config_;  // as last taken over
+  Config config_;  // The configuration in force.
   Metrics metrics_;
   Dispatcher dispatcher_;
-  std::unique_ptr<auth::Authenticator> authenticator_;  // null: callers are not identified
+  std::unique_ptr<auth::Authenticator> authenticator_;  // Null if callers are not authenticated.
   std::shared_ptr<const tls::ServerContext> tls_context_;
   std::unique_ptr<FileWatcher> credential_watch_;
   std::unique_ptr<ConnectionPool> connection_pool_;
-  std::unique_ptr<DnsDiscoveryClient> discovery_;  // null: the engines are fixed
-  std::unique_ptr<Cluster> cluster_;               // null: this dispatcher decides for itself
+  std::unique_ptr<DnsDiscoveryClient> discovery_;  // Null if the list of engines is fixed.
+  std::unique_ptr<Cluster> cluster_;               // Null if this dispatcher is not part of a cluster.
   std::unique_ptr<Frontends> frontends_;
   std::unique_ptr<AdminServer> admin_server_;
-  std::optional<ProcessLease> process_lease_;  // where a listener was passed: else there is no other process
+  // Absent if no listener was passed to this process: then no other process of the dispatcher can run.
+  std::optional<ProcessLockFile> process_lock_file_;
   bool another_process_runs_ = false;
   Readiness readiness_;
   std::optional<GracefulShutdown> shutdown_;
--- a/src/app/cluster_settings.cpp
+++ b/src/app/cluster_settings.cpp
@@ -6,7 +6,7 @@
 namespace rookproxy {
 namespace {
 
-// Appends the key of a file, if one is named. `config_key` is the key of the configuration that names it.
+// Appends the key in `file`, unless that is empty. `config_key` is the configuration key that names the file.
 void append_key(const std::string& file, const char* config_key, std::vector<std::string>& keys) {
   if (file.empty()) return;
   try {
@@ -25,13 +25,13 @@
   settings.peers.self = static_cast<cluster::MemberId>(config.cluster->self_index);
   settings.peers.broadcast_address = config.peers->broadcast_address;
   settings.peers.bytes_per_second = config.cluster->bytes_per_second;
-  // The first key authenticates what is sent; each of them is accepted in what is received.
+  // Sent messages are authenticated with the first key; received ones may use either.
   append_key(config.cluster->key_file, "fleet.key", settings.peers.keys);
   append_key(config.cluster->former_key_file, "fleet.former_key", settings.peers.keys);
   settings.probe_interval = config.cluster->protocol_period;
   settings.lease_duration = config.cluster->lease_duration;
   settings.zones = config.zones;
-  static_cast<void>(make_membership_settings(settings));  // throws for times that don't fit together
+  static_cast<void>(make_membership_settings(settings));  // Throws if the times are inconsistent.
   return settings;
 }
 
--- a/src/app/cluster_settings.h
+++ b/src/app/cluster_settings.h
@@ -1,4 +1,4 @@
-// The cluster's settings from a configuration and the key files that it names.
+// Builds the cluster's settings from a configuration and the key files that it names.
 #pragma once
 
 #include "cluster/runtime/cluster.h"
@@ -6,7 +6,7 @@
 
 namespace rookproxy {
 
-// Reads the key files of a configuration that has [fleet]. Throws SettingsError.
+// Reads the key files; the configuration must have [fleet]. Throws SettingsError.
 [[nodiscard]] ClusterSettings cluster_settings(const Config& config);
 
 }  // namespace rookproxy
--- a/src/app/frontends.cpp
+++ b/src/app/frontends.cpp
@@ -12,16 +12,16 @@
 
 using TlsContext = std::shared_ptr<const tls::ServerContext>;
 
-// Of the memory that a dispatcher may use, one part each is for large messages that are being received and
-// for responses that clients have not taken.
-constexpr std::size_t kClientBufferPart = 8;
+// The memory of a dispatcher divided by this bounds the large messages that are being received; the same
+// bound applies to responses that clients have not read yet.
+constexpr std::size_t kClientBufferDivisor = 8;
 
-// The TLS context for the platform's frontend; null where it has no TLS.
+// The TLS context of the platform's frontend; null if it has no TLS.
 TlsContext platform_tls(const Config& config, const TlsContext& context) {
   return config.tls && config.tls->frames ? context : nullptr;
 }
 
-// The TLS context for the MySQL frontend; null where it has no TLS.
+// The TLS context of the MySQL frontend; null if it has no TLS.
 TlsContext mysql_tls(const Config& config, const TlsContext& context) {
   return config.tls && config.tls->mysql != TlsConfig::MysqlMode::kOff ? context : nullptr;
 }
@@ -67,7 +67,7 @@
 }
 
 void Frontends::set_resource_limits(const Config& config, std::size_t process_count) {
-  const std::size_t buffer_bytes = (config.memory_mb << 20) / process_count / kClientBufferPart;
+  const std::size_t buffer_bytes = (config.memory_mb << 20) / process_count / kClientBufferDivisor;
   if (platform_) {
     const std::size_t connections = max_client_connections(config.sockets) / process_count;
     platform_->set_resource_limits(connections, buffer_bytes, buffer_bytes);
@@ -83,7 +83,7 @@
   if (mysql_ && !config.mysql->passed_socket) mysql_->stop_listening();
 }
 
-void Frontends::leave_mysql_clients_to_successor() {
+void Frontends::hand_over_mysql_clients() {
   if (mysql_) mysql_->close_after_next_response();
 }
 
--- a/src/app/frontends.h
+++ b/src/app/frontends.h
@@ -1,4 +1,4 @@
-// The frontends of a dispatcher, for those who treat them alike.
+// The frontends of a dispatcher behind one interface.
 #pragma once
 
 #include <cstddef>
@@ -13,44 +13,45 @@
 
 namespace rookproxy {
 
-// Owns the frontends that a configuration asks for; each function goes to those that are there. They accept
-// nobody until they are told to. Used on the event loop's thread.
+// Owns the frontends that the configuration enables; each function applies to those that exist. They accept
+// no clients before start_accepting(). Used on the event loop's thread.
 class Frontends {
  public:
-  // Opens the listeners. `authenticator` and `tls` may be null and have to outlive the frontends. Throws
-  // ConfigError.
+  // Opens the listeners. `authenticator` and `tls` may be null; `authenticator` must outlive the frontends.
+  // Throws ConfigError.
   Frontends(EventLoop& loop, Logger& log, Dispatcher& dispatcher, const Config& config,
             auth::Authenticator* authenticator, const std::shared_ptr<const tls::ServerContext>& tls);
 
   [[nodiscard]] bool has_mysql() const { return mysql_ != nullptr; }
 
-  // Opens all of them to clients.
+  // Accepts clients at all frontends.
   void start_accepting();
 
-  // Opens the platform's frontend to clients, or closes it to new ones. The MySQL frontend stays as it is.
+  // Starts or stops accepting clients at the platform's frontend. The MySQL frontend is not affected.
   void set_platform_accepting(bool accepting);
 
-  // New connections use the TLS context from now on, and the identities of open ones are checked again.
+  // Uses the TLS context for new connections and checks the identities of open ones again.
   void change_credentials(const Config& config, const std::shared_ptr<const tls::ServerContext>& tls);
 
-  // Takes over what a running MySQL frontend can change.
+  // Applies the part of the configuration that a running MySQL frontend can change.
   void reload(const Config& config);
 
-  // Bounds them to the resources of a dispatcher that so many processes stand in for.
+  // Limits the frontends to this process's share of the resources of a dispatcher with `process_count`
+  // processes.
   void set_resource_limits(const Config& config, std::size_t process_count);
 
-  // Tells clients to go elsewhere; what still comes is served. The MySQL frontend stops listening unless a
-  // successor has its socket.
+  // Announces the drain to clients; requests that still arrive are served. The MySQL frontend stops listening
+  // unless its socket is shared with a successor.
   void drain(const Config& config);
 
-  // A successor accepts: MySQL clients are closed after their next response, to log in there.
-  void leave_mysql_clients_to_successor();
+  // Closes each MySQL connection after its next response, so that the client connects to the successor.
+  void hand_over_mysql_clients();
 
   // Closes every connection once its open requests have responses; clients have `timeout` to close their
   // side.
   void close_all_gracefully(Duration timeout);
 
-  // Whether a request is being received, or a response has not been taken by its client.
+  // Whether a request is being received or a response has not been fully sent.
   [[nodiscard]] bool is_active() const;
 
   [[nodiscard]] bool has_connections() const;
--- a/src/app/limits.cpp
+++ b/src/app/limits.cpp
@@ -12,14 +12,13 @@
 namespace rookproxy {
 namespace {
 
-// Few attempts are lost with a connection that breaks; a connection for each was measured to cost engines
-// more than it saved.
+// Bounds the attempts that fail together when a connection breaks.
 constexpr std::size_t kPreferredStreams = 6;
 
-// Statements and results may take this part of the memory; buffers, tables and the router have the rest.
-constexpr std::size_t kBufferedPart = 4;
+// The memory of a process divided by this is the bound on buffered statements and results.
+constexpr std::size_t kBufferedBytesDivisor = 4;
 
-// The operating system may allow the process fewer descriptors than the configuration does.
+// The operating system may allow fewer descriptors than the configuration does.
 policy::DescriptorBudget descriptor_budget(std::size_t sockets) {
   return policy::descriptor_budget(std::min(sockets, descriptor_limit()));
 }
@@ -30,7 +29,7 @@
 
 std::size_t max_admin_connections(std::size_t sockets) { return descriptor_budget(sockets).admin; }
 
-std::size_t max_buffered_bytes(std::size_t memory_mb) { return (memory_mb << 20) / kBufferedPart; }
+std::size_t max_buffered_bytes(std::size_t memory_mb) { return (memory_mb << 20) / kBufferedBytesDivisor; }
 
 PoolLimits pool_limits(const Config& config, std::size_t process_count) {
   PoolLimits limits;
@@ -50,8 +49,9 @@
   const auto interval = config.settings.progress_interval;
   limits.unresponsive_timeout = interval ? 3 * from_routing_duration(*interval) : Duration(0);
   if (config.engine_protocol == EngineProtocol::kMysql) {
-    limits.max_streams_per_connection = 1;      // a session runs one statement at a time
-    limits.unresponsive_timeout = Duration(0);  // and sends nothing until it has a response
+    // A session runs one statement at a time and sends nothing until it has a response.
+    limits.max_streams_per_connection = 1;
+    limits.unresponsive_timeout = Duration(0);
   }
   return limits;
 }
--- a/src/app/limits.h
+++ b/src/app/limits.h
@@ -1,4 +1,4 @@
-// How a process divides what its configuration allows it: memory, descriptors and times.
+// Derives the limits of a process's components from its configuration: memory, descriptors and timeouts.
 #pragma once
 
 #include <cstddef>
@@ -9,16 +9,16 @@
 
 namespace rookproxy {
 
-// How many connections of clients a process may hold by its limit on sockets.
+// The maximum number of client connections of a process with this limit on sockets.
 [[nodiscard]] std::size_t max_client_connections(std::size_t sockets);
 
-// How many connections of operators a process may hold by its limit on sockets.
+// The maximum number of connections to the admin address of a process with this limit on sockets.
 [[nodiscard]] std::size_t max_admin_connections(std::size_t sockets);
 
-// How many bytes of statements and results may be buffered, of the memory that the configuration allows.
+// The maximum size of buffered statements and results for this limit on memory.
 [[nodiscard]] std::size_t max_buffered_bytes(std::size_t memory_mb);
 
-// The limits of the connections to engines, of a dispatcher that so many processes stand in for.
+// The limits of the connections to engines for one of `process_count` processes of a dispatcher.
 [[nodiscard]] PoolLimits pool_limits(const Config& config, std::size_t process_count);
 
 [[nodiscard]] DispatcherLimits dispatcher_limits(const Config& config);
--- a/src/app/listeners.cpp
+++ b/src/app/listeners.cpp
@@ -15,7 +15,8 @@
 FileDescriptor open_listener(const SocketAddress& address, const std::string& config_key) {
   FileDescriptor listener = listen_tcp(address);
   if (!listener) {
-    if (is_resource_exhaustion(errno) && errno != EADDRNOTAVAIL) {  // no such address is the key's fault
+    if (is_resource_exhaustion(errno) &&
+        errno != EADDRNOTAVAIL) {  // A missing address is an error of the key.
       throw std::system_error(errno, std::generic_category(), "listen on " + address.to_string());
     }
     const std::string reason = std::strerror(errno);
@@ -31,7 +32,7 @@
   if (!listener) {
     const std::string reason = std::strerror(errno);
     throw ConfigError(key_prefix + "passed_socket",
-                      "descriptor " + std::to_string(*passed) + " is no TCP socket that listens: " + reason);
+                      "descriptor " + std::to_string(*passed) + " is not a listening TCP socket: " + reason);
   }
   return listener;
 }
--- a/src/app/readiness.cpp
+++ b/src/app/readiness.cpp
@@ -7,8 +7,8 @@
 namespace rookproxy {
 namespace {
 
-// A starting process waits this long for service discovery; then the endpoints it was given have to do.
-constexpr Duration kMaxWait = std::chrono::milliseconds(500);
+// A starting process waits this long for service discovery before it serves with the configured endpoints.
+constexpr Duration kMaxDiscoveryWait = std::chrono::milliseconds(500);
 constexpr Duration kCheckInterval = std::chrono::milliseconds(5);
 
 }  // namespace
@@ -17,7 +17,7 @@
     : loop_(loop), engines_known_(std::move(engines_known)), on_ready_(std::move(on_ready)) {}
 
 void Readiness::start() {
-  loop_.run_at(loop_.now(), [this, wait_until = loop_.now() + kMaxWait] { check(wait_until); });
+  loop_.run_at(loop_.now(), [this, wait_until = loop_.now() + kMaxDiscoveryWait] { check(wait_until); });
 }
 
 std::string Readiness::not_ready_reason() const {
--- a/src/app/readiness.h
+++ b/src/app/readiness.h
@@ -1,4 +1,4 @@
-// When a process that has started, or was told to stop, serves clients.
+// Decides when a process is ready to serve clients.
 #pragma once
 
 #include <functional>
@@ -8,27 +8,25 @@
 
 namespace rookproxy {
 
-// Waits, for a short while, until the engines are known before it lets clients in: those that connect
-// meanwhile wait at the socket and lose nothing. Used on the event loop's thread.
+// After a start, waits a limited time for the list of engines before clients are accepted; clients that
+// connect meanwhile wait in the listener's backlog. Used on the event loop's thread.
 class Readiness {
  public:
-  // `engines_known` is asked until it says yes or the wait is over; then `on_ready` is called, once.
+  // `engines_known` is polled until it returns true or the wait times out; then `on_ready` is called, once.
   Readiness(EventLoop& loop, std::function<bool()> engines_known, std::function<void()> on_ready);
 
-  // Begins to wait, from the next iteration of the loop on: a signal to stop that is pending by then comes
-  // first.
+  // Starts to wait with the next iteration of the loop, so that a pending signal to stop is handled first.
   void start();
 
-  // Not ready any more. A process that was told to stop before it was ready never becomes so: clients would
-  // come to one that is about to leave.
+  // Ends readiness for good: a process that is told to stop before it was ready must not accept clients.
   void stop() { stopped_ = true; }
 
   [[nodiscard]] bool is_stopped() const { return stopped_; }
 
-  // Whether clients were let in, also if the process was told to stop since.
+  // Whether clients were accepted, also if the process was told to stop since.
   [[nodiscard]] bool was_ready() const { return ready_; }
 
-  // Why the process is not ready, in a word; empty if it is.
+  // Why the process is not ready, in one word; empty if it is ready.
   [[nodiscard]] std::string not_ready_reason() const;
 
  private:
--- a/src/app/reload.cpp
+++ b/src/app/reload.cpp
@@ -5,10 +5,11 @@
 namespace rookproxy {
 namespace {
 
-// For a section that begins or ends with the process.
-void check_section_stays(bool was_there, bool is_there, const std::string& section) {
+// Throws ConfigError if a section that only a restart can add or remove was added or removed.
+void check_section_unchanged(bool was_there, bool is_there, const std::string& section) {
   if (was_there == is_there) return;
-  throw ConfigError(section, is_there ? "needs a restart to begin" : "missing, and it was there before");
+  throw ConfigError(section, is_there ? "can be added only with a restart"
+                                      : "missing, but present in the running configuration");
 }
 
 bool same_tls_frontends(const Config& running, const Config& fresh) {
@@ -35,12 +36,12 @@
 }
 
 void check_reloadable(const Config& running, const Config& fresh) {
-  // To identify callers from now on, or no longer, would shut out or let in everybody at once.
-  check_section_stays(running.access.has_value(), fresh.access.has_value(), "access");
+  // Turning access control on or off at run time would deny or allow every open connection at once.
+  check_section_unchanged(running.access.has_value(), fresh.access.has_value(), "access");
   if (!same_tls_frontends(running, fresh)) {
-    throw ConfigError("tls", "which fronts have it is not changed in service");
+    throw ConfigError("tls", "the frontends with TLS can be changed only with a restart");
   }
-  check_section_stays(running.cluster.has_value(), fresh.cluster.has_value(), "fleet");
+  check_section_unchanged(running.cluster.has_value(), fresh.cluster.has_value(), "fleet");
 }
 
 }  // namespace rookproxy
--- a/src/app/startup.cpp
+++ b/src/app/startup.cpp
@@ -12,32 +12,32 @@
 namespace rookproxy {
 namespace {
 
-constexpr Duration kFirstPause = std::chrono::milliseconds(10);
-constexpr Duration kLongestPause = std::chrono::milliseconds(500);
+constexpr Duration kInitialBackoff = std::chrono::milliseconds(10);
+constexpr Duration kMaxBackoff = std::chrono::milliseconds(500);
 // A restarted process has to be ready within 10 s.
-constexpr Duration kMaxWait = std::chrono::seconds(5);
+constexpr Duration kMaxRetryTime = std::chrono::seconds(5);
 
-bool may_pass(const std::system_error& error) {
+bool is_transient(const std::system_error& error) {
   return error.code().category() == std::generic_category() && is_resource_exhaustion(error.code().value());
 }
 
 }  // namespace
 
-void start_when_resources_allow(Logger& log, const std::function<void()>& start) {
-  const Time give_up_at = monotonic_now() + kMaxWait;
-  Duration pause = kFirstPause;
+void start_with_retries(Logger& log, const std::function<void()>& start) {
+  const Time deadline = monotonic_now() + kMaxRetryTime;
+  Duration backoff = kInitialBackoff;
   for (bool is_first = true;; is_first = false) {
     try {
       return start();
     } catch (const std::system_error& error) {
-      if (!may_pass(error) || monotonic_now() + pause >= give_up_at) throw;
+      if (!is_transient(error) || monotonic_now() + backoff >= deadline) throw;
       if (is_first) {
-        log.write(LogLevel::kWarning, "start", "the host lacks something, tried again",
+        log.write(LogLevel::kWarning, "start", "start failed for lack of system resources; retrying",
                   {{"error", error.what()}, {"errno", std::to_string(error.code().value())}});
       }
     }
-    std::this_thread::sleep_for(pause);
-    pause = std::min(2 * pause, kLongestPause);
+    std::this_thread::sleep_for(backoff);
+    backoff = std::min(2 * backoff, kMaxBackoff);
   }
 }
 
--- a/src/app/startup.h
+++ b/src/app/startup.h
@@ -1,4 +1,4 @@
-/// Starts the parts of a process, and waits while the host is short of something for a moment.
+// Retries the start of a process while system resources are exhausted.
 #pragma once
 
 #include <functional>
@@ -7,9 +7,10 @@
 
 namespace rookproxy {
 
-/// Calls `start` until it does not throw a std::system_error of a lack that may pass (of descriptors, memory,
-/// buffers or ports), with growing pauses. The first lack is logged with its errno. After some seconds, and
-/// for any other error, it throws what `start` threw. Blocks, so it is for a process that does not serve yet.
-void start_when_resources_allow(Logger& log, const std::function<void()>& start);
+// Calls `start` again, with exponential backoff, while it throws a std::system_error for exhausted
+// descriptors, memory, buffers or ports. The first such error is logged with its errno. Rethrows any other
+// error, and the last one once retries have taken too long. Blocks, so it must not be called by a process
+// that serves.
+void start_with_retries(Logger& log, const std::function<void()>& start);
 
 }  // namespace rookproxy
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,4 +1,4 @@
-// rookproxy: one dispatcher. README.md says how to start it.
+// rookproxy: runs one dispatcher. README.md describes how to start it.
 #include <unistd.h>
 
 #include <csignal>
@@ -23,15 +23,15 @@
 
 constexpr auto kSignals = {SIGTERM, SIGINT, SIGHUP};
 constexpr const char* kAbout =
-    "Runs one dispatcher in the foreground until SIGTERM. SIGHUP makes it read its configuration again.";
+    "Runs one dispatcher in the foreground until SIGTERM. SIGHUP reloads the configuration.";
 constexpr const char* kFooter =
-    "$NODE_CONFIG is the path of the platform's JSON configuration, $NODE_OPS the address for operators,\n"
+    "$NODE_CONFIG is the path of the platform's JSON configuration, $NODE_OPS the admin address,\n"
     "$NODE_PASSED_SOCKET an inherited socket that listens for clients, $TMPDIR a folder that the processes "
     "of\n"
     "one dispatcher share during an upgrade.\n"
-    "Exit codes: 0 stopped after a drain, 1 failed while running, 2 bad usage or configuration.";
+    "Exit codes: 0 graceful shutdown complete, 1 failure while running, 2 invalid usage or configuration.";
 
-// Checks what a start would read besides the configuration itself. Throws SettingsError.
+// Loads the files that a start would load besides the configuration itself. Throws SettingsError.
 int check_configuration(const Config& config) {
   if (config.peers_error) throw ConfigError(*config.peers_error);
   if (config.access) static_cast<void>(auth::load_auth_files(*config.access));
@@ -40,8 +40,8 @@
   return report_valid_configuration();
 }
 
-// Where callers are identified, revoked rights must not wait for a signal: the configuration's own files are
-// watched.
+// With [access], the configuration files themselves are watched, so that revoked permissions take effect
+// without a signal.
 std::unique_ptr<FileWatcher> watch_configuration(EventLoop& loop, const Config& config,
                                                  const std::string& operators_file,
                                                  const std::function<void()>& on_change) {
@@ -66,8 +66,8 @@
     app->reload(
         [&](const Config& running) { return load_config(read_environment(), options.config_file, running); });
   };
-  start_when_resources_allow(log, [&] {
-    // What an earlier try has opened goes first, in the order of who uses whom.
+  start_with_retries(log, [&] {
+    // Releases what a failed attempt has left, users before what they use.
     watch.reset();
     app.reset();
     signals.reset();
@@ -77,7 +77,7 @@
     watch = watch_configuration(*loop, config, options.config_file, reload);
   });
   loop->run();
-  // The kernel closes what is still open; to take everything down in order would serve nobody.
+  // Destructors are skipped: the kernel closes what is still open.
   std::cerr.flush();
   ::_exit(kExitSuccess);
 }
@@ -87,6 +87,6 @@
 
 int main(int argc, char** argv) {
   using namespace rookproxy;
-  block_signals(kSignals);  // before anything else: until the loop runs they wait
+  block_signals(kSignals);  // Signals stay pending until the loop runs.
   return run_program(argc, argv, "rookproxy", kAbout, kFooter, false, run);
 }
