--- a/src/base/numbers.h
+++ b/src/base/numbers.h
@@ -9,8 +9,8 @@
 
 namespace rookproxy {
 
-// The number that the whole text stands for; nothing if it is not a number of that type, or not finite.
-// `base` is that of integers.
+// Parses the whole text as a number. Returns nothing if it is not a number of type T or not finite. `base`
+// applies to integers only.
 template <class T>
 [[nodiscard]] std::optional<T> parse_number(std::string_view text, int base = 10) {
   T value{};
--- a/src/base/time.h
+++ b/src/base/time.h
@@ -1,4 +1,4 @@
-// Points in time and durations. These are types alone: nothing here reads a clock.
+// Types for points in time and durations. Nothing here reads a clock.
 #pragma once
 
 #include <chrono>
