--- a/src/config/access_section.cpp
+++ b/src/config/access_section.cpp
@@ -1,5 +1,5 @@
-// The section [access]: callers, and what their roles and tenants may do. The schema has checked types and
-// bounds; what is checked here is how the parts refer to each other.
+// The section [access]: callers, and what their roles and tenants permit. The schema checks types and bounds;
+// the code here checks references between the parts.
 #include <algorithm>
 #include <chrono>
 #include <cstddef>
@@ -17,7 +17,7 @@
 using nlohmann::json;
 using IdentityMappings = std::map<std::string, auth::IdentityMapping>;
 
-std::vector<std::string> texts(const json& list) { return list.get<std::vector<std::string>>(); }
+std::vector<std::string> string_list(const json& list) { return list.get<std::vector<std::string>>(); }
 
 policy::GroupRange read_group_range(const std::string& text, const std::string& path) {
   const std::string_view view = text;
@@ -25,23 +25,23 @@
   const auto first = parse_number<std::uint64_t>(view.substr(0, dash));
   const auto last =
       dash == std::string_view::npos ? first : parse_number<std::uint64_t>(view.substr(dash + 1));
-  if (!first || !last || *first > *last) throw ConfigError(path, "no range like 1-40 ('" + text + "')");
+  if (!first || !last || *first > *last) throw ConfigError(path, "not a range like 1-40 ('" + text + "')");
   return {*first, *last};
 }
 
-// What tokens have to be like. Without keys no tokens are accepted, and callers have to be known by other
-// means.
+// The requirements on tokens. Without `keys`, tokens are not accepted, so there must be users or
+// certificates.
 void read_token_rules(const ConfigReader& reader, auth::AuthSettings& access) {
   access.keys_file = reader.text_or("keys", "");
   access.revocation_file = reader.text_or("revoked", "");
-  if (reader.has("issuers")) access.token_rules.issuers = texts(reader.required("issuers"));
+  if (reader.has("issuers")) access.token_rules.issuers = string_list(reader.required("issuers"));
   access.token_rules.audience = reader.text_or("audience", "");
   if (!access.keys_file.empty()) {
     static_cast<void>(reader.required("issuers"));
     static_cast<void>(reader.required("audience"));
   } else if (!reader.has("users") && !reader.has("certificates")) {
     throw ConfigError("access.keys",
-                      "missing, and neither users nor certificates are named: nobody could call");
+                      "missing, and there are neither users nor certificates: no caller could authenticate");
   }
   access.token_rules.leeway = reader.milliseconds_or("leeway_ms", std::chrono::seconds(5), 0);
   if (reader.has("longest_life_ms")) {
@@ -68,8 +68,8 @@
   std::size_t number = 0;
   for (const json& entry : roles) {
     const std::string path = "access.roles." + std::to_string(number++);
-    policy::Role role{entry.at("name"), texts(entry.at("classes")), entry.value("writes", false)};
-    if (policy.find_role(role.name)) throw ConfigError(path + ".name", "there twice ('" + role.name + "')");
+    policy::Role role{entry.at("name"), string_list(entry.at("classes")), entry.value("writes", false)};
+    if (policy.find_role(role.name)) throw ConfigError(path + ".name", "appears twice ('" + role.name + "')");
     for (const std::string& name : role.classes) {
       if (name == "*" || is_class(name)) continue;
       throw ConfigError(path + ".classes", "no class '" + name + "' in settings.grades");
@@ -82,9 +82,9 @@
   std::size_t number = 0;
   for (const json& entry : tenants) {
     const std::string path = "access.tenants." + std::to_string(number++);
-    policy::Tenant tenant{entry.at("name"), texts(entry.at("schemas")), {}};
+    policy::Tenant tenant{entry.at("name"), string_list(entry.at("schemas")), {}};
     if (policy.find_tenant(tenant.name)) {
-      throw ConfigError(path + ".name", "there twice ('" + tenant.name + "')");
+      throw ConfigError(path + ".name", "appears twice ('" + tenant.name + "')");
     }
     for (const json& range : entry.value("groups", json::array())) {
       tenant.groups.push_back(read_group_range(range.get<std::string>(), path + ".groups"));
@@ -93,7 +93,7 @@
   }
 }
 
-// `users` or `certificates`: the tenant and the roles that each name stands for.
+// Reads `users` or `certificates`: the tenant and roles of each name.
 IdentityMappings read_mappings(const ConfigReader& reader, const std::string& key,
                                const policy::AccessPolicy& policy) {
   IdentityMappings mappings;
@@ -101,7 +101,7 @@
   std::size_t number = 0;
   for (const json& entry : reader.required(key)) {
     const std::string path = "access." + key + "." + std::to_string(number++);
-    auth::IdentityMapping mapping{entry.at("tenant"), texts(entry.at("roles"))};
+    auth::IdentityMapping mapping{entry.at("tenant"), string_list(entry.at("roles"))};
     if (!policy.find_tenant(mapping.tenant)) {
       throw ConfigError(path + ".tenant", "no tenant '" + mapping.tenant + "' in access.tenants");
     }
@@ -111,7 +111,7 @@
     }
     const std::string name = entry.at("name");
     const bool is_new = mappings.emplace(name, std::move(mapping)).second;
-    if (!is_new) throw ConfigError(path + ".name", "there twice ('" + name + "')");
+    if (!is_new) throw ConfigError(path + ".name", "appears twice ('" + name + "')");
   }
   return mappings;
 }
--- a/src/config/agent_config.cpp
+++ b/src/config/agent_config.cpp
@@ -30,14 +30,15 @@
 std::vector<std::string> read_command(const ConfigReader& instance) {
   std::vector<std::string> command;
   for (const json& word : instance.required("command")) {
-    if (!word.is_string()) throw ConfigError(instance.path("command"), "not a list of texts");
+    if (!word.is_string()) throw ConfigError(instance.path("command"), "not a list of strings");
     command.push_back(word.get<std::string>());
   }
   if (command.empty()) throw ConfigError(instance.path("command"), "empty");
   return command;
 }
 
-std::vector<SocketAddress> read_addresses(const ConfigReader& instance, const char* key, std::size_t most) {
+std::vector<SocketAddress> read_addresses(const ConfigReader& instance, const char* key,
+                                          std::size_t max_count) {
   std::vector<SocketAddress> addresses;
   if (!instance.has(key)) return addresses;
   for (const json& entry : instance.required(key)) {
@@ -45,12 +46,13 @@
     if (!address) throw ConfigError(instance.path(key), "not a list of addresses like 127.0.0.1:8443");
     addresses.push_back(*address);
   }
-  if (addresses.size() > most) throw ConfigError(instance.path(key), "more than " + std::to_string(most));
+  if (addresses.size() > max_count)
+    throw ConfigError(instance.path(key), "more than " + std::to_string(max_count));
   return addresses;
 }
 
 InstanceConfig read_instance(const ConfigReader& reader) {
-  reader.allow_only({"name", "command", "environment", "autostart", "listen", "ops"});
+  reader.reject_unknown_keys({"name", "command", "environment", "autostart", "listen", "ops"});
   InstanceConfig instance;
   instance.name = read_instance_name(reader);
   instance.command = read_command(reader);
@@ -86,8 +88,8 @@
 
 AgentConfig read_agent_config(const json& document) {
   const ConfigReader reader(document, "");
-  reader.allow_only({"socket", "backoff_first_ms", "backoff_most_ms", "steady_ms", "ready_within_ms",
-                     "stop_within_ms", "instances", "log"});
+  reader.reject_unknown_keys({"socket", "backoff_first_ms", "backoff_most_ms", "steady_ms", "ready_within_ms",
+                              "stop_within_ms", "instances", "log"});
   AgentConfig config;
   config.socket = reader.text("socket");
   config.initial_backoff = reader.milliseconds_or("backoff_first_ms", config.initial_backoff, 1);
--- a/src/config/cluster_section.cpp
+++ b/src/config/cluster_section.cpp
@@ -1,4 +1,4 @@
-// The section [fleet]: the dispatchers as one cluster.
+// The section [fleet]: the dispatchers of a deployment as one cluster.
 #include <algorithm>
 #include <cstddef>
 #include <cstdint>
@@ -8,8 +8,8 @@
 namespace rookproxy {
 namespace {
 
-// This dispatcher's place in the list that all of them have: by the settings' number where that counts the
-// same dispatchers, else by the address that it listens at.
+// This dispatcher's index in the list of peers, which is the same for all of them: the settings' ordinal if
+// fleet_size equals the length of the list, else the index of the address that it listens on.
 std::size_t find_self(const Config& config) {
   const std::vector<PeerConfig>& peers = config.peers->peers;
   if (config.settings.instance_count == peers.size()) return config.settings.instance_index;
@@ -32,7 +32,7 @@
   cluster.key_file = reader.text_or("key", "");
   cluster.former_key_file = reader.text_or("former_key", "");
   if (cluster.key_file.empty() && !cluster.former_key_file.empty()) {
-    throw ConfigError("fleet.former_key", "there is no `key` beside it; name the present one there");
+    throw ConfigError("fleet.former_key", "requires `key`, which must name the current key");
   }
   cluster.bytes_per_second = static_cast<std::uint32_t>(
       reader.integer_or("bytes_per_second", cluster.bytes_per_second, 1, 10'000'000));
@@ -40,17 +40,17 @@
   cluster.lease_duration = reader.milliseconds_or("lease_ms", cluster.lease_duration, 1);
   if (cluster.lease_duration < 4 * cluster.protocol_period) {
     throw ConfigError("fleet.lease_ms",
-                      "under four times period_ms: it would run out at every lost datagram");
+                      "less than four times period_ms: a lost datagram would let the lease expire");
   }
   if (config.peers_error) throw ConfigError("fleet", config.peers_error->what());
   if (!config.peers || config.peers->peers.empty()) {
-    throw ConfigError("fleet", "needs `peers` and `peer_listen`, and settings.permissions.may_tell = true");
+    throw ConfigError("fleet", "needs `peers`, `peer_listen` and settings.permissions.may_tell = true");
   }
   cluster.self_index = find_self(config);
   const std::size_t peer_count = config.peers->peers.size();
   if (cluster.self_index >= peer_count) {
     throw ConfigError("settings.ordinal", std::to_string(cluster.self_index) +
-                                              ", and `peers` has places 0 to " +
+                                              " is out of range: `peers` has entries 0 to " +
                                               std::to_string(peer_count - 1));
   }
   return cluster;
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -1,5 +1,5 @@
-// A whole configuration, section by section. The order of the checks is fixed: of several mistakes the first
-// is told.
+// Reads a whole configuration, section by section. The order of the checks is fixed: of several errors the
+// first one is reported.
 #include "config/config.h"
 
 #include <nlohmann/json.hpp>
@@ -14,18 +14,18 @@
 
 std::uint64_t read_seed(const std::string& text) {
   const auto seed = parse_number<std::uint64_t>(text, 16);
-  if (!seed) throw ConfigError("seed", "not hex digits ('" + text + "')");
+  if (!seed) throw ConfigError("seed", "not a hexadecimal number ('" + text + "')");
   return *seed;
 }
 
-// What concerns the process as such: its name, addresses and limits.
+// Reads the keys of the process itself: its name, addresses and limits.
 void read_process(const ConfigReader& document, Config& config) {
   config.name = document.text_or("name", config.name);
   if (document.has("listen")) config.listen = document.endpoint("listen");
   if (document.has("ops")) config.admin = document.endpoint("ops");
   config.passed_socket = document.passed_socket();
   if (config.passed_socket && !config.listen) {
-    throw ConfigError("passed_socket", "there is no `listen` for it");
+    throw ConfigError("passed_socket", "requires `listen`");
   }
   config.shared_folder = document.text_or("shared_folder", "/tmp");
   if (document.has("seed")) config.seed = read_seed(document.text("seed"));
@@ -56,10 +56,10 @@
   config.credential_poll_interval =
       document.table("access").milliseconds_or("poll_ms", config.credential_poll_interval, 20);
   if (!config.mysql) return;
-  // Whoever has a password for the MySQL frontend needs an identity.
+  // Every user of the MySQL frontend needs an identity.
   for (const auto& [name, password] : config.mysql->users) {
     if (!config.access->users.contains(name)) {
-      throw ConfigError("access.users", "says nothing of '" + name + "', who is in mysql.users");
+      throw ConfigError("access.users", "has no entry for '" + name + "' in mysql.users");
     }
   }
 }
@@ -68,14 +68,14 @@
   if (!document.has("tls")) return;
   config.tls = read_tls(document.required("tls"));
   const bool mysql_off = config.tls->mysql == TlsConfig::MysqlMode::kOff;
-  if (config.tls->frames && !config.listen) throw ConfigError("tls.frames", "there is no `listen` for it");
-  if (!mysql_off && !config.mysql) throw ConfigError("tls.mysql", "there is no [mysql] for it");
+  if (config.tls->frames && !config.listen) throw ConfigError("tls.frames", "requires `listen`");
+  if (!mysql_off && !config.mysql) throw ConfigError("tls.mysql", "requires [mysql]");
   if (config.tls->server.client_certificates != tls::ClientCertificates::kNone && !config.access) {
-    throw ConfigError("tls.client_certificates", "there is no [access] to say what they stand for");
+    throw ConfigError("tls.client_certificates", "requires [access], which maps certificates to identities");
   }
   const bool accepts_tokens = config.access && !config.access->keys_file.empty();
   if (accepts_tokens && config.mysql && mysql_off) {
-    throw ConfigError("tls.mysql", "off, and tokens are taken in TLS only");
+    throw ConfigError("tls.mysql", "off, but tokens are accepted only over TLS");
   }
 }
 
@@ -95,9 +95,10 @@
   read_tls_section(reader, config);
   if (reader.has("fleet")) config.cluster = read_cluster(reader.required("fleet"), config);
   if (reader.has("log")) config.log = read_log_config(reader.table("log"));
-  if (!config.listen && !config.mysql) throw ConfigError("listen", "missing, and there is no other front");
+  if (!config.listen && !config.mysql)
+    throw ConfigError("listen", "missing, and there is no [mysql] either: no frontend is configured");
   if (config.initial_endpoints.empty() && !config.nameserver) {
-    throw ConfigError("engines", "no engines and no nameserver");
+    throw ConfigError("engines", "neither engines nor a nameserver is configured");
   }
   return config;
 }
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -1,4 +1,4 @@
-// A dispatcher's configuration: the one place where it is read, checked and given defaults.
+// A dispatcher's configuration: its values, their defaults, and the functions that read and check it.
 #pragma once
 
 #include <chrono>
@@ -24,85 +24,102 @@
 
 namespace rookproxy {
 
-// What engines speak, `link`.
+// The protocol of the connections to engines, `link`.
 enum class EngineProtocol { kLines, kMysql };
 
-// The frontend for clients that speak MySQL, [mysql].
+// The frontend for MySQL clients, [mysql].
 struct MysqlFrontendConfig {
   SocketAddress listen;
-  std::map<std::string, std::string> users;  // name to password
-  std::string read_class;                    // of statements known to only read
-  std::string load_class;                    // of all others
+  // Passwords by user name.
+  std::map<std::string, std::string> users;
+  // The class of statements that are known to only read.
+  std::string read_class;
+  // The class of all other statements.
+  std::string load_class;
   Duration read_timeout{};
   Duration load_timeout{};
   std::size_t max_connections = 100;
   Duration idle_timeout = std::chrono::minutes(5);
-  std::optional<int> passed_socket;  // an inherited descriptor that listens for `listen`
+  // An inherited descriptor that listens on `listen`.
+  std::optional<int> passed_socket;
 };
 
-// TLS in front of the frontends, [tls].
+// TLS of the frontends, [tls].
 struct TlsConfig {
-  // Whether clients of the MySQL frontend may or have to upgrade to TLS.
+  // Whether clients of the MySQL frontend can, or must, upgrade to TLS.
   enum class MysqlMode { kOff, kOptional, kRequired };
 
   tls::ServerSettings server;
-  bool frames = false;  // whether every connection of the platform's frontend is TLS from its first byte
+  // Whether connections of the platform's frontend use TLS from their first byte.
+  bool frames = false;
   MysqlMode mysql = MysqlMode::kOff;
 };
 
-// The dispatchers as one cluster, [fleet].
+// The dispatchers of a deployment as one cluster, [fleet].
 struct ClusterOptions {
-  std::string key_file;         // empty: messages are not authenticated
-  std::string former_key_file;  // accepted besides, while keys are replaced; empty: none
+  // Empty if messages are not authenticated.
+  std::string key_file;
+  // A second key that is accepted during a key rotation; empty if there is none.
+  std::string former_key_file;
   std::uint32_t bytes_per_second = 64 * 1024;
   Duration protocol_period = std::chrono::milliseconds(500);
   Duration lease_duration = std::chrono::seconds(4);
-  std::size_t self_index = 0;  // this dispatcher's place among the peers
+  // This dispatcher's index among the peers.
+  std::size_t self_index = 0;
 };
 
-// How the dispatcher logs in at engines that speak MySQL, [mysql_engines].
+// The account for engines that speak MySQL, [mysql_engines].
 struct MysqlEnginesConfig {
   std::string user;
   std::string password;
   std::string schema;
 };
 
-// [log].
+// The log, [log].
 struct LogConfig {
   LogLevel level = LogLevel::kInfo;
   std::optional<SocketAddress> syslog;
-  int facility = 16;  // local0
+  // A syslog facility; 16 is local0.
+  int facility = 16;
 };
 
-// Applies a configuration to the log of a process.
+// Applies a configuration to a logger.
 void configure_log(Logger& log, const LogConfig& config);
 
 // Another dispatcher of the deployment.
 struct PeerConfig {
-  std::string name;  // its own, or its place in the list
+  // The configured name, or the index in the list.
+  std::string name;
   SocketAddress address;
   bool operator==(const PeerConfig&) const = default;
 };
 
-// The other dispatchers and where they reach this one, where the settings allow messages between them.
+// The other dispatchers, and the address at which they reach this one.
 struct PeersConfig {
   SocketAddress listen;
-  std::vector<PeerConfig> peers;                   // as given; may hold this dispatcher's own address
-  std::optional<SocketAddress> broadcast_address;  // reaches every one of them
+  // In the configured order. May include this dispatcher's own address.
+  std::vector<PeerConfig> peers;
+  // An address that reaches every peer.
+  std::optional<SocketAddress> broadcast_address;
   bool operator==(const PeersConfig&) const = default;
 };
 
-// Everything that is configured, checked and with its defaults.
+// A whole configuration, checked and with defaults filled in.
 struct Config {
   std::string name = "rookproxy";
-  std::optional<SocketAddress> listen;  // the platform's frontend
-  std::optional<SocketAddress> admin;   // where operators connect
-  std::optional<int> passed_socket;     // an inherited descriptor that listens for `listen`
-  std::string shared_folder;            // where processes of one dispatcher find each other
+  // The address of the platform's frontend.
+  std::optional<SocketAddress> listen;
+  // The admin address, for operators.
+  std::optional<SocketAddress> admin;
+  // An inherited descriptor that listens on `listen`.
+  std::optional<int> passed_socket;
+  // The folder through which processes of one dispatcher find each other.
+  std::string shared_folder;
   std::uint64_t seed = 1;
   std::size_t memory_mb = 192;
   std::size_t sockets = 1024;
-  std::optional<SocketAddress> nameserver;  // for service discovery; absent: the engines are fixed
+  // The name server for service discovery; absent if the list of engines is fixed.
+  std::optional<SocketAddress> nameserver;
   std::string service = "_app._tcp.cluster.lan";
   Duration discovery_poll_interval = std::chrono::milliseconds(200);
   std::uint64_t initial_endpoints_version = 0;
@@ -115,53 +132,64 @@
   Duration timer_resolution = std::chrono::milliseconds(5);
   Duration rejection_retry_after = std::chrono::seconds(1);
   std::optional<PeersConfig> peers;
-  // What is wrong with them. A dispatcher serves without peers, so this ends no start; --check reports it.
+  // The error in the peers' keys. It does not abort a start, as a dispatcher can serve without peers; --check
+  // reports it.
   std::optional<ConfigError> peers_error;
   EngineProtocol engine_protocol = EngineProtocol::kLines;
   MysqlEnginesConfig mysql_engines;
   std::optional<MysqlFrontendConfig> mysql;
-  std::optional<auth::AuthSettings> access;  // absent: callers are not identified
+  // Absent if callers are not authenticated.
+  std::optional<auth::AuthSettings> access;
   std::optional<TlsConfig> tls;
-  std::optional<ClusterOptions> cluster;  // absent: each dispatcher decides for itself
-  Duration credential_poll_interval = std::chrono::milliseconds(250);  // how often its files are checked
+  // Absent if this dispatcher is not part of a cluster.
+  std::optional<ClusterOptions> cluster;
+  // How often the files with keys and certificates are checked for changes.
+  Duration credential_poll_interval = std::chrono::milliseconds(250);
   LogConfig log;
-  std::shared_ptr<const nlohmann::json> document;  // as it was read
+  // The document that this was read from.
+  std::shared_ptr<const nlohmann::json> document;
 };
 
-// What the environment says of this process; empty where it says nothing.
+// The environment variables that configure a process; empty if not set.
 struct Environment {
-  std::string config_file;    // $NODE_CONFIG: the path of the platform's JSON file
-  std::string admin;          // $NODE_OPS: the address for operators
-  std::string passed_socket;  // $NODE_PASSED_SOCKET: an inherited descriptor that listens for clients
-  std::string shared_folder;  // $TMPDIR: where processes of one dispatcher find each other
+  // $NODE_CONFIG: the path of the platform's JSON file.
+  std::string config_file;
+  // $NODE_OPS: the admin address.
+  std::string admin;
+  // $NODE_PASSED_SOCKET: an inherited descriptor that listens for clients.
+  std::string passed_socket;
+  // $TMPDIR: the folder through which processes of one dispatcher find each other.
+  std::string shared_folder;
 };
 
 [[nodiscard]] Environment read_environment();
 
 // Loads the configuration of a process that starts. `operators_file` is the path of an operator's TOML file;
-// this and the platform's file may each be empty. Where both name a key, the operator's file wins; the
-// environment wins over both, except for the shared folder. Throws ConfigError.
+// it and the path of the platform's file may each be empty. Keys of the operator's file override those of the
+// platform's file; the environment overrides both, except for the shared folder. Throws ConfigError.
 [[nodiscard]] Config load_config(const Environment& environment, const std::string& operators_file);
 
-// Loads the configuration anew for a process that runs. Throws ConfigError as well if something is missing
-// that `running` was given and that is not optional.
+// Reloads the configuration of a running process. Also throws ConfigError if a key that `running` has and
+// that is not optional is missing.
 [[nodiscard]] Config load_config(const Environment& environment, const std::string& operators_file,
                                  const Config& running);
 
-// Reads and checks a whole configuration, whose `document` stays empty. Throws ConfigError.
+// Reads and checks a whole configuration; its `document` is left empty. Throws ConfigError.
 [[nodiscard]] Config read_config(const nlohmann::json& document);
 
 // Reads `peers`, `peers_all` and `peer_listen`; returns nothing if there are none or the settings forbid
 // messages. Throws ConfigError, also where messages are forbidden.
 [[nodiscard]] std::optional<PeersConfig> read_peers(const nlohmann::json& document);
 
-// The peers after a reload: the address that is listened at stays, and unusable ones change nothing.
+// The peers after a reload. The listening address does not change, and invalid peers have no effect.
 [[nodiscard]] std::optional<PeersConfig> peers_after_reload(const Config& running, const Config& fresh);
 
-// Checks a section against its published schema (src/config/*.schema.json). Throws ConfigError with the key.
+// Checks a section against its published schema (src/config/*.schema.json). Throws ConfigError for the key at
+// fault.
 void check_schema(const nlohmann::json& section, const std::string& name);
 
-// Reads one engine of a list, as the platform writes it; `path` is that of the entry. Throws ConfigError.
+// Reads one entry of a list of engines in the platform's format; `path` is the path of the entry. Throws
+// ConfigError.
 [[nodiscard]] EngineEndpoint read_engine_endpoint(const nlohmann::json& entry, const std::string& path);
 
 }  // namespace rookproxy
--- a/src/config/config_error.h
+++ b/src/config/config_error.h
@@ -1,4 +1,4 @@
-// The error that ends a start or a reload for a wrong configuration.
+// The error for an invalid configuration, which aborts a start or a reload.
 #pragma once
 
 #include <string>
@@ -7,8 +7,8 @@
 
 namespace rookproxy {
 
-// What is wrong with one key of a configuration, or with a file of it. The message begins with the key's
-// path.
+// An error in one key of a configuration or in one of its files. The message begins with the path of the key
+// or of the file.
 struct ConfigError : SettingsError {
   ConfigError(const std::string& key, const std::string& problem) : SettingsError(key + ": " + problem) {}
 };
--- a/src/config/config_reader.cpp
+++ b/src/config/config_reader.cpp
@@ -9,8 +9,10 @@
 namespace rookproxy {
 namespace {
 
-constexpr std::int64_t kMaxMilliseconds = 86'400'000;  // a day
-constexpr std::int64_t kFirstPassedSocket = 3;         // 0 to 2 are the standard streams
+// One day.
+constexpr std::int64_t kMaxMilliseconds = 86'400'000;
+// Descriptors 0 to 2 are the standard streams.
+constexpr std::int64_t kFirstPassedSocket = 3;
 constexpr std::int64_t kLastPassedSocket = 1'000'000;
 
 }  // namespace
@@ -39,7 +41,7 @@
 
 std::string ConfigReader::text(const std::string& key) const {
   const nlohmann::json& value = required(key);
-  if (!value.is_string()) throw ConfigError(path(key), "not a text");
+  if (!value.is_string()) throw ConfigError(path(key), "not a string");
   return value.get<std::string>();
 }
 
@@ -47,26 +49,26 @@
   return has(key) ? text(key) : fallback;
 }
 
-double ConfigReader::number(const std::string& key, double least, double most) const {
+double ConfigReader::number(const std::string& key, double min, double max) const {
   const nlohmann::json& value = required(key);
   if (!value.is_number()) throw ConfigError(path(key), "not a number");
   const auto number = value.get<double>();
-  const bool in_range = number >= least && number <= most;
+  const bool in_range = number >= min && number <= max;
   if (!in_range) throw ConfigError(path(key), "out of range (" + value.dump() + ")");
   return number;
 }
 
-std::int64_t ConfigReader::integer_or(const std::string& key, std::int64_t fallback, std::int64_t least,
-                                      std::int64_t most) const {
+std::int64_t ConfigReader::integer_or(const std::string& key, std::int64_t fallback, std::int64_t min,
+                                      std::int64_t max) const {
   if (!has(key)) return fallback;
-  const double value = number(key, static_cast<double>(least), static_cast<double>(most));
+  const double value = number(key, static_cast<double>(min), static_cast<double>(max));
   if (value != std::floor(value)) throw ConfigError(path(key), "not a whole number");
   return static_cast<std::int64_t>(value);
 }
 
-Duration ConfigReader::milliseconds_or(const std::string& key, Duration fallback, std::int64_t least) const {
+Duration ConfigReader::milliseconds_or(const std::string& key, Duration fallback, std::int64_t min) const {
   if (!has(key)) return fallback;
-  return std::chrono::milliseconds(integer_or(key, 0, least, kMaxMilliseconds));
+  return std::chrono::milliseconds(integer_or(key, 0, min, kMaxMilliseconds));
 }
 
 SocketAddress ConfigReader::endpoint(const std::string& key) const {
@@ -81,7 +83,7 @@
       integer_or("passed_socket", kFirstPassedSocket, kFirstPassedSocket, kLastPassedSocket));
 }
 
-void ConfigReader::allow_only(std::initializer_list<std::string_view> known) const {
+void ConfigReader::reject_unknown_keys(std::initializer_list<std::string_view> known) const {
   for (const auto& [key, value] : object_.items()) {
     const bool is_known = std::find(known.begin(), known.end(), key) != known.end();
     if (!is_known) throw ConfigError(path(key), "unknown key");
--- a/src/config/endpoints_section.cpp
+++ b/src/config/endpoints_section.cpp
@@ -1,4 +1,4 @@
-// The engines that a configuration names: the platform's `known` and the operators' `engines`.
+// The engines in a configuration: the platform's `known` and the operator's `engines`.
 #include <cstddef>
 #include <cstdint>
 #include <utility>
@@ -17,18 +17,18 @@
   throw ConfigError(path, "unknown state '" + word + "'");
 }
 
-// Adds an engine or replaces the one of its id.
+// Adds an engine, or replaces the one with the same id.
 void update_endpoint(EngineEndpoint endpoint, std::vector<EngineEndpoint>& endpoints) {
   std::erase_if(endpoints, [&](const EngineEndpoint& former) { return former.id == endpoint.id; });
   if (endpoint.state != routing::EngineState::kRemoved) endpoints.push_back(std::move(endpoint));
 }
 
-// The first event has the whole list; each later one has what changed or, if complete, the whole list again.
+// The first event contains the whole list; later ones contain the changes or, if `complete`, the whole list.
 std::vector<EngineEndpoint> read_known_endpoints(const json& events) {
   std::vector<EngineEndpoint> endpoints;
-  std::size_t event_number = 0;
+  std::size_t event_index = 0;
   for (const json& event : events) {
-    const std::string path = "known.batch." + std::to_string(event_number++);
+    const std::string path = "known.batch." + std::to_string(event_index++);
     const ConfigReader topology = ConfigReader(event, path).table("topology");
     if (topology.json().value("complete", false)) endpoints.clear();
     std::size_t number = 0;
@@ -43,7 +43,7 @@
 }  // namespace
 
 EngineEndpoint read_engine_endpoint(const json& entry, const std::string& path) {
-  constexpr std::int64_t kLatestStart = 1'000'000'000'000'000;  // milliseconds
+  constexpr std::int64_t kMaxStartTimeMs = 1'000'000'000'000'000;
   const ConfigReader reader(entry, path);
   EngineEndpoint endpoint;
   endpoint.id = reader.text("id");
@@ -56,7 +56,7 @@
   endpoint.machine_type = reader.text_or("flavor", "");
   endpoint.cell = static_cast<std::uint32_t>(reader.integer_or("cell", 0, 0, UINT32_MAX));
   endpoint.weight = reader.has("size") ? reader.number("size", 0, 1e9) : 1;
-  const auto started = reader.integer_or("up_since_ms", 0, 0, kLatestStart);
+  const auto started = reader.integer_or("up_since_ms", 0, 0, kMaxStartTimeMs);
   if (started > 0) endpoint.started_at = Time(std::chrono::milliseconds(started));
   return endpoint;
 }
--- a/src/config/files.h
+++ b/src/config/files.h
@@ -1,4 +1,4 @@
-// Reading the files of a configuration.
+// Reads configuration files.
 #pragma once
 
 #include <nlohmann/json_fwd.hpp>
@@ -6,11 +6,11 @@
 
 namespace rookproxy {
 
-// Returns a whole file's text. Throws ConfigError with its path if it can't be read.
+// Returns the contents of a file. Throws ConfigError with its path if it can't be read.
 [[nodiscard]] std::string read_file(const std::string& path);
 
-// Returns a TOML file as the JSON document of the same shape. Throws ConfigError with the path, and with the
-// line of a mistake in its syntax.
+// Returns a TOML file as a JSON document of the same structure. Throws ConfigError with the path and, for a
+// syntax error, the line.
 [[nodiscard]] nlohmann::json read_toml(const std::string& path);
 
 }  // namespace rookproxy
--- a/src/config/loader.cpp
+++ b/src/config/loader.cpp
@@ -17,13 +17,13 @@
 
 using nlohmann::json;
 
-// A section of an operator's file, and those of its keys that name files.
+// A section of an operator's file, and its keys that name files.
 struct FileKeys {
   const char* section;
   std::vector<const char*> keys;
 };
 
-// Files that an operator's file names without a root are found beside it.
+// Relative paths in an operator's file are relative to its folder.
 void resolve_relative_files(json& document, const std::string& operators_file) {
   const FileKeys sections[] = {
       {"access", {"keys", "revoked"}},
@@ -53,7 +53,7 @@
 
 void merge_environment(const Environment& environment, json& document) {
   if (!environment.admin.empty()) document["ops"] = environment.admin;
-  // $TMPDIR is set for many reasons, so a folder that a file names goes before it.
+  // $TMPDIR is often set for other purposes, so the folder in a configuration file has precedence.
   if (!environment.shared_folder.empty() && !document.contains("shared_folder")) {
     document["shared_folder"] = environment.shared_folder;
   }
@@ -62,13 +62,14 @@
   if (!descriptor) {
     throw ConfigError("$NODE_PASSED_SOCKET", "not a number ('" + environment.passed_socket + "')");
   }
-  // It is the platform frontend's; the MySQL frontend's where that stands alone.
+  // It belongs to the platform's frontend if there is one, else to the MySQL frontend.
   json& frontend = document.contains("listen") ? document : document["mysql"];
   frontend["passed_socket"] = *descriptor;
 }
 
-// A key that was there and is missing has been cut off, not withdrawn: a running dispatcher does not fall
-// back to defaults. Only what the platform calls optional may go, and single classes, tenants and engines.
+// Throws ConfigError if a key of the running configuration is missing: a truncated file must not make a
+// running dispatcher fall back to defaults. Only keys that the platform treats as optional, and single
+// classes, tenants and engines, may be removed.
 void check_nothing_removed(const json& former, const json& fresh, const std::string& path) {
   static const std::set<std::string, std::less<>> kOptional{
       "aim_stretch", "keep_order",   "models_allowed", "allowed_in", "streaming", "window",
@@ -77,13 +78,13 @@
     if (value.is_null() || kOptional.contains(key)) continue;
     const std::string key_path = path + "." + key;
     if (!fresh.contains(key) || fresh[key].is_null()) {
-      throw ConfigError(key_path, "missing, and it was there before");
+      throw ConfigError(key_path, "missing, but present in the running configuration");
     }
     const json& fresh_value = fresh[key];
     if (value.is_object() && fresh_value.is_object()) check_nothing_removed(value, fresh_value, key_path);
     const bool lists_classes = key == "grades" && value.is_array() && fresh_value.is_array();
     if (!lists_classes || value.empty()) continue;
-    // Every class needs what the first one had: they are all generated alike.
+    // Every class must have the keys of the first one: all of them are generated in the same way.
     for (std::size_t index = 0; index < fresh_value.size(); ++index) {
       check_nothing_removed(value.front(), fresh_value[index], key_path + "." + std::to_string(index));
     }
@@ -115,14 +116,15 @@
 
 Config load_config(const Environment& environment, const std::string& operators_file, const Config& running) {
   Config fresh = load_config(environment, operators_file);
-  if (running.mysql && !fresh.mysql) throw ConfigError("mysql", "missing, and its front is open");
+  if (running.mysql && !fresh.mysql) throw ConfigError("mysql", "missing, but the MySQL frontend is running");
   const json& former = *running.document;
   for (const std::string key : {"name", "listen", "seed", "limits", "nameserver", "known", "settings"}) {
     if (!former.contains(key)) continue;
-    // Service discovery may be replaced by a fixed list.
+    // A fixed list of engines may replace service discovery.
     const bool finds_engines = key == "nameserver" || key == "known";
     if (finds_engines && fresh.document->contains("engines")) continue;
-    if (!fresh.document->contains(key)) throw ConfigError(key, "missing, and it was there before");
+    if (!fresh.document->contains(key))
+      throw ConfigError(key, "missing, but present in the running configuration");
     if (former[key].is_object()) check_nothing_removed(former[key], (*fresh.document)[key], key);
   }
   return fresh;
--- a/src/config/mysql_section.cpp
+++ b/src/config/mysql_section.cpp
@@ -1,4 +1,4 @@
-// What a configuration says of MySQL: engines that speak it, and the frontend for clients that do.
+// MySQL in a configuration: engines that speak it, and the frontend for MySQL clients.
 #include <cstddef>
 #include <cstdint>
 
@@ -7,7 +7,7 @@
 namespace rookproxy {
 namespace {
 
-// The class that a key of [mysql] names, which has to be one of the settings'.
+// The class that a key of [mysql] names. Throws ConfigError if the settings have no such class.
 const routing::ClassSettings& named_class(const ConfigReader& mysql, const char* key,
                                           const routing::Settings& settings) {
   const std::string name = mysql.text(key);
@@ -27,7 +27,7 @@
   if (protocol == "lines") return;
   config.engine_protocol = EngineProtocol::kMysql;
   const ConfigReader engines = document.table("mysql_engines");
-  engines.allow_only({"user", "password", "schema"});
+  engines.reject_unknown_keys({"user", "password", "schema"});
   config.mysql_engines.user = engines.text("user");
   config.mysql_engines.password = engines.text_or("password", "");
   config.mysql_engines.schema = engines.text_or("schema", "");
@@ -37,23 +37,23 @@
   constexpr std::int64_t kMinDeadlineMs = 50;
   constexpr std::int64_t kMinIdleMs = 100;
   if (config.engine_protocol != EngineProtocol::kMysql) {
-    throw ConfigError("link", "the MySQL front needs engines that speak MySQL");
+    throw ConfigError("link", "must be 'mysql' for the MySQL frontend");
   }
   const ConfigReader mysql = document.table("mysql");
-  mysql.allow_only({"listen", "users", "read_class", "load_class", "read_deadline_ms", "load_deadline_ms",
-                    "most_connections", "idle_ms", "passed_socket"});
+  mysql.reject_unknown_keys({"listen", "users", "read_class", "load_class", "read_deadline_ms",
+                             "load_deadline_ms", "most_connections", "idle_ms", "passed_socket"});
   MysqlFrontendConfig frontend;
   frontend.listen = mysql.endpoint("listen");
   frontend.passed_socket = mysql.passed_socket();
   const ConfigReader users = mysql.table("users");
   for (const auto& [name, password] : users.json().items()) frontend.users[name] = users.text(name);
-  if (frontend.users.empty()) throw ConfigError(mysql.path("users"), "names nobody, so nobody could log in");
+  if (frontend.users.empty()) throw ConfigError(mysql.path("users"), "empty, so no client could log in");
   const routing::ClassSettings& read = named_class(mysql, "read_class", config.settings);
   const routing::ClassSettings& load = named_class(mysql, "load_class", config.settings);
-  // A statement that may write must not be sent twice, so its class has to be one that rules this out.
+  // A statement that may write must not be sent twice, so its class must not be idempotent.
   if (load.idempotency != routing::Idempotency::kNonIdempotent) {
     throw ConfigError(mysql.path("load_class"),
-                      "class '" + load.name + "' may be repeated; it must be side_effect");
+                      "class '" + load.name + "' allows repeated attempts; its effect must be side_effect");
   }
   frontend.read_class = read.name;
   frontend.load_class = load.name;
--- a/src/config/peers_section.cpp
+++ b/src/config/peers_section.cpp
@@ -24,23 +24,23 @@
   return *address;
 }
 
-// The name in a table of a list, which has none unless it says so.
+// The name in the table of a peer; `fallback` if it has none.
 std::string read_peer_name(const json& table, const std::string& fallback, const std::string& path) {
   for (const char* key : {"name", "id"}) {
     if (!table.contains(key)) continue;
     const json& name = table[key];
     if (name.is_string()) return name.get<std::string>();
     if (name.is_number_unsigned()) return name.dump();
-    throw ConfigError(path + "." + key, "neither a text nor a number");
+    throw ConfigError(path + "." + key, "neither a string nor a number");
   }
   return fallback;
 }
 
-// An element of a list: the address itself, or a table with it and perhaps a name.
-PeerConfig read_peer(const json& value, std::size_t number, const std::string& path) {
-  const std::string place = std::to_string(number);
-  if (!value.is_object()) return {place, read_address(value, path)};
-  std::string name = read_peer_name(value, place, path);
+// Reads an entry of a list: an address, or a table with an address and optionally a name.
+PeerConfig read_peer(const json& value, std::size_t index, const std::string& path) {
+  const std::string default_name = std::to_string(index);
+  if (!value.is_object()) return {default_name, read_address(value, path)};
+  std::string name = read_peer_name(value, default_name, path);
   for (const char* key : {"address", "host_port", "addr"}) {
     if (value.contains(key)) return {std::move(name), read_address(value[key], path + "." + key)};
   }
@@ -72,7 +72,7 @@
     peers.push_back(value.is_array() ? read_peer(entry, peers.size(), path)
                                      : PeerConfig{key, read_address(entry, path)});
   }
-  // A table has no order of its own: n2 comes before n10.
+  // The entries of a table are sorted by length and then by name, so that n2 comes before n10.
   if (value.is_object()) {
     std::sort(peers.begin(), peers.end(), [](const PeerConfig& left, const PeerConfig& right) {
       if (left.name.size() != right.name.size()) return left.name.size() < right.name.size();
@@ -83,7 +83,7 @@
   return peers;
 }
 
-// Whether the settings allow messages to peers; where they say nothing, they don't.
+// Whether the settings allow messages to peers; false if they do not say.
 json peer_messages_allowed(const json& document) {
   return document.value(json::json_pointer("/settings/permissions/may_tell"), json(false));
 }
@@ -101,7 +101,7 @@
   if (reader.has("peer_listen")) {
     config.listen = read_address(reader.required("peer_listen"), "peer_listen");
   } else if (has_peers) {
-    throw ConfigError("peer_listen", "missing, and there are `peers`");
+    throw ConfigError("peer_listen", "missing, but required by `peers`");
   }
   const json allowed = peer_messages_allowed(document);
   if (!allowed.is_boolean()) throw ConfigError("settings.permissions.may_tell", "neither true nor false");
--- a/src/config/schema.cpp
+++ b/src/config/schema.cpp
@@ -1,4 +1,4 @@
-// The published schemas, compiled in, and the check against them.
+// Checks sections against the published schemas, which are compiled in.
 #include <map>
 #include <string_view>
 #include <valijson/adapters/nlohmann_json_adapter.hpp>
@@ -15,7 +15,7 @@
 
 using Error = valijson::ValidationResults::Error;
 
-// The deepest error names the key that is wrong; those above it only say that something below is.
+// The deepest error names the invalid key; those above it only say that something below is invalid.
 Error deepest_error(valijson::ValidationResults& results) {
   Error error;
   Error deepest;
--- a/src/config/sections.h
+++ b/src/config/sections.h
@@ -1,5 +1,5 @@
-// The readers of a configuration's sections, each in a file of its own. All throw ConfigError with the key at
-// fault.
+// Functions that read the sections of a configuration, each in a file of its own. All throw ConfigError for
+// the key at fault.
 #pragma once
 
 #include <nlohmann/json_fwd.hpp>
@@ -12,31 +12,31 @@
 
 namespace rookproxy {
 
-// The section `settings`, which the platform's configuration and operators' files have: the router's
-// settings, zones, and the times and limits of connections. The seed has to be in `config`.
+// Reads the section `settings` of the platform's configuration or an operator's file: the router's settings,
+// zones, and the timeouts and limits of connections. `config` must already contain the seed.
 void read_settings(const nlohmann::json& settings, Config& config);
 
-// The engines known at the start: the platform's `known` and the operators' `engines`, which takes its place.
+// Reads the engines known at the start: the operator's `engines` or, without it, the platform's `known`.
 void read_initial_endpoints(const ConfigReader& document, Config& config);
 
-// `link` and [mysql_engines]: what the engines speak.
+// Reads the protocol of the engines: `link` and [mysql_engines].
 void read_engine_protocol(const ConfigReader& document, Config& config);
 
-// [mysql]: the frontend for clients that speak MySQL. The settings and the engines'
-// protocol have to be in `config`.
+// Reads [mysql], the frontend for MySQL clients. `config` must already contain the settings and the engines'
+// protocol.
 [[nodiscard]] MysqlFrontendConfig read_mysql_frontend(const ConfigReader& document, const Config& config);
 
-// [log], which the agent's file has as well.
+// Reads [log] of a dispatcher's or an agent's file.
 [[nodiscard]] LogConfig read_log_config(const ConfigReader& log);
 
-// [access]: who may call and what for. Its files are named here and not read.
+// Reads [access]: callers and their permissions. The files that it names are not opened.
 [[nodiscard]] auth::AuthSettings read_access(const nlohmann::json& section,
                                              const routing::Settings& settings);
 
-// [tls]: TLS in front of the frontends. Its files are named here and not read.
+// Reads [tls]: TLS of the frontends. The files that it names are not opened.
 [[nodiscard]] TlsConfig read_tls(const nlohmann::json& section);
 
-// [fleet]: the dispatchers as one cluster. The settings and the peers have to be in `config`.
+// Reads [fleet]: the dispatchers as one cluster. `config` must already contain the settings and the peers.
 [[nodiscard]] ClusterOptions read_cluster(const nlohmann::json& section, const Config& config);
 
 }  // namespace rookproxy
--- a/src/config/settings_section.cpp
+++ b/src/config/settings_section.cpp
@@ -1,4 +1,5 @@
-// The section `settings`, as the pairs that the settings' reader takes, and what sockets need of it besides.
+// Reads the section `settings`: converts it to the pairs that the settings reader takes, and reads what only
+// the connections need.
 #include <algorithm>
 #include <cstddef>
 #include <cstdint>
@@ -14,10 +15,11 @@
 
 using nlohmann::json;
 
-constexpr double kMaxClassTime = 1e15;                 // microseconds
-constexpr std::int64_t kMaxPermitted = 3'600'000'000;  // microseconds: an hour
+constexpr double kMaxClassTimeUs = 1e15;
+// One hour.
+constexpr std::int64_t kMaxDurationUs = 3'600'000'000;
 
-// A value as a pair's text: separators of lists and of lines become '_'.
+// A value as the text of a pair. Separators of lists and of lines are replaced by '_'.
 std::string pair_text(const json& value) {
   std::string text = value.is_string() ? value.get<std::string>() : value.dump();
   const auto is_separator = [](char character) {
@@ -27,7 +29,7 @@
   return text;
 }
 
-// Appends the pairs that the simulator's first message has for the same settings, so that one reader serves
+// Appends the settings as pairs in the format of the simulator's first message, so that one reader handles
 // both.
 void append_pairs(const json& value, const std::string& path, std::vector<std::string>& pairs) {
   if (value.is_object()) {
@@ -51,7 +53,7 @@
   }
 }
 
-// Class names stand in metrics, a line each, and in the fields that engines read.
+// Class names are used in the lines of metrics and in the fields of requests to engines.
 bool is_class_name(std::string_view name) {
   constexpr unsigned char kDelete = 0x7f;
   return !name.empty() && std::all_of(name.begin(), name.end(), [](unsigned char character) {
@@ -59,20 +61,22 @@
   });
 }
 
-// The settings' reader has defaults for what is missing, as the simulator's protocol has it. Here a class
-// without a deadline or an effect would be served by rules that nobody set.
+// Checks the keys that a class must have. The settings reader applies the defaults of the simulator's
+// protocol for missing keys; in a configuration, a class without a deadline or an effect is an error.
 void check_classes(const ConfigReader& settings) {
   const json& classes = settings.required("grades");
-  if (!classes.is_array() || classes.empty()) throw ConfigError(settings.path("grades"), "names no class");
+  if (!classes.is_array() || classes.empty()) throw ConfigError(settings.path("grades"), "no classes");
   std::set<std::string> names;
   for (std::size_t index = 0; index < classes.size(); ++index) {
     const ConfigReader reader(classes[index], settings.path("grades." + std::to_string(index)));
     const std::string name = reader.text("name");
-    if (!is_class_name(name)) throw ConfigError(reader.path("name"), "not a plain word ('" + name + "')");
-    if (!names.insert(name).second) throw ConfigError(reader.path("name"), "there twice ('" + name + "')");
+    if (!is_class_name(name))
+      throw ConfigError(reader.path("name"),
+                        "not a word of printable ASCII without '=' and ',' ('" + name + "')");
+    if (!names.insert(name).second) throw ConfigError(reader.path("name"), "appears twice ('" + name + "')");
     static_cast<void>(reader.text("effect"));
-    static_cast<void>(reader.number("target", 1, kMaxClassTime));
-    static_cast<void>(reader.number("deadline", 1, kMaxClassTime));
+    static_cast<void>(reader.number("target", 1, kMaxClassTimeUs));
+    static_cast<void>(reader.number("deadline", 1, kMaxClassTimeUs));
   }
   static_cast<void>(settings.table("permissions").number("max_attempts", 1, 1e6));
 }
@@ -84,14 +88,14 @@
   check_classes(ConfigReader(settings, "settings"));
   try {
     config.settings = rookproxy::settings::parse_settings(config.seed, views);
-    // The router has checks of its own: settings it turns down must end a start or a reload here, as a whole.
-    const routing::Router trial(config.settings);
+    // The router checks the settings too. Settings that it rejects must abort the start or reload here.
+    const routing::Router router(config.settings);
   } catch (const std::exception& error) {
     throw ConfigError("settings", error.what());
   }
 }
 
-// Pairs have '_' in place of some characters; on sockets tenants have the names that the settings give them.
+// Restores the characters of tenant names that pair_text() replaced: on connections they are used unchanged.
 void restore_tenant_names(const json& settings, Config& config) {
   const auto tenants = settings.find("parties");
   if (tenants == settings.end() || !tenants->is_array()) return;
@@ -105,19 +109,19 @@
 void read_zones(const ConfigReader& settings, Config& config) {
   if (!settings.has("localities")) return;
   for (const json& zone : settings.required("localities")) {
-    if (!zone.is_string()) throw ConfigError("settings.localities", "not a list of texts");
+    if (!zone.is_string()) throw ConfigError("settings.localities", "not a list of strings");
     config.zones.push_back(zone.get<std::string>());
   }
 }
 
 void read_permissions(const ConfigReader& permissions, Config& config) {
   const auto microseconds_or = [&](const char* key, Duration fallback) {
-    return Duration(permissions.integer_or(key, fallback.count(), 1, kMaxPermitted));
+    return Duration(permissions.integer_or(key, fallback.count(), 1, kMaxDurationUs));
   };
   config.keepalive = microseconds_or("keepalive", config.keepalive);
   config.connect_timeout = microseconds_or("dial_timeout", config.connect_timeout);
-  // 0 stands for clients that ignore such advice; they are given some for those that don't.
-  const auto retry_after = permissions.integer_or("max_retry_after", 0, 0, kMaxPermitted);
+  // 0 means that clients are expected to ignore the advice; the default is sent all the same.
+  const auto retry_after = permissions.integer_or("max_retry_after", 0, 0, kMaxDurationUs);
   if (retry_after > 0) config.rejection_retry_after = Duration(retry_after);
   config.streams_per_connection =
       static_cast<std::size_t>(permissions.integer_or("multiplex", 32, 1, 10'000));
--- a/src/config/tls_section.cpp
+++ b/src/config/tls_section.cpp
@@ -1,4 +1,4 @@
-// The section [tls].
+// The section [tls]: TLS of the frontends.
 #include <chrono>
 
 #include "config/sections.h"
@@ -6,7 +6,7 @@
 namespace rookproxy {
 namespace {
 
-// The schema allows no other words than these.
+// The schema has checked that the word is one of none, optional and required.
 tls::ClientCertificates client_certificates(const std::string& word) {
   if (word == "optional") return tls::ClientCertificates::kOptional;
   if (word == "required") return tls::ClientCertificates::kRequired;
@@ -36,12 +36,12 @@
   const bool clients_verified = server.client_certificates != tls::ClientCertificates::kNone;
   if (clients_verified) static_cast<void>(reader.required("client_ca"));
   if (!clients_verified && !server.crl.empty()) {
-    throw ConfigError("tls.crl", "no client certificates are asked for (client_certificates)");
+    throw ConfigError("tls.crl", "requires client_certificates = \"optional\" or \"required\"");
   }
   config.frames = section.value("frames", false);
   config.mysql = mysql_mode(reader.text_or("mysql", "off"));
   if (!config.frames && config.mysql == TlsConfig::MysqlMode::kOff) {
-    throw ConfigError("tls", "for neither front: set frames or mysql");
+    throw ConfigError("tls", "enabled for no frontend: set `frames` or `mysql`");
   }
   return config;
 }
--- a/tests/config/config_test.cpp
+++ b/tests/config/config_test.cpp
@@ -1,4 +1,4 @@
-// Reading configuration files.
+// Tests of reading configuration files.
 #include "config/config.h"
 
 #include <catch2/catch.hpp>
@@ -15,7 +15,7 @@
 
 namespace {
 
-// The error message for the smallest valid configuration, changed by a merge patch; empty: it is valid.
+// The error message for a minimal valid configuration changed by a merge patch; empty if the result is valid.
 std::string error_for(const std::string& patch) {
   auto document =
       nlohmann::json::parse(R"({"listen":"127.0.0.1:1","nameserver":"127.0.0.1:2","known":{"offset":1,
@@ -33,7 +33,7 @@
 
 }  // namespace
 
-TEST_CASE("config: errors name their key") {
+TEST_CASE("config: an invalid value is reported with the path of its key") {
   CHECK(error_for("{}").empty());
   CHECK(error_for(R"({"listen":"nowhere"})").starts_with("listen: "));
   CHECK(error_for(R"({"listen":null})").starts_with("listen: missing"));
@@ -81,8 +81,8 @@
   CHECK(error_for(R"({"log":{"level":"loud"}})").starts_with("log.level: "));
 }
 
-TEST_CASE("config: a reload needs every key, so that defaults never replace configured values") {
-  // A truncated file once passed as one that relies on defaults.
+TEST_CASE("config: a reload that lacks a key of the running configuration is rejected") {
+  // Guards against a truncated file being accepted as one that relies on defaults.
   const std::string folder = test::make_temporary_directory();
   const std::string path = folder + "/config.json";
   const auto example = read_toml(ROOKPROXY_ROOT "/deploy/mysql.toml");
@@ -90,7 +90,7 @@
   write(example);
   const Environment environment{path, "127.0.0.1:9", "", folder};
   const Config running = load_config(environment, "");
-  CHECK(running.admin == SocketAddress{0x7f000001, 9});  // the environment concerns this very process
+  CHECK(running.admin == SocketAddress{0x7f000001, 9});  // The environment overrides the file.
   const auto error_without = [&](const char* pointer) {
     const nlohmann::json::json_pointer at(pointer);
     auto document = example;
@@ -123,7 +123,7 @@
   std::filesystem::remove_all(folder);
 }
 
-TEST_CASE("config: the example is valid, and the initial endpoints are the events applied in order") {
+TEST_CASE("config: the example file is valid, and initial endpoints result from applying events in order") {
   const auto example = read_toml(ROOKPROXY_ROOT "/deploy/mysql.toml");
   CHECK(read_config(example).mysql->load_class == "load");
   auto document = example;
