--- a/src/settings/setting_values.cpp
+++ b/src/settings/setting_values.cpp
@@ -3,7 +3,7 @@
 namespace rookproxy::settings {
 namespace {
 
-// Bounds the memory that a wrong count can ask for.
+// Bounds the memory that a wrong count can allocate.
 constexpr std::uint32_t kMaxArrayEntries = 10000;
 
 }  // namespace
--- a/src/settings/setting_values.h
+++ b/src/settings/setting_values.h
@@ -1,4 +1,4 @@
-// The settings of a deployment as pairs of a path and a text, looked up by path.
+// The settings of a deployment as pairs of a path and a value in text form, looked up by path.
 #pragma once
 
 #include <cstdint>
@@ -12,14 +12,14 @@
 
 namespace rookproxy::settings {
 
-// Pairs like `grades.0.name=lookup`. Holds views into the pairs it is made of, which have to outlive it.
-// Every lookup of a malformed value throws FormatError with its path. Used by one thread at a time.
+// Pairs like `grades.0.name=lookup`. Keeps views into the pairs that it is constructed from, which must
+// outlive it. Looking up a malformed value throws FormatError with its path. Used by one thread at a time.
 class SettingValues {
  public:
-  // Throws FormatError for a pair without '='. Of two pairs with one path the later one counts.
+  // Throws FormatError for a pair without '='. If a path occurs more than once, the last pair applies.
   explicit SettingValues(const std::vector<std::string_view>& pairs);
 
-  // The text at a path, or nothing if it is missing or left out with a dash.
+  // The text at a path, or nothing if it is missing, empty or a single dash.
   [[nodiscard]] std::optional<std::string_view> text(const std::string& path) const;
 
   // The finite number at a path, or `fallback` if there is none.
@@ -33,16 +33,16 @@
     return read_integer<Integer>(*value, path);
   }
 
-  // The time or duration at a path in microseconds, if there is one.
+  // The time or duration in microseconds at a path, if there is one.
   [[nodiscard]] std::optional<routing::Time> time(const std::string& path) const;
 
-  // Whether the flag at a path is there and true.
+  // Whether the flag at a path is present and true.
   [[nodiscard]] bool is_set(const std::string& path) const;
 
   // The comma-separated values at a path; empty if there are none.
   [[nodiscard]] std::vector<std::string_view> list(const std::string& path) const;
 
-  // How many entries the array at a path has, as its `.count` says; 0 if there is none.
+  // The number of entries of the array at a path, from its `.count`; 0 if there is none.
   [[nodiscard]] std::uint32_t count(const std::string& path) const;
 
  private:
--- a/src/settings/settings_reader.cpp
+++ b/src/settings/settings_reader.cpp
@@ -30,13 +30,13 @@
     {"page", routing::MemoryPressure::kPage},
 });
 
-// Stands for a name outside the list of zones or machine types: no engine has it, so that a restriction to
-// such names still is one.
+// The index of a name that is not in the list of zones or machine types. No engine has it, so a restriction
+// to unknown names excludes every engine.
 constexpr std::uint32_t kUnknownIndex = UINT32_MAX;
 
 using Names = std::vector<std::string_view>;
 
-// The places in `names` of those that a class is restricted to; nothing if the setting is missing.
+// The indices in `names` of the names that a class is restricted to; nothing if the setting is missing.
 std::optional<std::vector<std::uint32_t>> read_restriction(const SettingValues& values,
                                                            const std::string& path, const Names& names) {
   if (!values.text(path)) return std::nullopt;
@@ -47,7 +47,7 @@
   return allowed;
 }
 
-// What engines are known to do with the requests of a class.
+// How engines execute the requests of a class.
 void read_class_execution(const SettingValues& values, std::uint32_t index,
                           routing::ClassSettings& request_class) {
   const Names threads = values.list("domain.threads_by_class");
@@ -87,7 +87,7 @@
   return request_class;
 }
 
-// The dispatcher's place in its deployment.
+// The size of the deployment, and the dispatcher's index and zone in it.
 void read_instance(const SettingValues& values, const Names& zones, routing::Settings& settings) {
   if (const auto count = values.integer<std::uint32_t>("fleet_size")) settings.instance_count = *count;
   if (const auto index = values.integer<std::uint32_t>("ordinal")) settings.instance_index = *index;
@@ -119,7 +119,7 @@
   }
 }
 
-// What the deployment allows the dispatcher to do.
+// The operations that the deployment permits the dispatcher.
 void read_permissions(const SettingValues& values, routing::Settings& settings) {
   settings.may_cancel = values.is_set("permissions.cancel");
   settings.may_probe = values.is_set("permissions.probes");
@@ -152,7 +152,7 @@
   return budget;
 }
 
-// The bounds that protect engines and clients.
+// The limits that protect engines and clients from overload.
 void read_safety(const SettingValues& values, routing::Settings& settings) {
   settings.response_grace_period = values.time("safety.grace_to_answer").value_or(0);
   settings.drain_grace_period = values.time("safety.drain_grace").value_or(0);
@@ -161,7 +161,7 @@
   settings.retry_budget = read_retry_budget(values);
 }
 
-// What the deployment's engines can do and what they tell.
+// The features of the deployment's engines and what they report.
 void read_engine_features(const SettingValues& values, routing::Settings& settings) {
   settings.memory_grants_supported = values.is_set("domain.takes_grants");
   settings.priorities_supported = values.is_set("domain.priorities");
--- a/src/settings/settings_reader.h
+++ b/src/settings/settings_reader.h
@@ -1,5 +1,5 @@
-// The one reader of a deployment's settings: the platform's JSON, operators' TOML and the simulator's first
-// message all come to it as pairs of a path and a text.
+// Reads the settings of a deployment. The platform's JSON, the operator's TOML and the simulator's first
+// message are all converted to pairs of a path and a text before.
 #pragma once
 
 #include <cstddef>
@@ -12,13 +12,13 @@
 
 namespace rookproxy::settings {
 
-// Reads the router's settings from pairs like `grades.0.name=lookup`. Settings that are missing get their
-// defaults and unknown ones are skipped; malformed ones throw FormatError with their path. Keeps no view into
+// Reads the router's settings from pairs like `grades.0.name=lookup`. Missing settings get their defaults and
+// unknown ones are ignored; a malformed one throws FormatError with its path. The result does not refer to
 // `pairs`.
 [[nodiscard]] routing::Settings parse_settings(std::uint64_t seed,
                                                const std::vector<std::string_view>& pairs);
 
-// The place of a name in a list of names, if it is there.
+// The index of a name in a list of names, if it is in there.
 template <class Names>
 [[nodiscard]] std::optional<std::uint32_t> index_of(const Names& names, std::string_view name) {
   for (std::size_t index = 0; index < names.size(); ++index) {
--- a/src/settings/text_values.cpp
+++ b/src/settings/text_values.cpp
@@ -5,7 +5,7 @@
 namespace rookproxy::settings {
 namespace {
 
-// Characters of a wrong value that an error message quotes at most.
+// Limit on the length of a malformed value that an error message quotes.
 constexpr std::size_t kMaxQuotedLength = 80;
 
 }  // namespace
--- a/src/settings/text_values.h
+++ b/src/settings/text_values.h
@@ -1,5 +1,4 @@
-// Values written as text: splitting, and reading numbers, times, flags and keywords with errors that name
-// them.
+// Splits text and parses numbers, times, flags and keywords. Errors name the value at fault.
 #pragma once
 
 #include <array>
@@ -16,26 +15,26 @@
 
 namespace rookproxy::settings {
 
-// Text that does not have the form its protocol asks for. The message names the value at fault and quotes it.
+// Text that is malformed by the rules of its protocol. The message names and quotes the value at fault.
 class FormatError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// Throws FormatError with `problem` and the first part of `text`.
+// Throws FormatError with `problem` and the beginning of `text`.
 [[noreturn]] void throw_format_error(std::string_view problem, std::string_view text);
 
-// Replaces `parts` by the parts of `text` between separators; they are views into it. An empty text has one
-// empty part. `parts` keeps its capacity, so that a caller can reuse it line after line.
+// Replaces `parts` with views of the parts of `text` between separators. An empty text has one empty part.
+// `parts` keeps its capacity, so that callers can reuse it.
 void split_into(std::string_view text, char separator, std::vector<std::string_view>& parts);
 
 // The parts of `text` between separators, as views into it.
 [[nodiscard]] std::vector<std::string_view> split(std::string_view text, char separator);
 
-// Whether a value is left out: empty, or a single dash.
+// Whether a value is absent: empty, or a single dash.
 [[nodiscard]] inline bool is_absent(std::string_view text) { return text.empty() || text == "-"; }
 
-// Reads an integer that fits into Integer. Throws FormatError, naming the value as `name`.
+// Reads an integer that fits into Integer. Throws FormatError, which refers to the value as `name`.
 template <class Integer>
 [[nodiscard]] Integer read_integer(std::string_view text, std::string_view name) {
   Integer value{};
@@ -48,18 +47,18 @@
   return value;
 }
 
-// Reads a finite number. Throws FormatError, naming the value as `name`.
+// Reads a finite number. Throws FormatError, which refers to the value as `name`.
 [[nodiscard]] double read_number(std::string_view text, std::string_view name);
 
-// Reads a time or a duration in microseconds, which is never negative. Throws FormatError.
+// Reads a time or duration in microseconds, which must not be negative. Throws FormatError.
 [[nodiscard]] routing::Time read_time(std::string_view text, std::string_view name);
 
 // Reads `1` or `true`, `0` or `false`. Throws FormatError.
 [[nodiscard]] bool read_flag(std::string_view text, std::string_view name);
 
-// A word of a protocol and the value it stands for.
+// A keyword of a protocol and its value, as an entry of a table for read_keyword().
 template <class Value>
-struct Keyword {  // an entry of a table for read_keyword
+struct Keyword {
   std::string_view word;
   Value value;
 };
--- a/tests/settings/settings_reader_test.cpp
+++ b/tests/settings/settings_reader_test.cpp
@@ -1,4 +1,4 @@
-// Settings from pairs of a path and a text.
+// Tests of reading settings from pairs of a path and a text.
 #include "settings/settings_reader.h"
 
 #include <gtest/gtest.h>
@@ -29,7 +29,7 @@
     "some.unknown_thing=1.x",
 };
 
-TEST(SettingsReader, SettingsAreRead) {
+TEST(SettingsReader, ReadsSettingsFromPairs) {
   std::vector<std::string_view> pairs = kPairs;
   pairs.insert(pairs.end(), {"safety.min_extra=5", "safety.repeat_ratio=0.2", "safety.counted_over=10000000",
                              "safety.turn_gap=70", "grades.0.allowed_in=b,c", "domain.tells_every=0",
@@ -46,10 +46,10 @@
   EXPECT_FALSE(settings.slow_start.has_value());
 }
 
-TEST(SettingsReader, AMalformedSettingIsNamedByItsPath) {
+TEST(SettingsReader, ReportsMalformedSettingWithItsPath) {
   const struct {
     std::string_view pair;
-    std::string_view fault;
+    std::string_view message;
   } cases[] = {
       {"no_equals_sign", "setting without '=': 'no_equals_sign'"},
       {"grades.count=10001", "grades.count is out of range: '10001'"},
@@ -68,7 +68,7 @@
       static_cast<void>(parse_settings(7, pairs));
       ADD_FAILURE() << malformed.pair << " was accepted";
     } catch (const FormatError& error) {
-      EXPECT_EQ(error.what(), malformed.fault);
+      EXPECT_EQ(error.what(), malformed.message);
     }
   }
 }
