--- a/src/auth/audit_log.cpp
+++ b/src/auth/audit_log.cpp
@@ -6,7 +6,8 @@
 namespace rookproxy::auth {
 namespace {
 
-constexpr int kMaxLinesPerSecond = 100;  // half of what the log accepts in all
+// Half of the limit of the logger, so that denials leave room for other messages.
+constexpr int kMaxLinesPerSecond = 100;
 constexpr Duration kWindow = std::chrono::seconds(1);
 
 }  // namespace
@@ -31,7 +32,7 @@
     window_start_ = loop_.now();
     lines_in_window_ = 0;
     if (const auto suppressed = std::exchange(suppressed_lines_, 0); suppressed > 0) {
-      logger_.write(LogLevel::kWarning, "access", "denials not written one by one",
+      logger_.write(LogLevel::kWarning, "access", "denial messages suppressed by the rate limit",
                     {{"count", std::to_string(suppressed)}});
     }
   }
--- a/src/auth/audit_log.h
+++ b/src/auth/audit_log.h
@@ -15,20 +15,23 @@
 // Where a denied request came from.
 struct AuditContext {
   std::string_view frontend;
-  std::string_view request;  // its id; empty if it has none
+  // The id of the request; empty if it has none.
+  std::string_view request;
 };
 
-// One record of the audit.
+// One denial to be recorded.
 struct AuditRecord {
   policy::Denial denial = policy::Denial::kNone;
   const policy::Identity& identity;
-  std::string_view class_name;  // empty if no request class is concerned
+  // Empty if no request class is involved.
+  std::string_view class_name;
   AuditContext context;
-  std::string_view detail;  // as the schema that was denied
+  // Additional information, such as the schema that was denied.
+  std::string_view detail;
 };
 
-// Every denial is counted; log lines are limited per second, so that a flood can't push other lines out of
-// the log. Used on the loop's thread alone; loop, logger and metrics must outlive it.
+// Counts every denial and logs up to a number of them per second, so that a flood of denials does not
+// suppress other messages. Used only on the loop's thread; loop, logger and metrics must outlive it.
 class AuditLog {
  public:
   AuditLog(EventLoop& loop, Logger& logger, AuthMetrics& metrics)
--- a/src/auth/auth_settings.cpp
+++ b/src/auth/auth_settings.cpp
@@ -30,7 +30,7 @@
   if (!object[name].is_array()) throw KeyError(std::string(name) + ": not a list");
   std::vector<std::string> list;
   for (const auto& entry : object[name]) {
-    if (!entry.is_string()) throw KeyError(std::string(name) + ": not a list of texts");
+    if (!entry.is_string()) throw KeyError(std::string(name) + ": not a list of strings");
     list.push_back(entry.get<std::string>());
   }
   std::sort(list.begin(), list.end());
@@ -42,7 +42,8 @@
   try {
     return KeySet::parse(read_file(path));
   } catch (const UnreadableFileError& error) {
-    throw KeyError(label + error.what() + "; `rookproxyctl keys new --set " + path + " --kid KID` makes one");
+    throw KeyError(label + error.what() + "; `rookproxyctl keys new --set " + path +
+                   " --kid KID` creates one");
   } catch (const KeyError& error) {
     throw KeyError(label + error.what());
   }
@@ -52,7 +53,7 @@
   const auto document = parse_strict_json(text);
   if (!document || !document->is_object()) throw KeyError("not a JSON object");
   for (const auto& [name, value] : document->items()) {
-    if (name != "jti" && name != "sub") throw KeyError(name + ": unknown, there are jti and sub");
+    if (name != "jti" && name != "sub") throw KeyError(name + ": unknown key, only jti and sub are allowed");
   }
   policy::RevocationList revocations;
   revocations.token_ids = sorted_strings(*document, "jti");
--- a/src/auth/auth_settings.h
+++ b/src/auth/auth_settings.h
@@ -1,4 +1,4 @@
-// What the operator's file says of callers, and the files that it names.
+// The settings for callers in the operator's file, and the files that they name.
 #pragma once
 
 #include <map>
@@ -14,29 +14,32 @@
 
 namespace rookproxy::auth {
 
-// The tenant and roles that the operator's file gives to a user or a certificate.
+// The tenant and roles that the operator's file assigns to a user or a certificate.
 struct IdentityMapping {
   std::string tenant;
   std::vector<std::string> roles;
 };
 
-// The settings of the file's section `access`.
+// The settings in the section `access` of the file.
 struct AuthSettings {
   policy::AccessPolicy policy;
   policy::TokenRules token_rules;
   ClaimNames claim_names;
-  std::string token_field = "token";  // of a request's frame
-  std::string keys_file;              // empty: tokens are not accepted
-  std::string revocation_file;        // empty: nothing is revoked
-  // Users that log in by password, by name.
+  // The field of a request's frame that holds the token.
+  std::string token_field = "token";
+  // Empty if tokens are not accepted.
+  std::string keys_file;
+  // Empty if nothing is revoked.
+  std::string revocation_file;
+  // Users that log in with a password, by name.
   std::map<std::string, IdentityMapping> users;
-  // By a certificate's alternative name ("URI:", "DNS:" or "email:" and the name) or its subject ("CN=a,O=b",
-  // RFC 2253).
+  // Certificates, by alternative name ("URI:", "DNS:" or "email:" and the name) or subject ("CN=a,O=b", RFC
+  // 2253).
   std::map<std::string, IdentityMapping> certificates;
   policy::TokenCache::Limits token_cache_limits;
   policy::CheckQueue::Limits check_queue_limits;
 
-  // The files to be watched for changes.
+  // The files to watch for changes.
   [[nodiscard]] std::vector<std::string> watched_files() const;
 };
 
@@ -45,7 +48,7 @@
   KeySet keys;
   policy::RevocationList revocations;
 };
-// Reads the files. Throws KeyError, which names the file, if one can't be used.
+// Reads the files. Throws KeyError, which names the file, if one is invalid.
 AuthFiles load_auth_files(const AuthSettings& settings);
 
 }  // namespace rookproxy::auth
--- a/src/auth/authenticator.cpp
+++ b/src/auth/authenticator.cpp
@@ -9,11 +9,11 @@
 
 using policy::Denial;
 
-// More checks in one iteration would delay the loop's other work.
+// More checks per loop iteration would delay the loop's other work.
 constexpr int kMaxChecksPerIteration = 1;
 
-// Whether only a faulty or hostile client sends such a token. One whose token has expired, or whose key is
-// not in the set yet, may have reason to.
+// Whether only a faulty or hostile client sends such a token. Expired tokens, and keys that are not in the
+// set yet, also occur in normal operation.
 bool indicates_abuse(Denial denial) {
   return denial == Denial::kMalformed || denial == Denial::kAlgorithmNotAccepted ||
          denial == Denial::kCriticalExtension || denial == Denial::kInvalidSignature;
@@ -49,21 +49,21 @@
 }
 
 void Authenticator::replace_settings(AuthSettings settings) {
-  AuthFiles files = load_auth_files(settings);  // throws before anything has changed
+  AuthFiles files = load_auth_files(settings);  // Throws before anything is changed.
   settings_ = std::move(settings);
   files_ = std::move(files);
   ++revision_;
   const auto& keys = files_.keys.metadata();
   metrics_.key_count = keys.size();
-  const std::size_t forgotten =
+  const std::size_t invalidated =
       cache_.revalidate(keys, settings_.token_rules, files_.revocations, wall_clock_now());
   logger_.write(LogLevel::kNotice, "access", "keys and rights taken",
                 {{"keys", std::to_string(keys.size())},
                  {"tenants", std::to_string(settings_.policy.tenants.size())},
-                 {"forgotten", std::to_string(forgotten)}});
+                 {"forgotten", std::to_string(invalidated)}});
 }
 
-// ---- tokens
+// Tokens.
 
 AuthenticationResult Authenticator::reject(Denial denial, SourceId source) {
   AuthenticationResult result;
@@ -140,7 +140,7 @@
   }
   PendingCheck& check = pending_checks_[id];
   check = {std::string(token), source, std::move(callback), {}};
-  // The client has to get its response before it gives up.
+  // The client must get its response before its own timeout.
   check.timer = loop_.run_at(deadline, [this, id] {
     queue_.cancel(id);
     complete_check(id, busy_result());
@@ -154,7 +154,7 @@
   if (found == pending_checks_.end()) return;
   loop_.cancel(found->second.timer);
   const CheckCallback callback = std::move(found->second.callback);
-  pending_checks_.erase(found);  // the callback may start another check
+  pending_checks_.erase(found);  // The callback may start another check.
   callback(std::move(result));
 }
 
@@ -172,8 +172,8 @@
     if (!id) break;
     const auto found = pending_checks_.find(*id);
     if (found == pending_checks_.end()) continue;
-    // Everything is checked again: while it waited, the keys may have changed, the token may have expired, or
-    // another caller's check of it may have completed.
+    // The whole check is repeated: while it waited, the keys may have changed, the token may have expired, or
+    // another check of the same token may have completed.
     const std::string token = std::move(found->second.token);
     const SourceId source = found->second.source;
     complete_check(*id, run_check(token, source));
@@ -191,7 +191,7 @@
 
 void Authenticator::remove_source(SourceId source) { queue_.remove_source(source); }
 
-// ---- other credentials
+// Other credentials.
 
 AuthenticationResult Authenticator::authenticate_mapped(const IdentityMapping* mapping,
                                                         policy::Identity identity) {
@@ -214,7 +214,7 @@
 
 AuthenticationResult Authenticator::authenticate_certificate(
     const policy::CertificateInfo& certificate, std::optional<Time> revocation_known_until) const {
-  // Alternative names come before the subject: they are what a certificate is issued for (RFC 6125).
+  // Alternative names take precedence over the subject (RFC 6125).
   std::vector<std::string> names = certificate.alternative_names;
   names.push_back(certificate.subject);
   const auto is_mapped = [&](const std::string& name) { return settings_.certificates.contains(name); };
@@ -244,7 +244,7 @@
   return accept(std::move(renewed));
 }
 
-// ---- authorization
+// Authorization.
 
 void Authenticator::audit_denial(Denial denial, const policy::Identity& identity, std::string_view class_name,
                                  const AuditContext& context, std::string_view detail) {
--- a/src/auth/authenticator.h
+++ b/src/auth/authenticator.h
@@ -1,4 +1,4 @@
-// Authenticates callers and authorizes their requests. Frontends call it; it knows no wire protocol.
+// Authenticates callers and authorizes their requests, independently of the wire protocol.
 #pragma once
 
 #include <cstddef>
@@ -25,54 +25,58 @@
 // The outcome of an authentication.
 struct AuthenticationResult {
   policy::Denial denial = policy::Denial::kNone;
-  std::shared_ptr<const policy::VerifiedCredential> credential;  // set if nothing is denied
-  std::optional<Duration> retry_after;                           // of kBusy
-  bool close_connection = false;  // its source has sent nothing but tokens with invalid signatures
+  // Set if nothing is denied.
+  std::shared_ptr<const policy::VerifiedCredential> credential;
+  // Set for kBusy.
+  std::optional<Duration> retry_after;
+  // Set if the source has sent only tokens with invalid signatures.
+  bool close_connection = false;
 };
 
-// Signatures are checked on the loop's thread, within the budget that policy::CheckQueue keeps; the outcome
-// of a check that has to wait is delivered later. Used on that thread alone; loop, logger and metrics must
-// outlive it.
+// Signatures are checked on the loop's thread, within the CPU share that policy::CheckQueue enforces; the
+// result of a check that has to wait is delivered by callback. Used only on that thread; loop, logger and
+// metrics must outlive it.
 class Authenticator {
  public:
   using SourceId = policy::CheckQueue::SourceId;
   using CheckId = policy::CheckQueue::CheckId;
   using CheckCallback = std::function<void(AuthenticationResult)>;
-  // The result at once, or the id of a check that waits.
+  // An immediate result, or the id of a check that waits.
   using TokenCheck = std::variant<AuthenticationResult, CheckId>;
 
-  // Throws KeyError if one of the settings' files can't be used. `seed` has to be unpredictable for callers.
+  // Throws KeyError if one of the settings' files is invalid. `seed` must be unpredictable for callers.
   Authenticator(EventLoop& loop, Logger& logger, AuthMetrics& metrics, AuthSettings settings,
                 std::uint64_t seed);
   ~Authenticator();
   Authenticator(const Authenticator&) = delete;
   Authenticator& operator=(const Authenticator&) = delete;
 
-  // Puts other settings, keys and revocations in force as a whole. Throws KeyError if a file can't be used;
-  // the former settings then stay in force.
+  // Replaces the settings, keys and revocations. Throws KeyError if a file is invalid; then the previous ones
+  // all stay in force.
   void replace_settings(AuthSettings settings);
   [[nodiscard]] const AuthSettings& settings() const { return settings_; }
-  // Grows with every change of the settings: what was verified under another revision has to be revalidated.
+  // Grows with every change of the settings. Credentials verified under another revision must be revalidated.
   [[nodiscard]] std::uint64_t revision() const { return revision_; }
 
-  // Authenticates by token. If the check has to wait, `callback` gets the result once, by `deadline` at the
-  // latest, unless the check is cancelled before.
+  // Authenticates by token. If the check has to wait, `callback` is called once with the result, no later
+  // than `deadline`, unless the check is cancelled before.
   [[nodiscard]] TokenCheck check_token(std::string_view token, SourceId source, Time deadline,
                                        CheckCallback callback);
-  // Drops a waiting check and its callback; does nothing if it does not wait.
+  // Drops a waiting check and its callback. Has no effect if the check does not wait.
   void cancel_check(CheckId id);
-  // To be called when a connection has ended, after its checks were cancelled.
+  // Must be called when a connection has ended, after its checks were cancelled.
   void remove_source(SourceId source);
   // Authenticates a user whose password was verified.
   [[nodiscard]] AuthenticationResult authenticate_user(const std::string& name) const;
   // Authenticates by a verified certificate. `revocation_known_until` becomes part of the identity.
   [[nodiscard]] AuthenticationResult authenticate_certificate(
       const policy::CertificateInfo& certificate, std::optional<Time> revocation_known_until) const;
-  // Validates a credential, verified by token or password under another revision, by the present settings.
+  // Validates a credential that was verified by token or password under another revision against the current
+  // settings.
   [[nodiscard]] AuthenticationResult revalidate(const policy::VerifiedCredential& credential) const;
   [[nodiscard]] bool accepts_tokens() const { return !settings_.keys_file.empty(); }
 
-  // Each of these records a denial in the audit.
+  // Each of these functions records a denial in the audit log.
   [[nodiscard]] policy::Denial authorize(const policy::Identity& identity, std::string_view class_name,
                                          bool class_may_write, const policy::StatementAnalysis& statement,
                                          const AuditContext& context);
@@ -80,7 +84,7 @@
                                                 const AuditContext& context);
   [[nodiscard]] policy::Denial authorize_identity(const policy::Identity& identity,
                                                   const AuditContext& context);
-  // Records the denial of a credential that gave no identity.
+  // Records the denial of a credential that did not authenticate.
   void audit_denial(policy::Denial denial, const policy::Identity& identity, std::string_view class_name,
                     const AuditContext& context, std::string_view detail = "");
 
@@ -93,9 +97,9 @@
     TimerId timer{};
   };
 
-  // What is left to be done for a token whose claims are valid.
+  // The remaining check of a token whose claims are valid.
   struct SignatureCheck {
-    Jwt jwt;  // refers to the token
+    Jwt jwt;  // Refers to the text of the token.
     std::size_t key_index;
   };
 
@@ -126,7 +130,7 @@
   TimerId wake_up_timer_{};
 };
 
-// The time that credentials are validated by: the system's clock, which their issuers go by as well.
+// The system clock, against which credentials are validated.
 [[nodiscard]] Time wall_clock_now();
 
 }  // namespace rookproxy::auth
--- a/src/auth/base64url.cpp
+++ b/src/auth/base64url.cpp
@@ -44,7 +44,7 @@
 }
 
 std::optional<std::string> decode_base64url(std::string_view text) {
-  // A single last digit holds less than a byte.
+  // A single digit at the end encodes less than a byte.
   if (text.size() % 4 == 1) return std::nullopt;
   std::string bytes;
   bytes.reserve(text.size() * 3 / 4);
--- a/src/auth/base64url.h
+++ b/src/auth/base64url.h
@@ -1,7 +1,7 @@
-// Base64url without padding (RFC 4648, 5), as JOSE uses it.
+// Base64url without padding (RFC 4648, section 5), as used by JOSE.
 //
-// libcrypto's decoder accepts padding, white space and stray bits, by which one token would have many
-// spellings; this one accepts exactly one spelling of any byte string.
+// libcrypto's decoder accepts padding, white space and stray bits, so that one token could be encoded in many
+// ways. This decoder accepts exactly one encoding of a byte string.
 #pragma once
 
 #include <optional>
@@ -11,7 +11,7 @@
 namespace rookproxy::auth {
 
 [[nodiscard]] std::string encode_base64url(std::string_view bytes);
-// The decoded bytes, or nothing if any character or bit is not as encode_base64url() would write it.
+// The decoded bytes, or nothing if the text is not exactly what encode_base64url() returns for them.
 [[nodiscard]] std::optional<std::string> decode_base64url(std::string_view text);
 
 }  // namespace rookproxy::auth
--- a/src/auth/certificate_authenticator.h
+++ b/src/auth/certificate_authenticator.h
@@ -8,15 +8,15 @@
 
 namespace rookproxy::auth {
 
-// Keeps the result until keys, revocation lists or rights change. Used on the loop's thread alone.
+// Caches the result until keys, revocation lists or permissions change. Used only on the loop's thread.
 class CertificateAuthenticator {
  public:
-  // Both must outlive it. `channel` may be null: then there is no certificate.
+  // Both must outlive it. `channel` may be null, which means that there is no certificate.
   CertificateAuthenticator(Authenticator& authenticator, const tls::ServerChannel* channel)
       : authenticator_(authenticator), channel_(channel) {}
 
-  // `context` is the one in force now, which may differ from the one that the channel was accepted with. The
-  // reference is valid until the next call.
+  // `context` is the current one, which may differ from the one that the connection was accepted with. The
+  // returned reference is valid until the next call.
   [[nodiscard]] const AuthenticationResult& authenticate(const tls::ServerContext& context);
   // Whether the client has presented a certificate.
   [[nodiscard]] bool is_presented() const;
@@ -24,7 +24,7 @@
  private:
   Authenticator& authenticator_;
   const tls::ServerChannel* channel_;
-  std::uint64_t revision_ = 0;  // of the result; 0: there is none yet
+  std::uint64_t revision_ = 0;  // The revision of the result; 0 if there is none yet.
   AuthenticationResult result_;
 };
 
--- a/src/auth/jwt.cpp
+++ b/src/auth/jwt.cpp
@@ -16,7 +16,7 @@
 constexpr std::size_t kMaxNameBytes = 256;
 constexpr std::size_t kMaxListEntries = 32;
 
-// Ends the parsing of a token; caught in parse_jwt().
+// Thrown to abort the parsing of a token; caught in parse_jwt().
 struct MalformedTokenError {};
 
 std::string checked_string(const json& value) {
@@ -26,7 +26,7 @@
   return text;
 }
 
-// A member that is absent gives an empty string.
+// Returns an empty string for a missing member.
 std::string string_member(const json& object, const std::string& name) {
   const auto member = object.find(name);
   return member == object.end() ? std::string() : checked_string(*member);
@@ -39,7 +39,7 @@
   return member->get<double>();
 }
 
-// One string or a list of strings.
+// Reads one string or a list of strings.
 std::vector<std::string> string_list_member(const json& object, const std::string& name) {
   const auto member = object.find(name);
   if (member == object.end()) return {};
--- a/src/auth/jwt.h
+++ b/src/auth/jwt.h
@@ -1,4 +1,4 @@
-// Parses tokens: JWS in compact form (RFC 7515, 7.1) with the claims of a JWT (RFC 7519).
+// Parses tokens: JWS compact serialization (RFC 7515, section 7.1) with the claims of a JWT (RFC 7519).
 #pragma once
 
 #include <cstddef>
@@ -10,7 +10,7 @@
 
 namespace rookproxy::auth {
 
-// Longer tokens are not parsed.
+// Longer tokens are rejected.
 constexpr std::size_t kMaxTokenBytes = 8UL * 1024;
 
 // The names of the claims that hold the caller's tenant and roles.
@@ -19,15 +19,15 @@
   std::string roles = "roles";
 };
 
-// A parsed token. Nothing in it has been validated.
+// A parsed token that has not been validated.
 struct Jwt {
   policy::TokenHeader header;
   policy::TokenClaims claims;
-  std::string_view signing_input;  // refers to the text of the token
-  std::string signature;           // decoded
+  std::string_view signing_input;  // Refers to the text of the token.
+  std::string signature;           // Decoded from base64url.
 };
 
-// The token's parts, or nothing if it is malformed. The result refers to `token`.
+// Parses a token. Returns nothing if it is malformed. The result refers to `token`.
 [[nodiscard]] std::optional<Jwt> parse_jwt(std::string_view token, const ClaimNames& names);
 
 }  // namespace rookproxy::auth
--- a/src/auth/key_set.cpp
+++ b/src/auth/key_set.cpp
@@ -15,12 +15,12 @@
 
 KeySet KeySet::parse(std::string_view jwks) {
   const auto document = parse_strict_json(jwks);
-  if (!document) throw KeyError("not JSON, or a name twice in one object");
+  if (!document) throw KeyError("not JSON, or an object has a duplicate member");
   if (!document->is_object() || !document->contains("keys") || !(*document)["keys"].is_array()) {
-    throw KeyError("keys: no list");
+    throw KeyError("keys: not a list");
   }
   const nlohmann::json& list = (*document)["keys"];
-  if (list.empty()) throw KeyError("keys: empty, so no token could be checked");
+  if (list.empty()) throw KeyError("keys: empty, so no token could be verified");
   if (list.size() > kMaxKeys) throw KeyError("keys: more than " + std::to_string(kMaxKeys));
   KeySet set;
   for (std::size_t index = 0; index < list.size(); ++index) {
@@ -37,7 +37,7 @@
   std::string id = parse_key_id(jwk);
   const bool is_known = std::any_of(metadata_.begin(), metadata_.end(),
                                     [&](const policy::KeyMetadata& other) { return other.id == id; });
-  if (is_known) throw KeyError("kid: there twice ('" + id + "')");
+  if (is_known) throw KeyError("kid: appears twice ('" + id + "')");
   PublicKey key = parse_public_key(jwk, std::move(id));
   metadata_.push_back(std::move(key.metadata));
   keys_.emplace_back(key.key.release(), PkeyDeleter());
--- a/src/auth/key_set.h
+++ b/src/auth/key_set.h
@@ -1,4 +1,4 @@
-// Verification keys: a JSON Web Key Set (RFC 7517).
+// A JSON Web Key Set (RFC 7517) of verification keys.
 #pragma once
 
 #include <cstddef>
@@ -11,17 +11,17 @@
 
 namespace rookproxy::auth {
 
-// The public keys of one set. It is never changed after parsing.
+// The public keys of one set. Immutable after parsing.
 class KeySet {
  public:
-  // Reads a set as a whole. Throws KeyError, which names the member at fault, if any key is not public, not
-  // usable for signatures, of an unknown type, too weak (RSA below 2,048 bits), without an id, or has the id
-  // of another.
+  // Parses a set. Throws KeyError, which names the member at fault, if any key is not public, not usable for
+  // signatures, of an unknown type, too weak (RSA below 2,048 bits), without an id, or has the same id as
+  // another.
   [[nodiscard]] static KeySet parse(std::string_view jwks);
 
   [[nodiscard]] const std::vector<policy::KeyMetadata>& metadata() const { return metadata_; }
-  // Whether the signature of `text` verifies with the key at that index of metadata(). The signature has the
-  // form that JOSE gives it (ES256: r and s, 32 bytes each).
+  // Verifies the signature of `text` with the key at that index of metadata(). The signature is in JOSE
+  // format (ES256: r and s, 32 bytes each).
   [[nodiscard]] bool verify(std::size_t key_index, std::string_view text, std::string_view signature) const;
 
  private:
--- a/src/auth/openssl_pointer.h
+++ b/src/auth/openssl_pointer.h
@@ -1,4 +1,4 @@
-// Owning pointers to the OpenSSL objects that this module and its users handle.
+// Owning pointers to OpenSSL objects.
 #pragma once
 
 #include <openssl/bio.h>
@@ -12,7 +12,7 @@
 
 namespace rookproxy::auth {
 
-// Frees an object with the function of its type.
+// Frees an object with the function for its type.
 struct OpenSslDeleter {
   void operator()(BIO* bio) const { BIO_free(bio); }
   void operator()(BIGNUM* number) const { BN_free(number); }
--- a/src/auth/public_key.cpp
+++ b/src/auth/public_key.cpp
@@ -18,11 +18,11 @@
 using policy::Algorithm;
 
 constexpr std::size_t kMaxKeyIdBytes = 256;
-constexpr double kMaxUnixSeconds = 1.7e10;  // the year 2508
+constexpr double kMaxUnixSeconds = 1.7e10;  // The year 2508.
 constexpr double kMicrosecondsPerSecond = 1e6;
 
 constexpr int kMinRsaBits = 2048;
-constexpr int kMaxRsaBits = 8192;  // larger keys would be a way to exhaust processor time
+constexpr int kMaxRsaBits = 8192;  // Verification with larger keys takes too much CPU time.
 constexpr int kMinRsaExponentBits = 2;
 constexpr int kMaxRsaExponentBits = 33;
 
@@ -37,7 +37,7 @@
 std::string string_member(const json& jwk, const char* name) {
   const auto member = jwk.find(name);
   if (member == jwk.end()) throw KeyError(std::string(name) + ": missing");
-  if (!member->is_string()) throw KeyError(std::string(name) + ": not a text");
+  if (!member->is_string()) throw KeyError(std::string(name) + ": not a string");
   return member->get<std::string>();
 }
 
@@ -52,13 +52,13 @@
   if (member == jwk.end()) return std::nullopt;
   const double seconds = member->is_number() ? member->get<double>() : -1;
   const bool is_time = seconds >= 0 && seconds < kMaxUnixSeconds;
-  if (!is_time) throw KeyError(std::string(name) + ": not a time in seconds");
+  if (!is_time) throw KeyError(std::string(name) + ": not a Unix time in seconds");
   return Time(Duration(static_cast<std::int64_t>(seconds * kMicrosecondsPerSecond)));
 }
 
 void require_curve(const json& jwk, const std::string& expected) {
   const std::string curve = string_member(jwk, "crv");
-  if (curve != expected) throw KeyError("crv: only " + expected + " ('" + curve + "')");
+  if (curve != expected) throw KeyError("crv: must be " + expected + " ('" + curve + "')");
 }
 
 Pkey public_key_from_parameters(const char* type, OSSL_PARAM* parameters) {
@@ -66,12 +66,12 @@
   EVP_PKEY* created = nullptr;
   if (!context || EVP_PKEY_fromdata_init(context.get()) != 1 ||
       EVP_PKEY_fromdata(context.get(), &created, EVP_PKEY_PUBLIC_KEY, parameters) != 1) {
-    throw KeyError("no usable key");
+    throw KeyError("not a valid key");
   }
   Pkey key(created);
-  // Finds, for example, a point that is not on its curve.
+  // Rejects, for example, a point that is not on the curve.
   const OpenSslPointer<EVP_PKEY_CTX> check(EVP_PKEY_CTX_new_from_pkey(nullptr, key.get(), nullptr));
-  if (!check || EVP_PKEY_public_check(check.get()) != 1) throw KeyError("no valid public key");
+  if (!check || EVP_PKEY_public_check(check.get()) != 1) throw KeyError("not a valid public key");
   return key;
 }
 
@@ -102,12 +102,12 @@
   if (!modulus || !exponent) throw KeyError("n, e: not numbers");
   const int bits = BN_num_bits(modulus.get());
   if (bits < kMinRsaBits || bits > kMaxRsaBits) {
-    throw KeyError("n: " + std::to_string(bits) + " bits, 2048 to 8192 are taken");
+    throw KeyError("n: " + std::to_string(bits) + " bits, must be 2048 to 8192");
   }
   const int exponent_bits = BN_num_bits(exponent.get());
   if (BN_is_odd(exponent.get()) == 0 || exponent_bits < kMinRsaExponentBits ||
       exponent_bits > kMaxRsaExponentBits) {
-    throw KeyError("e: no usual exponent");
+    throw KeyError("e: not an accepted exponent");
   }
   const OpenSslPointer<OSSL_PARAM_BLD> builder(OSSL_PARAM_BLD_new());
   OSSL_PARAM_BLD_push_BN(builder.get(), OSSL_PKEY_PARAM_RSA_N, modulus.get());
@@ -123,7 +123,7 @@
   if (bytes.size() == kEd25519KeyBytes) {
     key.reset(EVP_PKEY_new_raw_public_key(EVP_PKEY_ED25519, nullptr, as_bytes(bytes), bytes.size()));
   }
-  if (!key) throw KeyError("x: no Ed25519 key of 32 bytes");
+  if (!key) throw KeyError("x: not an Ed25519 key of 32 bytes");
   return key;
 }
 
@@ -152,20 +152,20 @@
     key.metadata.algorithm = Algorithm::kEdDsa;
     key.key = parse_ed25519_key(jwk);
   } else {
-    throw KeyError("kty: only EC, RSA and OKP ('" + type + "')");
+    throw KeyError("kty: must be EC, RSA or OKP ('" + type + "')");
   }
   return key;
 }
 
-// JOSE has an ECDSA signature as two numbers side by side, libcrypto takes it in DER. Empty if it can't be
-// encoded.
+// Converts an ECDSA signature from JOSE format (r and s concatenated) to DER for libcrypto. Returns an empty
+// string on failure.
 std::string der_encode_signature(std::string_view signature) {
   const OpenSslPointer<ECDSA_SIG> pair(ECDSA_SIG_new());
   OpenSslPointer<BIGNUM> r(BN_bin2bn(as_bytes(signature), kP256CoordinateBytes, nullptr));
   OpenSslPointer<BIGNUM> s(
       BN_bin2bn(as_bytes(signature.substr(kP256CoordinateBytes)), kP256CoordinateBytes, nullptr));
   if (!pair || !r || !s || ECDSA_SIG_set0(pair.get(), r.get(), s.get()) != 1) return "";
-  // The pair owns both from here on.
+  // The pair owns both now.
   (void)r.release();
   (void)s.release();
   const int size = std::max(0, i2d_ECDSA_SIG(pair.get(), nullptr));
@@ -183,7 +183,7 @@
   if (!jwk.is_object()) throw KeyError("not an object");
   check_key_use(jwk);
   std::string id = string_member(jwk, "kid");
-  if (id.empty() || id.size() > kMaxKeyIdBytes) throw KeyError("kid: empty, or over 256 bytes");
+  if (id.empty() || id.size() > kMaxKeyIdBytes) throw KeyError("kid: empty, or longer than 256 bytes");
   return id;
 }
 
@@ -193,8 +193,8 @@
   metadata.id = std::move(id);
   const std::string algorithm(policy::algorithm_name(metadata.algorithm));
   if (jwk.contains("alg") && string_member(jwk, "alg") != algorithm) {
-    throw KeyError("alg: '" + string_member(jwk, "alg") + "', only " + algorithm +
-                   " is taken for such a key");
+    throw KeyError("alg: '" + string_member(jwk, "alg") + "', must be " + algorithm +
+                   " for this type of key");
   }
   metadata.not_before = time_member(jwk, "nbf");
   metadata.not_after = time_member(jwk, "exp");
@@ -208,7 +208,7 @@
 std::string public_key_fingerprint(evp_pkey_st* key) {
   unsigned char* der = nullptr;
   const int size = i2d_PUBKEY(key, &der);
-  if (size <= 0) throw KeyError("no print of the key");
+  if (size <= 0) throw KeyError("the key can't be encoded");
   std::array<unsigned char, EVP_MAX_MD_SIZE> digest{};
   unsigned digest_size = 0;
   EVP_Digest(der, static_cast<std::size_t>(size), digest.data(), &digest_size, EVP_sha256(), nullptr);
@@ -231,7 +231,7 @@
     signature = der;
   }
   const OpenSslPointer<EVP_MD_CTX> context(EVP_MD_CTX_new());
-  const EVP_MD* digest = algorithm == Algorithm::kEdDsa ? nullptr : EVP_sha256();  // EdDSA has its own
+  const EVP_MD* digest = algorithm == Algorithm::kEdDsa ? nullptr : EVP_sha256();  // EdDSA takes no digest.
   if (!context || EVP_DigestVerifyInit(context.get(), nullptr, digest, nullptr, key) != 1) return false;
   return EVP_DigestVerify(context.get(), as_bytes(signature), signature.size(), as_bytes(text),
                           text.size()) == 1;
--- a/src/auth/signing_key.cpp
+++ b/src/auth/signing_key.cpp
@@ -24,7 +24,7 @@
   return reinterpret_cast<const unsigned char*>(text.data());
 }
 
-// A number of the public key in base64url, padded to `size` bytes; 0: as many as it needs.
+// A number of the public key in base64url, padded to `size` bytes; not padded if `size` is 0.
 std::string encode_number(evp_pkey_st* key, const char* name, std::size_t size) {
   BIGNUM* parameter = nullptr;
   if (EVP_PKEY_get_bn_param(key, name, &parameter) != 1) throw KeyError(std::string("no ") + name);
@@ -41,12 +41,12 @@
   return encode_base64url(bytes);
 }
 
-// JOSE has an ECDSA signature as two numbers side by side, libcrypto gives it in DER.
+// Converts an ECDSA signature from libcrypto's DER to JOSE format (r and s concatenated).
 std::string jose_signature_from_der(std::string_view signature) {
   const unsigned char* der = as_bytes(signature);
   const OpenSslPointer<ECDSA_SIG> pair(
       d2i_ECDSA_SIG(nullptr, &der, static_cast<std::ptrdiff_t>(signature.size())));
-  if (!pair) throw KeyError("no signature of two numbers");
+  if (!pair) throw KeyError("the signature can't be decoded");
   std::string numbers(2 * kP256CoordinateBytes, '\0');
   BN_bn2binpad(ECDSA_SIG_get0_r(pair.get()), as_bytes(numbers), kP256CoordinateBytes);
   BN_bn2binpad(ECDSA_SIG_get0_s(pair.get()), as_bytes(numbers) + kP256CoordinateBytes, kP256CoordinateBytes);
@@ -68,7 +68,7 @@
       key = EVP_PKEY_Q_keygen(nullptr, nullptr, "ED25519");
       break;
   }
-  if (!key) throw KeyError("no key could be made");
+  if (!key) throw KeyError("key generation failed");
   return Pkey(key);
 }
 
@@ -93,7 +93,7 @@
   if (EVP_PKEY_is_a(key, "EC") == 1 && EVP_PKEY_get_bits(key) == kP256Bits) return Algorithm::kEs256;
   if (EVP_PKEY_is_a(key, "RSA") == 1) return Algorithm::kRs256;
   if (EVP_PKEY_is_a(key, "ED25519") == 1) return Algorithm::kEdDsa;
-  throw KeyError("neither P-256, RSA nor Ed25519");
+  throw KeyError("not a P-256, RSA or Ed25519 key");
 }
 
 nlohmann::json to_public_jwk(evp_pkey_st* key, const std::string& id) {
@@ -122,15 +122,15 @@
 
 std::string sign(evp_pkey_st* key, Algorithm algorithm, std::string_view text) {
   const OpenSslPointer<EVP_MD_CTX> context(EVP_MD_CTX_new());
-  const EVP_MD* digest = algorithm == Algorithm::kEdDsa ? nullptr : EVP_sha256();  // EdDSA has its own
+  const EVP_MD* digest = algorithm == Algorithm::kEdDsa ? nullptr : EVP_sha256();  // EdDSA takes no digest.
   std::size_t size = 0;
   if (EVP_DigestSignInit(context.get(), nullptr, digest, nullptr, key) != 1 ||
       EVP_DigestSign(context.get(), nullptr, &size, as_bytes(text), text.size()) != 1) {
-    throw KeyError("the key does not sign");
+    throw KeyError("signing failed");
   }
   std::string signature(size, '\0');
   if (EVP_DigestSign(context.get(), as_bytes(signature), &size, as_bytes(text), text.size()) != 1) {
-    throw KeyError("the key does not sign");
+    throw KeyError("signing failed");
   }
   signature.resize(size);
   return algorithm == Algorithm::kEs256 ? jose_signature_from_der(signature) : signature;
--- a/src/auth/signing_key.h
+++ b/src/auth/signing_key.h
@@ -1,5 +1,4 @@
-// The issuer's side, for operators' tools and tests: creates keys, key sets and tokens. A dispatcher signs
-// nothing.
+// Creates keys, key sets and tokens, for operators' tools and tests. A dispatcher only verifies signatures.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -10,19 +9,19 @@
 
 namespace rookproxy::auth {
 
-// All of these throw KeyError if libcrypto fails or the key is not of an accepted type.
+// All functions throw KeyError if libcrypto fails or the key is not of an accepted type.
 
 [[nodiscard]] Pkey generate_key(policy::Algorithm algorithm);
 // The private key in PKCS #8, PEM.
 [[nodiscard]] std::string to_private_pem(evp_pkey_st* key);
 [[nodiscard]] Pkey parse_private_pem(const std::string& pem);
-// The algorithm that a key of this type signs with.
+// The signature algorithm for a key of this type.
 [[nodiscard]] policy::Algorithm algorithm_of(evp_pkey_st* key);
 // The public key as a JSON Web Key with `kid`, `alg` and `use`.
 [[nodiscard]] nlohmann::json to_public_jwk(evp_pkey_st* key, const std::string& id);
-// The signature of `text` in the form that JOSE gives it.
+// The signature of `text`, in JOSE format.
 [[nodiscard]] std::string sign(evp_pkey_st* key, policy::Algorithm algorithm, std::string_view text);
-// A whole token. `header` is given `alg` and `kid` where it lacks them.
+// A signed token. `alg` and `kid` are added to `header` if they are missing.
 [[nodiscard]] std::string sign_token(evp_pkey_st* key, const std::string& id, const nlohmann::json& claims,
                                      nlohmann::json header = nlohmann::json::object());
 
