--- a/src/tls/openssl_support.cpp
+++ b/src/tls/openssl_support.cpp
@@ -13,7 +13,7 @@
                      static_cast<std::size_t>(ASN1_STRING_length(string)));
 }
 
-// A zero byte would end the name early for other readers: such a one is left out.
+// Returns an empty string for a value with a zero byte, which other software would read as a shorter name.
 std::string prefixed(const std::string& prefix, const std::string& value) {
   return value.find('\0') == value.npos ? prefix + value : std::string();
 }
@@ -23,7 +23,7 @@
 std::string take_error_reason() {
   const unsigned long code = ERR_get_error();
   ERR_clear_error();
-  if (code == 0) return "no reason given";
+  if (code == 0) return "unknown error";
   const char* reason = ERR_reason_error_string(code);
   return reason ? reason : "error " + std::to_string(code);
 }
--- a/src/tls/openssl_support.h
+++ b/src/tls/openssl_support.h
@@ -1,4 +1,4 @@
-// Ownership of libcrypto's objects, and their values in the program's types.
+// Owning pointers to libcrypto objects, and conversions of their values to the program's types.
 #pragma once
 
 #include <openssl/bio.h>
@@ -15,7 +15,7 @@
 
 namespace rookproxy::tls {
 
-// Frees an object of libcrypto's with its own function.
+// Frees a libcrypto object with the function for its type.
 template <class T, void (*free_function)(T*)>
 struct OpenSslDeleter {
   void operator()(T* object) const { free_function(object); }
@@ -34,17 +34,18 @@
 using GeneralNamesPtr = std::unique_ptr<GENERAL_NAMES, OpenSslDeleter<GENERAL_NAMES, GENERAL_NAMES_free>>;
 using CertificateStackPtr = std::unique_ptr<STACK_OF(X509), CertificateStackDeleter>;
 
-// libcrypto's reason for the first error of this thread; clears all of them.
+// Returns libcrypto's reason for the first queued error of this thread, and clears the queue.
 [[nodiscard]] std::string take_error_reason();
-// Empty if there is no time, or none that can be read.
+// Returns nothing if `time` is null or malformed.
 [[nodiscard]] std::optional<Time> to_time(const ASN1_TIME* time);
-// As "CN=a,O=b" (RFC 2253).
+// Formats a name like "CN=a,O=b" (RFC 2253).
 [[nodiscard]] std::string to_text(const X509_NAME* name);
-// As "URI:...", "DNS:..." or "email:..."; empty for another kind, or with a zero byte in it.
+// Formats a name as "URI:...", "DNS:..." or "email:...". Returns an empty string for another kind of name, or
+// for a name with a zero byte.
 [[nodiscard]] std::string to_text(const GENERAL_NAME& name);
-// As "2026-01-31T23:59:59Z".
+// Formats a time like "2026-01-31T23:59:59Z".
 [[nodiscard]] std::string to_text(Time time);
-// The system's clock, which certificates are judged by.
+// The system clock, against which certificates are validated.
 [[nodiscard]] Time system_now();
 
 }  // namespace rookproxy::tls
--- a/src/tls/pem_files.cpp
+++ b/src/tls/pem_files.cpp
@@ -15,8 +15,8 @@
   return file;
 }
 
-// What ends the objects of a file is either the file's end or an error: a file that is cut off in the middle
-// must not pass for a shorter one.
+// Whether reading the objects of a file ended with an error other than the end of the file. A truncated file
+// must not be accepted as a shorter one.
 bool ended_with_error() {
   const unsigned long error = ERR_peek_last_error();
   ERR_clear_error();
@@ -31,8 +31,8 @@
   while (X509* certificate = PEM_read_bio_X509(file.get(), nullptr, nullptr, nullptr)) {
     certificates.emplace_back(certificate);
   }
-  if (ended_with_error()) throw FileError(path, "a certificate in it can't be read");
-  if (certificates.empty()) throw FileError(path, "holds no certificate in PEM");
+  if (ended_with_error()) throw FileError(path, "contains a certificate that can't be read");
+  if (certificates.empty()) throw FileError(path, "contains no certificate in PEM");
   return certificates;
 }
 
@@ -41,7 +41,7 @@
   PrivateKeyPtr key(PEM_read_bio_PrivateKey(file.get(), nullptr, nullptr, nullptr));
   if (!key) {
     ERR_clear_error();
-    throw FileError(path, "holds no private key in PEM");
+    throw FileError(path, "contains no private key in PEM");
   }
   return key;
 }
@@ -52,7 +52,7 @@
     const CrlPtr owned(crl);
     visit(crl);
   }
-  if (ended_with_error()) throw FileError(path, "a list in it can't be read");
+  if (ended_with_error()) throw FileError(path, "contains a revocation list that can't be read");
 }
 
 }  // namespace rookproxy::tls
--- a/src/tls/server_channel.cpp
+++ b/src/tls/server_channel.cpp
@@ -42,7 +42,7 @@
 ServerChannel::ServerChannel(std::shared_ptr<const ServerContext> context)
     : context_(std::move(context)), ssl_(SSL_new(context_->get()), SSL_free) {
   if (!ssl_) throw TlsError("TLS: " + take_error_reason());
-  // Bytes pass through two memory buffers: the socket is the stream's.
+  // libssl reads and writes memory buffers; the socket belongs to the stream.
   BIO* in = BIO_new(BIO_s_mem());
   BIO* out = BIO_new(BIO_s_mem());
   BIO_set_mem_eof_return(in, -1);
@@ -51,7 +51,7 @@
   SSL_set_accept_state(ssl_.get());
 }
 
-// Moves what libssl wants to send to `out`.
+// Moves the bytes that libssl has to send to `out`.
 void ServerChannel::take_output(std::string& out) {
   char* data = nullptr;
   BIO* bio = SSL_get_wbio(ssl_.get());
@@ -80,7 +80,7 @@
   return end_reason_.empty();
 }
 
-// False: it is not done yet, or it has failed.
+// Returns false if the handshake is not complete yet or has failed.
 bool ServerChannel::continue_handshake() {
   if (SSL_is_init_finished(ssl_.get())) return true;
   const int result = SSL_do_handshake(ssl_.get());
@@ -133,9 +133,9 @@
   X509* certificate = SSL_get0_peer_certificate(ssl_.get());
   if (!certificate) return policy::Denial::kNoCredentials;
   std::vector<std::shared_ptr<X509>> chain;
-  const STACK_OF(X509)* shown = SSL_get_peer_cert_chain(ssl_.get());
-  for (int i = 0; shown && i < sk_X509_num(shown); ++i) {
-    X509* issuer = sk_X509_value(shown, i);
+  const STACK_OF(X509)* presented = SSL_get_peer_cert_chain(ssl_.get());
+  for (int i = 0; presented && i < sk_X509_num(presented); ++i) {
+    X509* issuer = sk_X509_value(presented, i);
     X509_up_ref(issuer);
     chain.emplace_back(issuer, X509_free);
   }
--- a/src/tls/server_channel.h
+++ b/src/tls/server_channel.h
@@ -16,10 +16,10 @@
 
 namespace rookproxy::tls {
 
-// The server's end of one connection. It keeps the context that it was made with for as long as it lives.
+// The server side of one connection. Keeps the context that it was created with for its whole lifetime.
 class ServerChannel final : public SecureChannel {
  public:
-  // Throws TlsError if libssl gives no connection.
+  // Throws TlsError if libssl can't create a connection.
   explicit ServerChannel(std::shared_ptr<const ServerContext> context);
 
   bool receive(std::string_view bytes, std::string& plain, std::string& out) override;
@@ -28,9 +28,9 @@
   [[nodiscard]] bool is_handshake_complete() const override;
   [[nodiscard]] std::string end_reason() const override { return end_reason_; }
 
-  // The client's certificate, once the handshake is done; empty if it showed none.
+  // The client's certificate, once the handshake is complete; nothing if it presented none.
   [[nodiscard]] std::optional<policy::CertificateInfo> peer_certificate() const;
-  // Whether that certificate is good by `context` now, which may be another than it was shown to.
+  // Verifies that certificate now by `context`, which may differ from the context of the handshake.
   [[nodiscard]] policy::Denial verify_peer(const ServerContext& context) const;
 
  private:
--- a/src/tls/server_context.cpp
+++ b/src/tls/server_context.cpp
@@ -16,15 +16,14 @@
 
 constexpr int kMaxChainDepth = 4;
 
-// The index under which a store holds its settings, for on_certificate_verified().
+// The index of the settings in the extra data of a store, for on_certificate_verified().
 int settings_index() {
   static const int index =
       CRYPTO_get_ex_new_index(CRYPTO_EX_INDEX_X509_STORE, 0, nullptr, nullptr, nullptr, nullptr);
   return index;
 }
 
-// Lets a list that is overdue pass for its grace period. libcrypto calls this for each step of a
-// verification.
+// Accepts an expired CRL during its grace period. libcrypto calls this for each step of a verification.
 int on_certificate_verified(int verified, X509_STORE_CTX* context) {
   if (verified == 1 || X509_STORE_CTX_get_error(context) != X509_V_ERR_CRL_HAS_EXPIRED) return verified;
   const auto* settings = static_cast<const ServerSettings*>(
@@ -62,12 +61,12 @@
   }
 }
 
-// Whether the successor of the first list is due before that of the second.
+// Whether the next update of the first CRL is due before that of the second.
 bool ends_before(const policy::CrlTimes& first, const policy::CrlTimes& second) {
   return first.next_update && (!second.next_update || *first.next_update < *second.next_update);
 }
 
-// The key in the configuration that names this file.
+// The configuration key that names this file.
 const char* settings_key(const ServerSettings& settings, const std::string& path) {
   if (path == settings.key) return "key";
   if (path == settings.client_ca) return "client_ca";
@@ -75,12 +74,12 @@
   return "certificate";
 }
 
-// A certificate and key that do not exist are what a first trial lacks: the message says how to make them.
+// If the server's certificate or key does not exist, the message says how to create them.
 std::string hint(const ServerSettings& settings, const FileError& error) {
   const bool is_own = error.path() == settings.key || error.path() == settings.certificate;
   if (!is_own || error.reason() != kUnreadable) return "";
   return "; `rookproxyctl certificate new --certificate " + settings.certificate + " --key " + settings.key +
-         " --name NAME` makes a pair for trials";
+         " --name NAME` creates a pair for testing";
 }
 
 TlsError to_tls_error(const ServerSettings& settings, const FileError& error) {
@@ -97,7 +96,7 @@
   SSL_CTX_set_min_proto_version(context, TLS1_2_VERSION);
   SSL_CTX_set_options(context, SSL_OP_NO_RENEGOTIATION | SSL_OP_NO_COMPRESSION | SSL_OP_NO_TICKET |
                                    SSL_OP_CIPHER_SERVER_PREFERENCE);
-  // No session is resumed: with it would come a certificate that was not verified anew.
+  // Session resumption is disabled: it would carry over a client certificate without verifying it again.
   SSL_CTX_set_session_cache_mode(context, SSL_SESS_CACHE_OFF);
   SSL_CTX_set_num_tickets(context, 0);
   SSL_CTX_set_max_early_data(context, 0);
@@ -137,13 +136,13 @@
 void ServerContext::check_validity_period(const x509_st* certificate) {
   const std::optional<Time> not_before = to_time(X509_get0_notBefore(certificate));
   const std::optional<Time> not_after = to_time(X509_get0_notAfter(certificate));
-  if (!not_before || !not_after) throw FileError(settings_.certificate, "its times can't be read");
+  if (!not_before || !not_after) throw FileError(settings_.certificate, "the validity period can't be read");
   expires_at_ = *not_after;
   if (system_now() >= *not_after) {
     throw FileError(settings_.certificate, "expired at " + to_text(*not_after));
   }
   if (system_now() + settings_.clock_leeway < *not_before) {
-    throw FileError(settings_.certificate, "is good only from " + to_text(*not_before) + " on");
+    throw FileError(settings_.certificate, "is valid only from " + to_text(*not_before) + " on");
   }
 }
 
@@ -161,7 +160,7 @@
   for (const X509Ptr& certificate : read_certificates(settings_.client_ca)) {
     if (X509_check_ca(certificate.get()) < 1) {
       throw FileError(settings_.client_ca,
-                      to_text(X509_get_subject_name(certificate.get())) + " is no CA's certificate");
+                      to_text(X509_get_subject_name(certificate.get())) + " is not a CA certificate");
     }
     X509_STORE_add_cert(store_.get(), certificate.get());
     SSL_CTX_add_client_CA(context_.get(), certificate.get());
@@ -176,19 +175,19 @@
   const std::string& path = settings_.crl;
   for_each_crl(path, [this, &path](X509_CRL* crl) {
     const std::optional<Time> this_update = to_time(X509_CRL_get0_lastUpdate(crl));
-    if (!this_update) throw FileError(path, "its times can't be read");
+    if (!this_update) throw FileError(path, "the update times can't be read");
     const policy::CrlTimes times{*this_update, to_time(X509_CRL_get0_nextUpdate(crl))};
-    // Of several lists, the one that ends first says how long revocations are known.
+    // Of several CRLs, the one that expires first limits how long revocations are known.
     if (!crl_times_ || ends_before(times, *crl_times_)) crl_times_ = times;
     X509_STORE_add_crl(store_.get(), crl);
   });
-  if (!crl_times_) throw FileError(path, "holds no list of revoked certificates (X509 CRL) in PEM");
+  if (!crl_times_) throw FileError(path, "contains no certificate revocation list (X509 CRL) in PEM");
   if (former && !policy::may_replace(former->crl_times_, *crl_times_)) {
     throw FileError(path, "is older than the list that is in force");
   }
   if (policy::revocation_status(crl_times_, system_now(), settings_.crl_grace_period,
                                 settings_.clock_leeway) == RevocationStatus::kNotYetValid) {
-    throw FileError(path, "is good only from " + to_text(crl_times_->this_update) + " on");
+    throw FileError(path, "is valid only from " + to_text(crl_times_->this_update) + " on");
   }
   X509_STORE_set_flags(store_.get(), X509_V_FLAG_CRL_CHECK | X509_V_FLAG_CRL_CHECK_ALL);
 }
@@ -217,7 +216,8 @@
     X509_STORE_CTX_set_default(context.get(), "ssl_client");
     X509_STORE_CTX_set_verify_cb(context.get(), on_certificate_verified);
     X509_verify_cert(context.get());
-    // Not the return value: a chain may have been verified with an error left that must not pass.
+    // The return value is not enough: verification may succeed and still leave an error that must be
+    // rejected.
     error = X509_STORE_CTX_get_error(context.get());
   }
   ERR_clear_error();
@@ -232,10 +232,10 @@
 std::string describe(const ServerContext& context) {
   const X509* own = SSL_CTX_get0_certificate(context.get());
   std::string text = context.settings().certificate + ": " + to_text(X509_get_subject_name(own)) +
-                     ", issued by " + to_text(X509_get_issuer_name(own)) + ", ends at " +
+                     ", issued by " + to_text(X509_get_issuer_name(own)) + ", expires at " +
                      to_text(context.expires_at());
   if (const auto known_until = context.revocation_known_until()) {
-    text += "\n" + context.settings().crl + ": believed until " + to_text(*known_until);
+    text += "\n" + context.settings().crl + ": accepted until " + to_text(*known_until);
   }
   return text;
 }
--- a/src/tls/server_context.h
+++ b/src/tls/server_context.h
@@ -1,4 +1,4 @@
-// TLS for the side that accepts (RFC 8446; version 1.2 at least): what all connections share.
+// TLS server context (TLS 1.2 or later), shared by all connections.
 #pragma once
 
 #include <memory>
@@ -19,20 +19,19 @@
 
 namespace rookproxy::tls {
 
-// A certificate, its key, and what clients' certificates are verified by. It is made whole from its files or
-// not at all, and never changed: to replace a file, another context takes its place, and connections under
-// the former one go on.
+// The server's certificate and key, and the CAs and CRLs that client certificates are verified by. Immutable:
+// to apply a changed file, a new context is loaded, and open connections keep the previous one.
 class ServerContext {
  public:
-  // Throws TlsError. `former`: a list of revoked certificates may not be older than the former context's.
+  // Throws TlsError if a file is invalid, or if the CRL is older than that of the previous context, `former`.
   static std::shared_ptr<const ServerContext> load(const ServerSettings& settings,
                                                    const ServerContext* former = nullptr);
 
-  // Whether the chain is good now, by this context's CA and list: verified as in the handshake, but anew.
+  // Verifies the chain now, as in a handshake, by the CAs and CRLs of this context.
   [[nodiscard]] policy::Denial verify_chain(x509_st* certificate,
                                             const std::vector<std::shared_ptr<x509_st>>& chain) const;
-  // Until when it is known whether a certificate was revoked: the list's end and its grace period. Empty:
-  // there is no list.
+  // Until when revocations are known: the next update of the CRL plus the grace period. Nothing if there is
+  // no CRL.
   [[nodiscard]] std::optional<Time> revocation_known_until() const;
   // When the server's own certificate expires.
   [[nodiscard]] Time expires_at() const { return expires_at_; }
@@ -56,7 +55,8 @@
   Time expires_at_{};
 };
 
-// Whose certificate it is and when it ends, and until when the list is believed, for people to read.
+// The subject, issuer and expiry of the server's certificate, and until when the CRL is accepted, for
+// operators.
 [[nodiscard]] std::string describe(const ServerContext& context);
 
 }  // namespace rookproxy::tls
--- a/src/tls/server_settings.h
+++ b/src/tls/server_settings.h
@@ -1,4 +1,4 @@
-// What the side that accepts TLS connections is configured with.
+// The settings of a TLS server.
 #pragma once
 
 #include <string>
@@ -9,23 +9,29 @@
 
 namespace rookproxy::tls {
 
-// What is wrong with one of the files, with its key and path.
+// An error in one of the files. The message has the configuration key and the path.
 struct TlsError : SettingsError {
   using SettingsError::SettingsError;
 };
 
-// Whether clients are asked for certificates.
+// Whether certificates are requested from clients.
 enum class ClientCertificates { kNone, kOptional, kRequired };
 
-// Paths of PEM files, and how certificates are judged.
+// Paths of PEM files, and the rules by which certificates are verified.
 struct ServerSettings {
-  std::string certificate;  // the chain, the server's own certificate first
-  std::string key;          // its private key
-  std::string client_ca;    // the CAs of clients' certificates
-  std::string crl;          // lists of revoked certificates; where one is named, it must exist and be fresh
+  // The certificate chain, the server's own certificate first.
+  std::string certificate;
+  // The private key of the server's certificate.
+  std::string key;
+  // The CAs of client certificates.
+  std::string client_ca;
+  // Certificate revocation lists. If set, the file must exist and be up to date.
+  std::string crl;
   ClientCertificates client_certificates = ClientCertificates::kNone;
-  Duration crl_grace_period{};  // how long a list is believed after its successor was due
-  Duration clock_leeway{};      // for clocks that differ
+  // How long a CRL is accepted after its next update was due.
+  Duration crl_grace_period{};
+  // The tolerated difference between clocks.
+  Duration clock_leeway{};
 
   // The paths that are set.
   [[nodiscard]] std::vector<std::string> files() const;
