--- a/src/admin/admin_client.cpp
+++ b/src/admin/admin_client.cpp
@@ -18,7 +18,7 @@
     : loop_(loop), callback_(std::move(callback)) {
   timer_ = loop_.run_at(loop_.now() + timeout, [this] { finish(""); });
   FileDescriptor fd = connect_tcp(address);
-  // A failure is reported when the time is up, so that a caller that tries again does so no faster.
+  // A failure to connect is reported only after the timeout, which limits the rate of retries.
   if (!fd) return;
   stream_ = std::make_unique<Stream>(loop_, std::move(fd), *this, true, kMaxResponseBytes);
   stream_->write(std::string(command) + "\n");
--- a/src/admin/admin_client.h
+++ b/src/admin/admin_client.h
@@ -13,10 +13,10 @@
 
 namespace rookproxy {
 
-// One command and its response, over a connection of its own. Used by the event loop's thread alone.
+// One command and its response, over a separate connection. Used only on the event loop's thread.
 class AdminClient final : public StreamHandler {
  public:
-  // Called once, not within the constructor, with the whole response; empty if none came in time.
+  // Called once, but not from the constructor, with the whole response; empty if none was received in time.
   using Callback = std::function<void(std::string response)>;
 
   AdminClient(EventLoop& loop, const SocketAddress& address, std::string_view command, Duration timeout,
--- a/src/admin/admin_response.cpp
+++ b/src/admin/admin_response.cpp
@@ -8,7 +8,7 @@
 namespace rookproxy {
 namespace {
 
-// Lines of a name and a value each.
+// Builds the text of METRICS: one name and value per line.
 class MetricsText {
  public:
   void add(std::string_view name, std::uint64_t value) { add_joined({name}, value); }
@@ -59,7 +59,7 @@
   std::string text_;
 };
 
-// A tenant's name may hold anything; a metric's name is one word of a line.
+// Replaces the characters of a tenant's name that can't be part of a metric's name.
 std::string to_metric_name(std::string name) {
   const auto breaks_line = [](unsigned char c) { return c <= ' ' || c >= 0x7f || c == '='; };
   std::replace_if(name.begin(), name.end(), breaks_line, '_');
--- a/src/admin/admin_response.h
+++ b/src/admin/admin_response.h
@@ -9,10 +9,10 @@
 
 namespace rookproxy {
 
-// The metrics as the METRICS command prints them: a name and a value a line, under the names operators know.
+// Formats the metrics for the METRICS command: one name and value per line.
 [[nodiscard]] std::string format_metrics(const Metrics& metrics, const Gauges& gauges);
 
-// The whole response to a command, without its final line end.
+// The whole response to a command, without the final line feed.
 [[nodiscard]] std::string admin_response(std::string_view command, const AdminSource& source);
 
 }  // namespace rookproxy
--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -32,7 +32,7 @@
   ~Client() { server_.loop_.cancel(timer_); }
 
   std::size_t on_bytes(std::string_view bytes) override {
-    if (has_responded_) return bytes.size();  // whatever follows the command is read and dropped
+    if (has_responded_) return bytes.size();  // Input after the command is discarded.
     const auto line_end = bytes.find('\n');
     std::string_view command = bytes.substr(0, line_end);
     const bool is_too_long = command.size() > server_.limits_.max_command_bytes;
@@ -44,7 +44,7 @@
   void on_closed(std::string_view) override { server_.close_client(key_); }
 
  private:
-  // The connection ends once the response was sent. Nothing is left unread then that could reset it.
+  // Closes the connection once the response was sent. All input is read, as unread input would reset it.
   void respond(std::string response) {
     has_responded_ = true;
     stream_.write(std::move(response) + "\n");
@@ -69,7 +69,7 @@
 void AdminServer::accept(FileDescriptor fd) {
   if (clients_.size() >= limits_.max_clients) {
     const auto keys = clients_.keys();
-    const SlotKey oldest = *std::min_element(keys.begin(), keys.end());  // keys sort by age
+    const SlotKey oldest = *std::min_element(keys.begin(), keys.end());  // Keys are ordered by age.
     close_client(oldest);
   }
   const SlotKey key = clients_.insert(nullptr);
@@ -79,7 +79,7 @@
 void AdminServer::close_client(SlotKey key) {
   auto client = clients_.take(key);
   if (!client) return;
-  // The client may be in the middle of a call, so it is destroyed at the iteration's end.
+  // The client may be the caller, so it is destroyed at the end of the loop iteration.
   loop_.defer([closing = std::make_shared<std::unique_ptr<Client>>(std::move(*client))] {});
 }
 
--- a/src/admin/admin_server.h
+++ b/src/admin/admin_server.h
@@ -15,16 +15,16 @@
 
 namespace rookproxy {
 
-// Accepts connections of operators. Used by the event loop's thread alone; the source must outlive it.
+// Accepts connections of operators. Used only on the event loop's thread; the source must outlive it.
 class AdminServer {
  public:
-  // Bounds on what its clients may take.
+  // Limits on the resources that clients may use.
   struct Limits {
-    // At the limit the oldest connection is closed: clients that hold theirs open must not shut others out.
+    // At the limit, the oldest connection is closed, so that idle connections can't lock out other clients.
     std::size_t max_clients = 16;
-    // Of a command line.
+    // The length of a command line.
     std::size_t max_command_bytes = 256;
-    // For the command, and for the response to be read.
+    // The time for receiving the command and sending the response.
     Duration timeout = std::chrono::seconds(5);
   };
 
