--- a/src/agent/agent_server.cpp
+++ b/src/agent/agent_server.cpp
@@ -25,13 +25,14 @@
 
 constexpr std::size_t kMaxLineBytes = 64UL * 1024;
 constexpr std::size_t kMaxConnections = 64;
-// For the owner alone: whoever can write to the socket can stop every instance.
+// Only the owner may use the socket, as its commands can stop every instance.
 constexpr mode_t kSocketUmask = 0177;
 
 constexpr std::array<std::string_view, 6> kCommands{"status",  "start",   "drain",
                                                     "restart", "upgrade", "shutdown"};
 
-// A socket file that nobody listens on was left by an agent that died, and may be replaced.
+// Listens on the socket. A socket file that no process listens on was left by an agent that crashed, and is
+// replaced.
 FileDescriptor listen_on_own_socket(const std::string& path) {
   if (connect_unix(path)) throw ConfigError("socket", path + " belongs to a running agent");
   ::unlink(path.c_str());
@@ -45,7 +46,7 @@
 
 std::string error_response(const CommandRejection& rejection) {
   const json response{{"ok", false}, {"error", rejection.reason}};
-  // What is quoted from the request may be no valid UTF-8.
+  // Text that is quoted from the request may be invalid UTF-8.
   return response.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
@@ -88,7 +89,7 @@
 AgentServer::~AgentServer() { ::unlink(path_.c_str()); }
 
 void AgentServer::remove_connection(SlotKey key) {
-  // It is called from the connection itself, which must not be destroyed before that call has returned.
+  // The connection itself is the caller, so it is destroyed only after the call has returned.
   auto removed = std::make_shared<std::optional<std::unique_ptr<Connection>>>(connections_.take(key));
   loop_.defer([removed] {});
 }
@@ -122,7 +123,7 @@
     return std::any_of(instances.begin(), instances.end(),
                        [&](const Supervisor::Status& instance) { return instance.name == name; });
   };
-  // All names are checked first, so that no instance is acted on if one name is wrong.
+  // All names are checked first, so that nothing is done if one of them is unknown.
   const auto unknown = std::find_if_not(request.names.rbegin(), request.names.rend(), is_known);
   if (unknown != request.names.rend()) return CommandRejection{"no instance '" + *unknown + "'"};
   if (request.names.empty()) {
--- a/src/agent/agent_server.h
+++ b/src/agent/agent_server.h
@@ -1,8 +1,10 @@
-// The agent's Unix socket: one JSON object a line in, one a line out.
+// The agent's Unix socket. Requests and responses are JSON objects, one per line:
 //
-//   {"do":"status"|"start"|"drain"|"restart"|"upgrade"|"shutdown","names":["n1",...]}      no names: all
+//   {"do":"status"|"start"|"drain"|"restart"|"upgrade"|"shutdown","names":["n1",...]}
 //   {"ok":true,"instances":[{"name":..,"state":..,"pid":..,"restarts":..,"last_exit":..,"since_ms":..}]}
 //   {"ok":false,"error":"..."}
+//
+// A request without names applies to all instances.
 #pragma once
 
 #include <functional>
@@ -20,15 +22,15 @@
 
 namespace rookproxy {
 
-// Accepts operators' connections and passes their commands to the supervisor. Used on the loop's thread
-// alone; loop, logger and supervisor must outlive it.
+// Accepts operators' connections and passes their commands to the supervisor. Used only on the loop's thread;
+// loop, logger and supervisor must outlive it.
 class AgentServer {
  public:
-  // `on_shutdown` is called, from the loop, once a client asks for it. Throws ConfigError if the socket can't
-  // be listened on, as when another agent has it.
+  // `on_shutdown` is called from the loop when a client requests a shutdown. Throws ConfigError if listening
+  // on the socket fails, for example because another agent uses it.
   AgentServer(EventLoop& loop, Logger& logger, const std::string& path, Supervisor& supervisor,
               std::function<void()> on_shutdown);
-  // Removes the socket's file.
+  // Removes the socket file.
   ~AgentServer();
   AgentServer(const AgentServer&) = delete;
   AgentServer& operator=(const AgentServer&) = delete;
@@ -36,14 +38,15 @@
  private:
   class Connection;
 
-  // A request that was parsed; its command may still be unknown.
+  // A parsed request. Its command may be unknown.
   struct Request {
     std::string command;
     std::vector<std::string> names;
   };
 
   [[nodiscard]] std::string handle_request(std::string_view line);
-  // Why the request was rejected, if it was. An empty list of names becomes that of all instances.
+  // Executes a request and returns why it was rejected, if it was. Fills in the names of all instances if the
+  // request has none.
   [[nodiscard]] std::optional<CommandRejection> execute(Request& request);
   [[nodiscard]] std::optional<CommandRejection> execute_for(const std::string& command,
                                                             const std::string& name);
--- a/src/agent/main.cpp
+++ b/src/agent/main.cpp
@@ -1,4 +1,4 @@
-// rookproxy-agent: runs the dispatchers of one machine. See README.md.
+// rookproxy-agent: runs the dispatchers of one machine.
 #include <csignal>
 
 #include "agent/agent_server.h"
@@ -11,10 +11,10 @@
 using namespace rookproxy;
 
 constexpr const char* kAbout =
-    "Starts the instances that the file names, keeps them running and takes orders from rookproxyctl\n"
-    "on a Unix socket. SIGTERM drains all of them, then ends.";
+    "Starts the configured instances, restarts them when they end, and accepts commands from rookproxyctl\n"
+    "on a Unix socket. On SIGTERM it drains all instances, then exits.";
 constexpr const char* kFooter =
-    "Exit codes: 0 all drained, 1 failed while running, 2 bad usage or configuration.";
+    "Exit codes: 0 all instances drained, 1 failure while running, 2 invalid usage or configuration.";
 
 int run_agent(const ProgramOptions& options, Logger& logger) {
   const AgentConfig config = load_agent_config(options.config_file);
--- a/src/agent/process.cpp
+++ b/src/agent/process.cpp
@@ -13,10 +13,10 @@
 
 constexpr int kOrphanedExitCode = 125;
 constexpr int kCannotRunExitCode = 127;
-// Copies of passed descriptors are made above this number, out of the way of their final numbers.
+// Passed descriptors are first copied to numbers from here on, so that none overwrites another.
 constexpr int kFirstCopiedDescriptor = 64;
 
-// A child must not inherit how the agent handles signals.
+// A child must not inherit the agent's signal mask and handlers.
 void reset_signals() {
   sigset_t none;
   sigemptyset(&none);
@@ -35,10 +35,11 @@
   }
 }
 
-// The child's part, up to its program. The agent has a single thread, so that allocating is safe here.
+// Runs in the child until its program starts. The agent is single-threaded, so allocating memory is safe
+// here.
 [[noreturn]] void run_child(const ProcessSpec& spec, pid_t agent) {
   reset_signals();
-  // An instance whose agent has died drains: nobody would be left to stop it.
+  // If the agent dies, its instances drain, as nothing else would stop them.
   ::prctl(PR_SET_PDEATHSIG, SIGTERM);
   if (::getppid() != agent) ::_exit(kOrphanedExitCode);
   for (const auto& [name, value] : spec.environment) ::setenv(name.c_str(), value.c_str(), 1);
--- a/src/agent/process.h
+++ b/src/agent/process.h
@@ -9,19 +9,21 @@
 
 namespace rookproxy {
 
-// The number under which a child finds the first descriptor that is passed to it.
+// The number of the first passed descriptor in the child.
 constexpr int kFirstPassedDescriptor = 3;
 
-// What a child runs and inherits.
+// The command, environment and descriptors of a child.
 struct ProcessSpec {
-  std::vector<std::string> command;  // the program, found by PATH, and its arguments
-  // Name and value, besides the agent's own environment; a later entry of a name replaces a former one.
+  // The program, which is looked up in PATH, and its arguments.
+  std::vector<std::string> command;
+  // Variables added to the agent's own environment. If a name occurs more than once, the last entry applies.
   std::vector<std::pair<std::string, std::string>> environment;
-  std::vector<int> passed_descriptors;  // numbered from kFirstPassedDescriptor on in the child
+  // Numbered from kFirstPassedDescriptor in the child.
+  std::vector<int> passed_descriptors;
 };
 
 // Starts a child, which gets SIGTERM when this process ends. Returns its id, or a negative number with errno
-// set. A command that can't be run ends the child with exit code 127.
+// set. If the command can't be executed, the child exits with code 127.
 [[nodiscard]] pid_t start_process(const ProcessSpec& spec);
 
 }  // namespace rookproxy
--- a/src/agent/supervisor.cpp
+++ b/src/agent/supervisor.cpp
@@ -18,7 +18,7 @@
 namespace {
 
 constexpr Duration kProbeInterval = std::chrono::milliseconds(100);
-// What the shell reports for a command that can't be run (in the form of waitpid's status).
+// The wait status for a command that can't be executed, as from a shell.
 constexpr int kCannotRunStatus = 127 << 8;
 
 CommandRejection unknown_instance(const std::string& name) { return {"no instance '" + name + "'"}; }
@@ -28,7 +28,7 @@
                                 : "signal " + std::to_string(WTERMSIG(wait_status));
 }
 
-// How that child has ended, in the form of waitpid's status; nothing if it runs, or if there is none.
+// The wait status of a child that has ended; nothing if it is running or if there is no such child.
 std::optional<int> take_wait_status(pid_t process) {
   int wait_status = 0;
   if (process <= 0 || ::waitpid(process, &wait_status, WNOHANG) != process) return std::nullopt;
@@ -96,14 +96,14 @@
   return found == instances_.end() ? nullptr : &*found;
 }
 
-void Supervisor::enter(Instance& instance, State state) {
+void Supervisor::set_state(Instance& instance, State state) {
   instance.state = state;
   instance.state_since = loop_.now();
   logger_.write(LogLevel::kNotice, "agent", state_name(state),
                 {{"instance", instance.config.name}, {"pid", std::to_string(instance.process)}});
 }
 
-// ---- processes
+// Processes.
 
 pid_t Supervisor::launch(const Instance& instance, std::size_t admin_address_index) {
   ProcessSpec spec;
@@ -127,7 +127,7 @@
   instance.process = launch(instance, instance.admin_address_index);
   if (instance.process == 0) return on_process_exit(instance, kCannotRunStatus);
   instance.started_at = loop_.now();
-  enter(instance, State::kRunning);
+  set_state(instance, State::kRunning);
 }
 
 void Supervisor::reap_children() {
@@ -158,33 +158,33 @@
   instance.process = 0;
   if (was_requested) {
     if (std::exchange(instance.restart_after_drain, false)) return spawn(instance);
-    return enter(instance, State::kStopped);
+    return set_state(instance, State::kStopped);
   }
   ++instance.restarts;
-  // The successor of an upgrade in progress takes over at once, ready or not: there is nothing else.
+  // During an upgrade the successor takes over at once, even if it is not ready, as no other process is left.
   if (instance.successor > 0) return promote_successor(instance);
   restart_after_backoff(instance);
 }
 
-// The pause doubles with each start, until the instance has run for long enough.
+// Starts the instance again after a pause, which doubles each time until the instance has run long enough.
 void Supervisor::restart_after_backoff(Instance& instance) {
   if (loop_.now() - instance.started_at >= config_.stable_after) instance.backoff = config_.initial_backoff;
   instance.timer = loop_.run_at(loop_.now() + instance.backoff, [this, &instance] { spawn(instance); });
   instance.backoff = std::min(2 * instance.backoff, config_.max_backoff);
-  enter(instance, State::kWaiting);
+  set_state(instance, State::kWaiting);
 }
 
 void Supervisor::terminate(Instance& instance) {
   ::kill(instance.process, SIGTERM);
-  enter(instance, State::kDraining);
+  set_state(instance, State::kDraining);
   instance.timer = loop_.run_at(loop_.now() + config_.stop_timeout, [this, &instance] {
-    logger_.write(LogLevel::kWarning, "agent", "drains for too long, killed",
+    logger_.write(LogLevel::kWarning, "agent", "process did not stop in time; killed",
                   {{"instance", instance.config.name}});
     ::kill(instance.process, SIGKILL);
   });
 }
 
-// ---- upgrades
+// Upgrades.
 
 std::optional<CommandRejection> Supervisor::upgrade(const std::string& name) {
   Instance* instance = find(name);
@@ -201,17 +201,17 @@
   if (instance->successor == 0) return CommandRejection{quoted_name + ": no process could be started"};
   instance->upgrade = {UpgradeStatus::State::kInProgress, ""};
   instance->ready_deadline = loop_.now() + config_.ready_timeout;
-  logger_.write(LogLevel::kNotice, "agent", "upgrade begins",
+  logger_.write(LogLevel::kNotice, "agent", "upgrade started",
                 {{"instance", name}, {"successor", std::to_string(instance->successor)}});
   probe_successor(*instance);
   return std::nullopt;
 }
 
-// Repeats until the successor says that it is ready: nothing is taken from the serving process before that.
+// Probes the successor until it reports that it is ready. Until then the running process serves as before.
 void Supervisor::probe_successor(Instance& instance) {
   if (instance.successor == 0) return;
   if (loop_.now() >= instance.ready_deadline) {
-    logger_.write(LogLevel::kWarning, "agent", "the successor is not ready in time, killed",
+    logger_.write(LogLevel::kWarning, "agent", "upgrade: successor not ready in time; killed",
                   {{"instance", instance.config.name}});
     ::kill(instance.successor, SIGKILL);
     return;
@@ -230,12 +230,12 @@
   instance.retiring_process = std::exchange(instance.process, std::exchange(instance.successor, 0));
   instance.admin_address_index = 1 - instance.admin_address_index;
   instance.started_at = loop_.now();
-  enter(instance, State::kRunning);
+  set_state(instance, State::kRunning);
   if (instance.retiring_process == 0) return end_upgrade(instance, {UpgradeStatus::State::kDone, ""});
   ::kill(instance.retiring_process, SIGTERM);
   loop_.cancel(instance.upgrade_timer);
   instance.upgrade_timer = loop_.run_at(loop_.now() + config_.stop_timeout, [this, &instance] {
-    logger_.write(LogLevel::kWarning, "agent", "the former process drains for too long, killed",
+    logger_.write(LogLevel::kWarning, "agent", "upgrade: previous process did not stop in time; killed",
                   {{"instance", instance.config.name}});
     ::kill(instance.retiring_process, SIGKILL);
   });
@@ -248,7 +248,7 @@
                 {{"instance", instance.config.name}});
 }
 
-// ---- commands
+// Commands.
 
 void Supervisor::start_all() {
   for (auto& instance : instances_) {
@@ -279,12 +279,12 @@
 
 void Supervisor::drain(Instance& instance) {
   instance.restart_after_drain = false;
-  // An upgrade in progress ends with it: no process of the instance is to go on.
+  // A drain also aborts an upgrade in progress, so that no process of the instance keeps running.
   if (instance.successor > 0) ::kill(instance.successor, SIGKILL);
   if (instance.state == State::kRunning) terminate(instance);
   if (instance.state == State::kWaiting) {
     loop_.cancel(instance.timer);
-    enter(instance, State::kStopped);
+    set_state(instance, State::kStopped);
   }
 }
 
--- a/src/agent/supervisor.h
+++ b/src/agent/supervisor.h
@@ -1,5 +1,5 @@
-// Runs the instances of one machine: starts, drains and upgrades them, and restarts those that end, after a
-// pause that grows.
+// Runs the instances of one machine: starts, drains and upgrades them, and restarts those that end, with
+// exponential backoff.
 #pragma once
 
 #include <sys/types.h>
@@ -24,41 +24,42 @@
   std::string reason;
 };
 
-// How far the latest upgrade of an instance has got.
+// The status of the latest upgrade of an instance.
 struct UpgradeStatus {
-  // How far.
+  // Whether there was an upgrade, and its progress or outcome.
   enum class State { kNone, kInProgress, kDone, kFailed };
   State state = State::kNone;
-  std::string failure;  // of kFailed alone
+  // Set only for kFailed.
+  std::string failure;
 
-  // As operators see it: empty, "in progress", "done" or "failed: ...".
+  // The text shown to operators: empty, "in progress", "done" or "failed: ...".
   [[nodiscard]] std::string to_string() const;
 };
 
-// Used on the loop's thread alone; loop and logger must outlive it. Its children get SIGTERM when it ends.
+// Used only on the loop's thread; loop and logger must outlive it. The children get SIGTERM when the agent
+// ends.
 class Supervisor {
  public:
-  // What an instance does.
-  enum class State {
-    kStopped,
-    kRunning,
-    kDraining,
-    kWaiting  // for its next start
-  };
+  // The state of an instance. kWaiting: it waits for its next start.
+  enum class State { kStopped, kRunning, kDraining, kWaiting };
 
-  // What operators see of an instance.
+  // The status of an instance that is shown to operators.
   struct Status {
     std::string name;
     State state = State::kStopped;
-    pid_t process = 0;      // 0: none
-    int restarts = 0;       // that no operator asked for
-    std::string last_exit;  // "exit 2" or "signal 9"; empty: never
+    // 0 if there is no process.
+    pid_t process = 0;
+    // Restarts that were not requested by an operator.
+    int restarts = 0;
+    // How the last process ended, like "exit 2" or "signal 9"; empty if none has ended.
+    std::string last_exit;
     Duration time_in_state{};
-    std::string admin_address;  // of its process; empty: not configured
+    // The admin address of the process; empty if none is configured.
+    std::string admin_address;
     UpgradeStatus upgrade;
   };
 
-  // Throws ConfigError if one of the instances' addresses can't be listened on.
+  // Throws ConfigError if listening on one of the instances' addresses fails.
   Supervisor(EventLoop& loop, Logger& logger, AgentConfig config);
   ~Supervisor();
   Supervisor(const Supervisor&) = delete;
@@ -66,38 +67,41 @@
 
   // Starts the instances that are configured to start with the agent.
   void start_all();
-  // Each of these begins the command, or returns why it is rejected.
+  // Each of these functions starts a command, or returns why it was rejected.
   [[nodiscard]] std::optional<CommandRejection> start(const std::string& name);
   [[nodiscard]] std::optional<CommandRejection> drain(const std::string& name);
   [[nodiscard]] std::optional<CommandRejection> restart(const std::string& name);
-  // Starts a second process beside the running one. Once that is ready the former drains; else it continues
-  // to serve.
+  // Starts a second process of the instance. Once that is ready, the running one is drained; if it does not
+  // become ready, the running one continues to serve.
   [[nodiscard]] std::optional<CommandRejection> upgrade(const std::string& name);
-  // Drains all instances, and calls back once no process is left.
+  // Drains all instances and calls `on_all_stopped` once no process is left.
   void begin_shutdown(std::function<void()> on_all_stopped);
   [[nodiscard]] std::vector<Status> status() const;
-  // To be called on SIGCHLD.
+  // Must be called on SIGCHLD.
   void reap_children();
 
  private:
   // An instance and its processes.
   struct Instance {
     InstanceConfig config;
-    std::vector<FileDescriptor> sockets;  // passed to every process of it
+    // Listening sockets that are passed to every process of the instance.
+    std::vector<FileDescriptor> sockets;
     State state = State::kStopped;
     Time state_since;
     pid_t process = 0;
     Time started_at;
-    std::size_t admin_address_index = 0;  // of its addresses, the one that its process has
+    // The index of the admin address that `process` uses.
+    std::size_t admin_address_index = 0;
     bool restart_after_drain = false;
     int restarts = 0;
     Duration backoff{};
     std::string last_exit;
-    TimerId timer{};  // of its next start, or of the kill if it drains for too long
+    // For the next start, or for the kill if a drain takes too long.
+    TimerId timer{};
 
-    // Of an upgrade.
-    pid_t successor = 0;         // not ready yet
-    pid_t retiring_process = 0;  // the former process, which drains
+    // The state of an upgrade: a successor that is not ready yet, and the previous process, which drains.
+    pid_t successor = 0;
+    pid_t retiring_process = 0;
     Time ready_deadline;
     TimerId upgrade_timer{};
     std::unique_ptr<AdminClient> readiness_probe;
@@ -105,7 +109,7 @@
   };
 
   [[nodiscard]] Instance* find(const std::string& name);
-  void enter(Instance& instance, State state);
+  void set_state(Instance& instance, State state);
   [[nodiscard]] pid_t launch(const Instance& instance, std::size_t admin_address_index);
   void spawn(Instance& instance);
   void probe_successor(Instance& instance);
@@ -120,10 +124,10 @@
   Logger& logger_;
   AgentConfig config_;
   std::vector<Instance> instances_;
-  std::function<void()> on_all_stopped_;  // set while shutting down
+  std::function<void()> on_all_stopped_;  // Set during a shutdown.
 };
 
-// As operators see it, as "running".
+// The name of a state as shown to operators, like "running".
 [[nodiscard]] std::string_view state_name(Supervisor::State state);
 
 }  // namespace rookproxy
