--- a/src/ctl/agent_client.cpp
+++ b/src/ctl/agent_client.cpp
@@ -29,11 +29,11 @@
 constexpr std::size_t kReadSize = 4096;
 constexpr std::chrono::milliseconds kPollInterval{50};
 
-// Frame of a response at an instance's admin address.
+// The frame of a METRICS response at an instance's admin address.
 constexpr std::string_view kResponseStart = "+OK\n";
 constexpr std::string_view kResponseEnd = "\n.\n";
 
-// Why there is no response from the agent.
+// Why no response was received from the agent.
 enum class AgentFailure { kUnreachable, kTimeout };
 using AgentResponse = std::variant<json, AgentFailure>;
 
@@ -67,8 +67,8 @@
 
 ExitCode report_failure(const AgentOptions& options, AgentFailure failure) {
   const bool is_timeout = failure == AgentFailure::kTimeout;
-  std::cerr << "rookproxyctl: " << (is_timeout ? "no answer in time from " : "no agent at ") << options.socket
-            << "\n";
+  std::cerr << "rookproxyctl: " << (is_timeout ? "timeout: no response from " : "no agent at ")
+            << options.socket << "\n";
   return is_timeout ? ExitCode::kNotInTime : ExitCode::kNoAgent;
 }
 
@@ -110,8 +110,8 @@
                      [&](const json& instance) { return instance.value("state", "") == state; });
 }
 
-// The metrics of an instance, asked for at its admin address, without the frame around them; nothing if it
-// does not answer.
+// Fetches the metrics of an instance from its admin address, without the frame of the response; nothing if it
+// does not respond.
 std::optional<std::string> fetch_metrics(const std::string& address, Clock::time_point deadline) {
   const auto socket_address = parse_socket_address(address);
   const FileDescriptor socket = socket_address ? connect_tcp(*socket_address) : FileDescriptor();
@@ -129,7 +129,7 @@
   return response.substr(kResponseStart.size(), response.size() - kResponseStart.size() - 2);
 }
 
-// A line for each metric, with its instance's name before it.
+// Prints one line for each metric, prefixed with the name of the instance.
 ExitCode print_metrics(const json& response, Clock::time_point deadline) {
   ExitCode code = ExitCode::kDone;
   for (const auto& instance : instances_of(response)) {
@@ -138,7 +138,7 @@
     const auto metrics = fetch_metrics(address, deadline);
     if (!metrics) {
       const std::string reason =
-          address.empty() ? ": the agent's file names no `ops` for it" : ": no answer from " + address;
+          address.empty() ? ": no `ops` address in the agent's file" : ": no response from " + address;
       std::cerr << "rookproxyctl: " << name << reason << "\n";
       code = ExitCode::kNotRunning;
       continue;
@@ -149,7 +149,7 @@
   return code;
 }
 
-// Whether the command has been carried out. The agent does not respond any more after a shutdown.
+// Whether the command is complete. After a shutdown the agent no longer responds.
 bool is_carried_out(const AgentOptions& options, const AgentResponse& response) {
   const auto* status = std::get_if<json>(&response);
   if (options.command == "shutdown") return status == nullptr;
@@ -157,13 +157,13 @@
   return options.command != "upgrade" || !is_any_upgrading(*status);
 }
 
-// Asks for the status until the command has been carried out. Returns an exit code if that ends the program,
-// else nothing; `response` is then the last one.
+// Polls the status until the command is complete. Returns an exit code if the wait failed; otherwise
+// `response` is the last response.
 std::optional<ExitCode> wait_until_carried_out(const AgentOptions& options, Clock::time_point deadline,
                                                AgentResponse& response) {
   while (!is_carried_out(options, response)) {
     if (Clock::now() >= deadline) {
-      std::cerr << "rookproxyctl: not carried out in time\n";
+      std::cerr << "rookproxyctl: timeout: the command was accepted but is not complete\n";
       return ExitCode::kNotInTime;
     }
     std::this_thread::sleep_for(kPollInterval);
@@ -201,7 +201,7 @@
     if (const auto code = wait_until_carried_out(options, deadline, response)) return *code;
   }
   const auto* last = std::get_if<json>(&response);
-  if (!last) return ExitCode::kDone;  // the agent has shut down
+  if (!last) return ExitCode::kDone;  // The agent has shut down.
   print_instances(*last, options.as_json);
   if (options.command == "upgrade" && options.wait) return report_upgrades(*last);
   const bool is_stopped_instance_reported = options.command == "status" && !are_all_in(*last, "running");
--- a/src/ctl/agent_client.h
+++ b/src/ctl/agent_client.h
@@ -9,17 +9,20 @@
 
 namespace rookproxy::ctl {
 
-// What the command line asks the agent for.
+// A command for the agent, from the command line.
 struct AgentOptions {
   std::string socket;
-  std::string command;             // as "status"; "figures" asks the instances themselves
-  std::vector<std::string> names;  // of instances; empty: all
-  bool wait = false;               // until the command has been carried out
+  // A command of the agent's protocol, or "figures", which fetches metrics from the instances themselves.
+  std::string command;
+  // The names of instances; empty for all.
+  std::vector<std::string> names;
+  // Whether to wait until the command is complete.
+  bool wait = false;
   bool as_json = false;
   std::chrono::seconds timeout{60};
 };
 
-// Carries out the command and prints the outcome.
+// Executes the command and prints the outcome.
 [[nodiscard]] ExitCode run_agent_command(const AgentOptions& options);
 
 }  // namespace rookproxy::ctl
--- a/src/ctl/certificate_commands.cpp
+++ b/src/ctl/certificate_commands.cpp
@@ -24,7 +24,7 @@
   std::string key;
   std::string name = "localhost";
   std::string days = "30";
-  std::string file;  // of `prepare` alone
+  std::string file;  // The dispatcher's file, for `prepare` only.
 };
 
 int parse_days(const std::string& text) {
@@ -36,11 +36,11 @@
   create_self_signed_certificate(options.certificate, options.key, options.name, parse_days(options.days));
   std::cout << options.certificate << ": self-signed for " << options.name << ", " << options.days
             << " days\n"
-            << options.key << ": its private key, for the dispatcher alone\n";
+            << options.key << ": its private key, to be kept secret\n";
   return ExitCode::kDone;
 }
 
-// Creates the key set that the dispatcher's file names, if it is missing. Returns whether it was.
+// Creates the key set that the dispatcher's file names, if it does not exist. Returns whether it was created.
 bool prepare_key_set(const Config& config) {
   if (!config.access || config.access->keys_file.empty()) return false;
   const std::string& set = config.access->keys_file;
@@ -53,16 +53,17 @@
   return true;
 }
 
-// Creates the frontends' certificate and key that the dispatcher's file names, if both are missing. Returns
-// whether they were.
+// Creates the frontends' certificate and key that the dispatcher's file names, if neither exists. Returns
+// whether they were created.
 bool prepare_certificate(const Config& config, const CertificateOptions& options) {
   if (!config.tls) return false;
   const auto& server = config.tls->server;
   const bool has_certificate = fs::exists(server.certificate);
   const bool has_key = fs::exists(server.key);
   if (has_certificate != has_key) {
-    throw CommandError((has_key ? server.certificate : server.key) +
-                       ": missing beside the other of the pair; a half pair is not made whole");
+    throw CommandError(
+        (has_key ? server.certificate : server.key) +
+        ": missing, but the other file of the pair exists; delete that one to create a new pair");
   }
   if (has_certificate) return false;
   create_self_signed_certificate(server.certificate, server.key, options.name, parse_days(options.days));
@@ -70,42 +71,42 @@
   return true;
 }
 
-// Files that exist stay as they are.
+// Existing files are not changed.
 ExitCode run_prepare(const CertificateOptions& options) {
   const Config config = load_config(Environment(), options.file);
   const bool created_key_set = prepare_key_set(config);
   const bool created_certificate = prepare_certificate(config, options);
   if (!created_key_set && !created_certificate) {
-    std::cout << options.file << ": lacks nothing this command makes\n";
+    std::cout << options.file << ": nothing to create\n";
   }
   return ExitCode::kDone;
 }
 
 void add_name_options(CLI::App* command, CertificateOptions& options) {
-  command->add_option("--name", options.name, "the DNS name it is for (default localhost)");
-  command->add_option("--days", options.days, "how long it is good, 1 to 3650 (default 30)");
+  command->add_option("--name", options.name, "the DNS name in the certificate (default localhost)");
+  command->add_option("--days", options.days, "days of validity, 1 to 3650 (default 30)");
 }
 
 }  // namespace
 
 void add_certificate_commands(CLI::App& app, std::optional<ExitCode>& code) {
   const auto options = std::make_shared<CertificateOptions>();
-  auto* certificate = app.add_subcommand("certificate", "certificates for trials");
+  auto* certificate = app.add_subcommand("certificate", "certificates for testing");
   certificate->require_subcommand(1);
 
-  auto* new_certificate =
-      certificate->add_subcommand("new", "a self-signed certificate and its key, for trials");
-  new_certificate->add_option("--certificate", options->certificate, "where the certificate goes, PEM")
+  auto* new_certificate = certificate->add_subcommand(
+      "new", "creates a self-signed certificate and its private key, for testing");
+  new_certificate->add_option("--certificate", options->certificate, "output file for the certificate, PEM")
       ->required()
       ->type_name("FILE");
-  new_certificate->add_option("--key", options->key, "where its private key goes, PEM")
+  new_certificate->add_option("--key", options->key, "output file for the private key, PEM")
       ->required()
       ->type_name("FILE");
   add_name_options(new_certificate, *options);
   new_certificate->callback(make_callback(code, run_new, options));
 
   auto* prepare = app.add_subcommand(
-      "prepare", "makes the key set and certificate that a dispatcher's file names and lacks");
+      "prepare", "creates the key set and certificate that a dispatcher's file names, if they do not exist");
   prepare->add_option("--file", options->file, "the dispatcher's file")->required()->type_name("FILE");
   add_name_options(prepare, *options);
   prepare->callback(make_callback(code, run_prepare, options));
--- a/src/ctl/certificate_commands.h
+++ b/src/ctl/certificate_commands.h
@@ -1,5 +1,5 @@
-// `rookproxyctl certificate new` and `rookproxyctl prepare`: create what a trial of TLS and tokens needs. A
-// self-signed certificate is for trials; in service the operators' CA signs.
+// `rookproxyctl certificate new` and `rookproxyctl prepare`: create the files for testing TLS and tokens.
+// Self-signed certificates are for testing only; in production, a CA signs certificates.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -9,7 +9,7 @@
 
 namespace rookproxy::ctl {
 
-// Adds the two commands. Once one has run, `code` holds the exit code of the program; `code` must outlive
+// Adds the two commands. When one has run, `code` contains the program's exit code; `code` must outlive
 // `app`.
 void add_certificate_commands(CLI::App& app, std::optional<ExitCode>& code);
 
--- a/src/ctl/command.h
+++ b/src/ctl/command.h
@@ -1,4 +1,4 @@
-// What the commands that work on files have in common.
+// Shared code of the commands that work on files.
 #pragma once
 
 #include <exception>
@@ -12,13 +12,13 @@
 
 namespace rookproxy::ctl {
 
-// A command can't be carried out. The message says what is wrong with which file or option.
+// A command failed. The message names the file or option at fault.
 struct CommandError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// A callback for CLI11 that runs a command and puts its exit code into `code`. An exception is printed and
-// becomes kRefused. `code` must outlive the callback.
+// Returns a callback for CLI11 that runs a command and stores its exit code in `code`. If the command throws,
+// the callback prints the message and stores kRefused. `code` must outlive the callback.
 template <class Options>
 std::function<void()> make_callback(std::optional<ExitCode>& code, ExitCode (*command)(const Options&),
                                     std::shared_ptr<Options> options) {
--- a/src/ctl/exit_code.h
+++ b/src/ctl/exit_code.h
@@ -1,9 +1,9 @@
-// Exit codes of rookproxyctl; scripts rely on them.
+// The exit codes of rookproxyctl, which scripts rely on.
 #pragma once
 
 namespace rookproxy::ctl {
 
-// How a command ended.
+// The outcome of a command.
 enum class ExitCode {
   kDone = 0,
   kRefused = 1,
--- a/src/ctl/files.cpp
+++ b/src/ctl/files.cpp
@@ -21,7 +21,7 @@
 namespace rookproxy::ctl {
 namespace {
 
-// Returns whether all was written; errno says why not.
+// Returns whether all of `text` was written; sets errno if not.
 bool write_all(const FileDescriptor& file, const std::string& text) {
   std::size_t written = 0;
   while (written < text.size()) {
@@ -32,7 +32,7 @@
   return true;
 }
 
-// Without it, the rename might not survive a crash.
+// Makes a rename in the folder durable.
 void sync_folder_of(const std::string& path) {
   const std::string parent = std::filesystem::path(path).parent_path().string();
   const FileDescriptor folder(
@@ -60,7 +60,7 @@
   };
   if (!write_all(file, text)) fail("can't be written");
   if (::fchmod(file.get(), mode) != 0 || ::fsync(file.get()) != 0) fail("can't be written");
-  if (::rename(temporary.c_str(), path.c_str()) != 0) fail("can't be put in place");
+  if (::rename(temporary.c_str(), path.c_str()) != 0) fail("can't be replaced");
   sync_folder_of(path);
 }
 
--- a/src/ctl/files.h
+++ b/src/ctl/files.h
@@ -1,4 +1,4 @@
-// Reading and writing of the operator's files.
+// Reads and writes the operator's files.
 #pragma once
 
 #include <sys/types.h>
@@ -7,11 +7,11 @@
 
 namespace rookproxy::ctl {
 
-// Throws CommandError, which names the path.
+// Returns the contents of a file. Throws CommandError, which names the path.
 [[nodiscard]] std::string read_text_file(const std::string& path);
 
-// Writes to a temporary file beside the path, syncs it and renames it into place with `mode`: a reader sees
-// the former file or the new one. Throws CommandError, which names the path.
+// Writes a temporary file in the same folder, syncs it and renames it to `path`, so that readers see either
+// the old or the new file. Throws CommandError, which names the path.
 void write_file_atomically(const std::string& path, const std::string& text, mode_t mode);
 
 }  // namespace rookproxy::ctl
--- a/src/ctl/key_commands.cpp
+++ b/src/ctl/key_commands.cpp
@@ -39,7 +39,7 @@
 json read_set(const std::string& path) {
   const std::string text = read_text_file(path);
   try {
-    // Nothing is built on a set that no dispatcher would accept.
+    // Rejects a set that no dispatcher would accept.
     (void)auth::KeySet::parse(text);
   } catch (const auth::KeyError& error) {
     throw CommandError(path + ": " + error.what());
@@ -72,8 +72,8 @@
   if (exists) throw CommandError(options.set + ": has a key '" + options.id + "' already");
 }
 
-// Creates a key pair. The private key goes to a file for the issuer alone, the public one is returned for the
-// set. `not_before`: Unix time in seconds from which it is in force; 0: at once.
+// Creates a key pair. Writes the private key to a file that only its owner can read, and returns the public
+// key for the set. `not_before` is the start of its validity as Unix time in seconds, or 0 for no start.
 json create_key(const KeyOptions& options, std::int64_t not_before) {
   check_key_id(options.id);
   const auto algorithm = policy::parse_algorithm(options.algorithm);
@@ -96,17 +96,17 @@
   check_is_new(set, options);
   set["keys"].push_back(create_key(options, 0));
   write_set(options.set, set);
-  std::cout << private_key_path(options) << ": the private key, for who signs tokens alone\n"
+  std::cout << private_key_path(options) << ": the private key, only for the issuer of tokens\n"
             << options.set << ": " << set["keys"].size() << " keys\n";
   return ExitCode::kDone;
 }
 
-// The former keys that have not ended, with `end` as their latest expiry.
+// Returns the keys that have not expired, with their expiry limited to `end`.
 json keys_until(const json& keys, std::int64_t now, std::int64_t end) {
   json remaining = json::array();
   for (json key : keys) {
     if (key.contains("exp") && key["exp"].get<double>() <= static_cast<double>(now)) {
-      std::cout << key["kid"].get<std::string>() << ": ended, taken out\n";
+      std::cout << key["kid"].get<std::string>() << ": expired, removed\n";
       continue;
     }
     if (!key.contains("exp") || key["exp"].get<double>() > static_cast<double>(end)) key["exp"] = end;
@@ -117,7 +117,7 @@
   return remaining;
 }
 
-// The new key is in the set at once; the former ones expire by themselves once the overlap has passed.
+// Adds the new key to the set at once. The previous keys get an expiry at the end of the overlap.
 ExitCode run_rotate(const KeyOptions& options) {
   json set = read_set(options.set);
   check_is_new(set, options);
@@ -129,8 +129,8 @@
   keys.push_back(create_key(options, lead > 0 ? start : 0));
   set["keys"] = std::move(keys);
   write_set(options.set, set);
-  std::cout << options.id << ": sign with it from " << format_utc_time(static_cast<double>(start)) << " on ("
-            << private_key_path(options) << ")\n";
+  std::cout << options.id << ": use it for signing from " << format_utc_time(static_cast<double>(start))
+            << " on (" << private_key_path(options) << ")\n";
   return ExitCode::kDone;
 }
 
@@ -172,11 +172,11 @@
 
 void add_new_key_options(CLI::App* command, KeyOptions& options) {
   add_set_option(command, options);
-  command->add_option("--kid", options.id, "the new key's id")->required();
+  command->add_option("--kid", options.id, "the id of the new key")->required();
   command->add_option("--alg", options.algorithm, "ES256, RS256 or EdDSA (default ES256)");
-  command->add_option("--private", options.folder, "the folder for KID.pem (default: here)")
+  command->add_option("--private", options.folder, "the folder for KID.pem (default: the current folder)")
       ->type_name("FOLDER");
-  command->add_option("--life", options.lifetime, "ends after that span, as 90d (default: never)");
+  command->add_option("--life", options.lifetime, "validity of the key, like 90d (default: unlimited)");
 }
 
 }  // namespace
@@ -192,21 +192,21 @@
 
 void add_key_commands(CLI::App& app, std::optional<ExitCode>& code) {
   const auto options = std::make_shared<KeyOptions>();
-  auto* keys = app.add_subcommand("keys", "signing keys and the set that dispatchers read");
+  auto* keys = app.add_subcommand("keys", "signing keys, and the key set that dispatchers read");
   keys->require_subcommand(1);
 
-  auto* new_key = keys->add_subcommand("new", "makes a pair and adds its public half to the set");
+  auto* new_key = keys->add_subcommand("new", "creates a key pair and adds the public key to the set");
   add_new_key_options(new_key, *options);
   new_key->callback(make_callback(code, run_new, options));
 
-  auto* rotate = keys->add_subcommand("rotate", "adds a key; those before it end after an overlap");
+  auto* rotate = keys->add_subcommand("rotate", "adds a key; the previous keys expire after an overlap");
   add_new_key_options(rotate, *options);
   rotate->add_option("--overlap", options->overlap,
-                     "how long former keys stay good: the longest life of a token (default 1h)");
-  rotate->add_option("--lead", options->lead, "the new key is in force only after that span (default 0s)");
+                     "how long the previous keys stay valid: at least the lifetime of tokens (default 1h)");
+  rotate->add_option("--lead", options->lead, "time until the new key becomes valid (default 0s)");
   rotate->callback(make_callback(code, run_rotate, options));
 
-  auto* list = keys->add_subcommand("list", "the keys of a set, and which are in force");
+  auto* list = keys->add_subcommand("list", "lists the keys of a set and their state");
   add_set_option(list, *options);
   list->callback(make_callback(code, run_list, options));
 }
--- a/src/ctl/main.cpp
+++ b/src/ctl/main.cpp
@@ -1,4 +1,4 @@
-// rookproxyctl: commands for a running agent, and for keys, tokens and certificates, from the command line.
+// rookproxyctl: command-line tool for a running agent, and for keys, tokens and certificates.
 #include <CLI/CLI.hpp>
 #include <array>
 #include <chrono>
@@ -20,9 +20,9 @@
 using rookproxy::ctl::ExitCode;
 
 constexpr const char* kFooter =
-    "Without names, an order is for all instances.\n"
-    "Exit codes: 0 done, 1 the agent refused, 2 bad usage, 3 no agent there, 4 not in time, 5 not all run,\n"
-    "6 an upgrade failed and the former process serves on.";
+    "Without names, a command applies to all instances.\n"
+    "Exit codes: 0 success, 1 rejected or failed, 2 invalid usage, 3 no agent at the socket, 4 timeout,\n"
+    "5 an instance is not running, 6 an upgrade failed and the previous process still serves.";
 constexpr const char* kDefaultSocket = "/run/rookproxy/agent.sock";
 constexpr int kMaxTimeoutSeconds = 86400;
 
@@ -33,24 +33,24 @@
 };
 
 constexpr std::array<AgentCommand, 7> kAgentCommands{{
-    {"status", "what each instance does; exits 5 if one of them does not run", true},
-    {"start", "starts what does not run", true},
-    {"drain", "lets it finish what it has, then stops it", true},
-    {"restart", "drains, then starts", true},
-    {"upgrade", "starts a second process beside it; once that is ready the former drains", true},
-    {"figures", "what each instance counts, as its operators' address tells", true},
-    {"shutdown", "drains all and ends the agent", false},
+    {"status", "prints the state of each instance; exit code 5 if one of them is not running", true},
+    {"start", "starts instances that are not running", true},
+    {"drain", "lets instances finish their open requests, then stops them", true},
+    {"restart", "drains instances, then starts them again", true},
+    {"upgrade", "starts a second process of an instance; once that is ready, the first one is drained", true},
+    {"figures", "prints the metrics of each instance, from its admin address", true},
+    {"shutdown", "drains all instances and stops the agent", false},
 }};
 
 void add_agent_options(CLI::App& app, AgentOptions& options, int& timeout_seconds) {
   app.add_option("--socket", options.socket,
                  "the agent's socket (default $ROOKPROXY_AGENT, else /run/rookproxy/agent.sock)")
       ->type_name("PATH");
-  app.add_flag("--wait", options.wait, "returns once the order is carried out, not only taken");
-  app.add_option("--timeout", timeout_seconds, "gives up after so many seconds (default 60)")
+  app.add_flag("--wait", options.wait, "waits until the command is complete");
+  app.add_option("--timeout", timeout_seconds, "timeout in seconds (default 60)")
       ->type_name("S")
       ->check(CLI::Range(1, kMaxTimeoutSeconds));
-  app.add_flag("--json", options.as_json, "prints the agent's answer as it is");
+  app.add_flag("--json", options.as_json, "prints the agent's response as JSON");
 }
 
 void add_agent_commands(CLI::App& app, AgentOptions& options) {
@@ -68,14 +68,14 @@
   AgentOptions options;
   const char* socket_from_environment = std::getenv("ROOKPROXY_AGENT");
   options.socket = socket_from_environment ? socket_from_environment : kDefaultSocket;
-  CLI::App app("Orders for a running rookproxy-agent.", "rookproxyctl");
+  CLI::App app("Controls a running rookproxy-agent; manages keys, tokens and certificates.", "rookproxyctl");
   app.footer(kFooter);
   app.require_subcommand(1);
   app.fallthrough();
   int timeout_seconds = 60;
   add_agent_options(app, options, timeout_seconds);
   add_agent_commands(app, options);
-  std::optional<ExitCode> code;  // of a command that needs no agent
+  std::optional<ExitCode> code;  // Set by a command that does not use the agent.
   rookproxy::ctl::add_key_commands(app, code);
   rookproxy::ctl::add_token_commands(app, code);
   rookproxy::ctl::add_certificate_commands(app, code);
--- a/src/ctl/self_signed_certificate.cpp
+++ b/src/ctl/self_signed_certificate.cpp
@@ -23,7 +23,8 @@
 
 constexpr int kMaxDays = 3650;
 constexpr std::int64_t kSecondsPerDay = 86400;
-constexpr std::int64_t kBackdatedSeconds = 3600;  // for clocks that differ
+// Tolerates clocks that are behind this one.
+constexpr std::int64_t kBackdatedSeconds = 3600;
 constexpr std::size_t kSerialBytes = 16;
 constexpr int kX509Version3 = 2;
 constexpr mode_t kKeyFileMode = 0600;
@@ -41,9 +42,9 @@
 void check_arguments(const std::string& certificate_path, const std::string& key_path,
                      const std::string& name, int days) {
   if (!std::regex_match(name, std::regex("[A-Za-z0-9]([A-Za-z0-9.-]{0,252})"))) {
-    throw CommandError("--name '" + name + "': a DNS name, as localhost or engine-1.addis");
+    throw CommandError("--name '" + name + "': not a DNS name like localhost or engine-1.example");
   }
-  if (days < 1 || days > kMaxDays) throw CommandError("--days: 1 to 3650");
+  if (days < 1 || days > kMaxDays) throw CommandError("--days: must be 1 to 3650");
   for (const auto& path : {certificate_path, key_path}) {
     if (std::filesystem::exists(path)) throw CommandError(path + ": there already; it is not written over");
   }
@@ -51,8 +52,8 @@
 
 void set_serial_number(X509* certificate) {
   std::array<unsigned char, kSerialBytes> serial{};
-  require_success(RAND_bytes(serial.data(), kSerialBytes) == 1, "draw a serial number");
-  serial[0] &= 0x7fU;  // positive (RFC 5280, 4.1.2.2)
+  require_success(RAND_bytes(serial.data(), kSerialBytes) == 1, "generate a serial number");
+  serial[0] &= 0x7fU;  // Must be positive (RFC 5280, section 4.1.2.2).
   const OpenSslPointer<BIGNUM> number(BN_bin2bn(serial.data(), kSerialBytes, nullptr));
   require_success(number && BN_to_ASN1_INTEGER(number.get(), X509_get_serialNumber(certificate)),
                   "set the serial number");
@@ -60,12 +61,12 @@
 
 void set_validity(X509* certificate, int days) {
   require_success(X509_gmtime_adj(X509_getm_notBefore(certificate), -kBackdatedSeconds) != nullptr,
-                  "set the start");
+                  "set the start of the validity");
   require_success(X509_gmtime_adj(X509_getm_notAfter(certificate), days * kSecondsPerDay) != nullptr,
-                  "set the end");
+                  "set the end of the validity");
 }
 
-// Subject and issuer are the same.
+// Sets the subject, and the same name as issuer.
 void set_names(X509* certificate, const std::string& name) {
   X509_NAME* subject = X509_get_subject_name(certificate);
   const auto* bytes = reinterpret_cast<const unsigned char*>(name.c_str());
@@ -90,7 +91,7 @@
 
 OpenSslPointer<X509> make_certificate(EVP_PKEY* key, const std::string& name, int days) {
   OpenSslPointer<X509> certificate(X509_new());
-  require_success(certificate != nullptr, "make a certificate");
+  require_success(certificate != nullptr, "create a certificate");
   require_success(X509_set_version(certificate.get(), kX509Version3) == 1, "set the version");
   set_serial_number(certificate.get());
   set_validity(certificate.get(), days);
@@ -126,7 +127,7 @@
                                     const std::string& name, int days) {
   check_arguments(certificate_path, key_path, name, days);
   const Pkey key(EVP_EC_gen("P-256"));
-  require_success(key != nullptr, "make a P-256 key");
+  require_success(key != nullptr, "generate a P-256 key");
   const auto certificate = make_certificate(key.get(), name, days);
   const std::string key_text = key_pem(key.get());
   const std::string certificate_text = certificate_pem(certificate.get());
--- a/src/ctl/self_signed_certificate.h
+++ b/src/ctl/self_signed_certificate.h
@@ -1,13 +1,13 @@
-// Creates self-signed certificates for trials and tests; in service the operators' CA signs.
+// Creates self-signed certificates for testing; in production, a CA signs certificates.
 #pragma once
 
 #include <string>
 
 namespace rookproxy::ctl {
 
-// Writes a certificate for a DNS name (127.0.0.1 is named too) on a new P-256 key, and the key, in PEM. It is
-// valid from an hour ago for `days` days (1 to 3650). Throws CommandError, and overwrites nothing, if either
-// file exists.
+// Generates a P-256 key and writes it and a certificate for a DNS name and 127.0.0.1, in PEM. The certificate
+// is valid from one hour ago until `days` days from now (1 to 3650). If either file exists, throws
+// CommandError and overwrites nothing.
 void create_self_signed_certificate(const std::string& certificate_path, const std::string& key_path,
                                     const std::string& name, int days);
 
--- a/src/ctl/token_commands.cpp
+++ b/src/ctl/token_commands.cpp
@@ -60,7 +60,7 @@
   return ExitCode::kDone;
 }
 
-// A token comes as an argument, or on standard input, where no list of processes shows it.
+// A token is passed as an argument, or on standard input, so that it is not visible in process lists.
 std::string token_text(const TokenOptions& options) {
   std::string text = options.token;
   if (text.empty() || text == "-") std::getline(std::cin, text);
@@ -70,7 +70,7 @@
 json decode_part(std::string_view part) {
   const auto bytes = auth::decode_base64url(part);
   const auto document = bytes ? auth::parse_strict_json(*bytes) : std::nullopt;
-  if (!document) throw CommandError("no token: its parts are not JSON in base64url");
+  if (!document) throw CommandError("not a token: its parts are not JSON in base64url");
   return *document;
 }
 
@@ -79,7 +79,7 @@
   const auto first_dot = text.find('.');
   const auto second_dot = text.find('.', first_dot == text.npos ? 0 : first_dot + 1);
   if (first_dot == text.npos || second_dot == text.npos) {
-    throw CommandError("no token: three parts with dots between them");
+    throw CommandError("not a token: it must have three parts separated by dots");
   }
   const std::string_view view = text;
   std::cout << decode_part(view.substr(0, first_dot)).dump(2) << "\n";
@@ -90,19 +90,19 @@
       std::cout << name << ": " << format_utc_time(claims[name].get<double>()) << "\n";
     }
   }
-  std::cerr << "rookproxyctl: shown as it is; `token check` says whether it is good\n";
+  std::cerr << "rookproxyctl: the token was not verified; `token check` verifies it\n";
   return ExitCode::kDone;
 }
 
-// The outcome of a check; `identity` is set if nothing is denied.
-struct TokenVerdict {
+// The result of a check. `identity` is set if nothing is denied.
+struct TokenCheckResult {
   Denial denial = Denial::kNone;
   policy::Identity identity;
 };
 
 // Checks a token as a dispatcher with these settings would.
-TokenVerdict check_token(const std::string& text, const auth::AuthSettings& settings,
-                         const auth::AuthFiles& files) {
+TokenCheckResult check_token(const std::string& text, const auth::AuthSettings& settings,
+                             const auth::AuthFiles& files) {
   const auto jwt = auth::parse_jwt(text, settings.claim_names);
   if (!jwt) return {Denial::kMalformed, {}};
   const Time now = auth::wall_clock_now();
@@ -147,19 +147,20 @@
 
 void add_mint_options(CLI::App* command, TokenOptions& options) {
   command->add_option("--key", options.key, "the private key")->required()->type_name("FILE");
-  command->add_option("--kid", options.id, "its id (default: the file's name)");
-  command->add_option("--iss", options.issuer, "who issues it")->required();
-  command->add_option("--aud", options.audience, "whom it is meant for")->required();
-  command->add_option("--sub", options.subject, "whose it is")->required();
-  command->add_option("--tenant", options.tenant, "of which tenant")->required();
-  command->add_option("--role", options.roles, "may be given more than once")->required();
-  command->add_option("--life", options.lifetime, "as 10m (default 1h)");
-  command->add_option("--jti", options.token_id, "an id, so that it can be revoked alone");
-  command->add_option("--claims", options.extra_claims, "further claims, a JSON object")->type_name("JSON");
+  command->add_option("--kid", options.id, "the key's id (default: the name of the file)");
+  command->add_option("--iss", options.issuer, "the issuer")->required();
+  command->add_option("--aud", options.audience, "the audience")->required();
+  command->add_option("--sub", options.subject, "the subject")->required();
+  command->add_option("--tenant", options.tenant, "the tenant")->required();
+  command->add_option("--role", options.roles, "a role; can be repeated")->required();
+  command->add_option("--life", options.lifetime, "lifetime, like 10m (default 1h)");
+  command->add_option("--jti", options.token_id, "the token's id, by which it can be revoked");
+  command->add_option("--claims", options.extra_claims, "additional claims, a JSON object")
+      ->type_name("JSON");
 }
 
 void add_token_argument(CLI::App* command, TokenOptions& options) {
-  command->add_option("TOKEN", options.token, "the token; - or nothing: from standard input");
+  command->add_option("TOKEN", options.token, "the token; read from standard input if missing or -");
 }
 
 }  // namespace
@@ -169,15 +170,16 @@
   auto* token = app.add_subcommand("token", "tokens for callers");
   token->require_subcommand(1);
 
-  auto* mint = token->add_subcommand("mint", "signs one");
+  auto* mint = token->add_subcommand("mint", "creates a signed token");
   add_mint_options(mint, *options);
   mint->callback(make_callback(code, run_mint, options));
 
-  auto* show = token->add_subcommand("show", "what it says, unchecked");
+  auto* show = token->add_subcommand("show", "prints the contents of a token without verifying it");
   add_token_argument(show, *options);
   show->callback(make_callback(code, run_show, options));
 
-  auto* check = token->add_subcommand("check", "is it good by a dispatcher's file? exits 1 if not");
+  auto* check = token->add_subcommand(
+      "check", "verifies a token by a dispatcher's file; exit code 1 if it is rejected");
   check->add_option("--file", options->file, "the operator's file")->required()->type_name("FILE");
   add_token_argument(check, *options);
   check->callback(make_callback(code, run_check, options));
--- a/src/ctl/token_commands.h
+++ b/src/ctl/token_commands.h
@@ -1,4 +1,4 @@
-// `rookproxyctl token ...`: signs, shows and checks tokens. No dispatcher is contacted.
+// `rookproxyctl token ...`: creates, prints and verifies tokens. No dispatcher is contacted.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -8,7 +8,7 @@
 
 namespace rookproxy::ctl {
 
-// Adds the command. Once it has run, `code` holds the exit code of the program; `code` must outlive `app`.
+// Adds the command. When it has run, `code` contains the program's exit code; `code` must outlive `app`.
 void add_token_commands(CLI::App& app, std::optional<ExitCode>& code);
 
 }  // namespace rookproxy::ctl
