--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -40,7 +40,7 @@
   const std::string message =
       format_rfc5424(level, facility_, now, host_, app_, process_, message_id, fields, text);
   out_ << message << '\n' << std::flush;
-  // Best effort: a collector that is full or unreachable must not delay the dispatcher.
+  // Errors are ignored: a collector that is full or unreachable must not delay the dispatcher.
   send_best_effort(syslog_, message);
 }
 
@@ -49,7 +49,8 @@
   window_start_ = now;
   lines_in_window_ = 0;
   if (suppressed > 0) {
-    write(LogLevel::kWarning, "log", "lines left out", {{"count", std::to_string(suppressed)}});
+    write(LogLevel::kWarning, "log", "messages suppressed by the rate limit",
+          {{"count", std::to_string(suppressed)}});
   }
 }
 
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -1,4 +1,4 @@
-// Log messages to a stream and, if an operator configures it, to a syslog collector.
+// Logs to a stream and, if configured, to a syslog collector.
 #pragma once
 
 #include <initializer_list>
@@ -21,7 +21,7 @@
  public:
   Logger(std::ostream& out, LogLevel min_level, std::string host, std::string app);
 
-  // Sends messages to a collector by UDP as well; no address: no longer.
+  // Also sends messages to a collector by UDP; without an address, stops doing so.
   void set_syslog_target(const std::optional<SocketAddress>& address, int facility);
   void set_min_level(LogLevel min_level) { min_level_ = min_level; }
   void set_host(std::string host) { host_ = std::move(host); }
@@ -29,14 +29,14 @@
   // Whether messages of the level are written.
   [[nodiscard]] bool is_enabled(LogLevel level) const { return level <= min_level_; }
 
-  // Writes a message. Beyond a limit a second, messages are counted instead.
+  // Writes a message. Messages over a limit per second are suppressed and counted.
   void write(LogLevel level, std::string_view message_id, std::string_view text,
              std::initializer_list<LogField> fields);
 
  private:
   void start_window(Time now);
 
-  // A burst of messages must not cost what requests need.
+  // Bounds the CPU time that a burst of messages takes from requests.
   static constexpr int kMaxLinesPerSecond = 200;
   static constexpr int kDefaultFacility = 16;  // local0
 
--- a/src/log/log_fields.h
+++ b/src/log/log_fields.h
@@ -1,4 +1,4 @@
-/// Values of log fields.
+// Formats the values of log fields.
 #pragma once
 
 #include <chrono>
@@ -8,7 +8,7 @@
 
 namespace rookproxy {
 
-/// A duration as whole milliseconds.
+// A duration in whole milliseconds.
 [[nodiscard]] inline std::string milliseconds_field(Duration duration) {
   return std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(duration).count());
 }
--- a/src/log/rfc5424.cpp
+++ b/src/log/rfc5424.cpp
@@ -22,13 +22,13 @@
 constexpr std::size_t kMaxProcessLength = 128;
 constexpr std::size_t kMaxMessageIdLength = 32;
 constexpr std::size_t kMaxFieldNameLength = 32;
-// A facility's number is multiplied by this in a message's priority.
+// The priority of a message is its facility multiplied by this, plus its severity.
 constexpr int kSeveritiesPerFacility = 8;
 constexpr std::int64_t kMicrosecondsPerSecond = 1'000'000;
 
 bool is_control(char c) { return static_cast<unsigned char>(c) < 32 || c == 127; }
 
-// Header fields and names are printable ASCII without spaces, of bounded length; empty ones are '-'.
+// Header fields and names are printable ASCII without spaces, of limited length; an empty one is '-'.
 std::string header_field(std::string_view text, std::size_t max_length, std::string_view excluded = "") {
   std::string field;
   for (const char c : text.substr(0, max_length)) {
@@ -45,13 +45,13 @@
   ::gmtime_r(&seconds, &utc);
   char text[40];
   const auto length = std::strftime(text, sizeof text, "%Y-%m-%dT%H:%M:%S", &utc);
-  // The leading 1 keeps the fraction's zeros and gives way to the point.
+  // The leading 1 preserves the zeros of the fraction and is replaced by the point.
   std::string fraction = std::to_string(kMicrosecondsPerSecond + micros % kMicrosecondsPerSecond);
   fraction[0] = '.';
   return std::string(text, length) + fraction + "Z";
 }
 
-// In a value '"', '\' and ']' are escaped (section 6.3.3). Control characters would break line-wise readers.
+// Escapes '"', '\' and ']' (section 6.3.3) and replaces control characters, which would break the line.
 std::string field_value(std::string_view text) {
   std::string value;
   for (const char c : text) {
--- a/tests/log/log_test.cpp
+++ b/tests/log/log_test.cpp
@@ -1,4 +1,4 @@
-// Log lines: their format, their limit, and syslog.
+// Tests of the logger: the message format, the level and rate limit, and the syslog collector.
 #include "log/log.h"
 
 #include <sys/socket.h>
@@ -16,7 +16,7 @@
 using namespace rookproxy;
 using namespace std::chrono_literals;
 
-TEST_CASE("log: RFC 5424, with structured data escaped") {
+TEST_CASE("log: a message has the format of RFC 5424, with structured data escaped") {
   const std::string line =
       format_rfc5424(LogLevel::kWarning, 16, Time(1'767'225'600'000'042us), "a host", "rookproxy", "7", "",
                      {{"key", "say \"hi\" [\\] \n"}, {"b=d", ""}}, "text\nof two lines");
@@ -25,7 +25,7 @@
         "[rookproxy@32473 key=\"say \\\"hi\\\" [\\\\\\]  \" b_d=\"\"] text of two lines");
 }
 
-TEST_CASE("log: the level filters, and a flood is suppressed and counted") {
+TEST_CASE("log: messages below the minimum level are dropped, and a burst of messages is limited") {
   std::ostringstream out;
   Logger log(out, LogLevel::kNotice, "h", "a");
   log.write(LogLevel::kInfo, "x", "unwanted", {});
@@ -35,7 +35,7 @@
   CHECK(std::count(text.begin(), text.end(), '\n') < 500);
 }
 
-TEST_CASE("log: a syslog collector gets the same line by UDP") {
+TEST_CASE("log: a syslog collector receives the same message by UDP") {
   const FileDescriptor collector(::socket(AF_INET, SOCK_DGRAM, 0));
   const sockaddr_in any = SocketAddress{0x7f000001, 0}.to_sockaddr();
   REQUIRE(::bind(collector.get(), reinterpret_cast<const sockaddr*>(&any), sizeof any) == 0);
