--- a/src/options/options.h
+++ b/src/options/options.h
@@ -1,4 +1,4 @@
-// The command line that the long-running programs share: --file, --check, --help, and their exit codes.
+// The command line and exit codes shared by the long-running programs: --file, --check and --help.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -10,17 +10,18 @@
 
 namespace rookproxy {
 
-// What the command line says.
+// The options on the command line.
 struct ProgramOptions {
-  std::string config_file;  // empty: none was given
-  bool check_only = false;  // check the configuration and exit
+  // Empty if none was given.
+  std::string config_file;
+  // Whether to check the configuration and exit.
+  bool check_only = false;
 };
 
-// How the programs end.
+// The exit codes of the programs.
 enum ExitCode { kExitSuccess = 0, kExitFailure = 1, kExitUsage = 2 };
 
-// Prints what CLI11 reports and returns the exit code: success where help was asked for, else that for wrong
-// usage.
+// Prints what CLI11 reports and returns the exit code: kExitSuccess if help was requested, else kExitUsage.
 inline int report_parse_error(const CLI::App& app, const CLI::ParseError& error) {
   if (error.get_exit_code() == static_cast<int>(CLI::ExitCodes::Success)) {
     app.exit(error, std::cout, std::cerr);
@@ -30,19 +31,19 @@
   return kExitUsage;
 }
 
-// Reads the command line, runs `body(options, log)` and returns its exit code. Wrong usage and exceptions of
-// the body end here, with a message and an exit code. `requires_file`: whether --file has to be given.
+// Parses the command line, runs `body(options, log)` and returns its exit code. Invalid usage and exceptions
+// from the body are reported and turned into an exit code. `requires_file`: whether --file is required.
 template <class Body>
 int run_program(int argc, char** argv, const std::string& name, const std::string& about,
                 const std::string& footer, bool requires_file, Body body) {
-  const char* const file_help =
-      requires_file ? "the agent's file" : "an operator's file; its keys win over $NODE_CONFIG";
+  const char* const file_help = requires_file
+                                    ? "the agent's file"
+                                    : "the operator's TOML file; its keys override those of $NODE_CONFIG";
   ProgramOptions options;
   CLI::App app(about, name);
   app.footer(footer);
   app.add_option("--file", options.config_file, file_help)->type_name("FILE")->required(requires_file);
-  app.add_flag("--check", options.check_only,
-               "reads the configuration, says what is wrong with it, and exits");
+  app.add_flag("--check", options.check_only, "checks the configuration, reports the first error, and exits");
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& error) {
@@ -60,10 +61,9 @@
   }
 }
 
-// Says that --check found nothing wrong, and returns the exit code. What is wrong is reported as an
-// exception.
+// Reports that --check found no error, and returns the exit code. Errors are reported as exceptions.
 inline int report_valid_configuration() {
-  std::cout << "configuration is fine\n";
+  std::cout << "the configuration is valid\n";
   return kExitSuccess;
 }
 
