--- a/src/demo/main.cpp
+++ b/src/demo/main.cpp
@@ -1,5 +1,5 @@
-/// rookproxy-demo: starts rookproxy with an embedded configuration and two fake engines behind it, runs one
-/// statement through its MySQL frontend, and then serves on.
+// rookproxy-demo: starts rookproxy with an embedded configuration and two fake engines, runs one statement
+// through its MySQL frontend, and then keeps serving.
 #include <signal.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -24,12 +24,13 @@
 using test::TestConnection;
 using namespace std::chrono_literals;
 
-constexpr std::size_t kPacketHeaderSize = 4;  // of the MySQL protocol
+// The packet header of the MySQL protocol.
+constexpr std::size_t kPacketHeaderSize = 4;
 constexpr auto kGreetingWait = 200ms;
 constexpr auto kConnectInterval = 100ms;
 constexpr int kMaxConnectAttempts = 50;
 
-// The account of mysql_engines is the one that the fake engines accept (src/fakes).
+// The account in mysql_engines is the one that the fake engines accept (src/fakes).
 constexpr const char* kDemoConfigTemplate = R"(name = "demo"
 seed = "1"
 link = "mysql"
@@ -120,12 +121,13 @@
   auto message = test::read_mysql_message(peer);
   if (!message) throw std::runtime_error("the dispatcher closed the connection");
   if (message->payload.starts_with('\xff')) {
-    throw std::runtime_error("the dispatcher answered: " + mysql::parse_error(message->payload).text);
+    throw std::runtime_error("the dispatcher returned an error: " +
+                             mysql::parse_error(message->payload).text);
   }
   return *message;
 }
 
-// Logs in and runs the statement; the rows as text.
+// Logs in, runs the statement and returns the rows as text.
 std::string run_query(TestConnection& peer, const std::string& statement) {
   const auto greeting = mysql::parse_greeting(read_message_or_throw(peer).payload);
   mysql::Login login;
@@ -162,12 +164,12 @@
   return replace_port_placeholder(config, "%TWO%", second_engine_port);
 }
 
-// Connects until the dispatcher greets; a connection that is refused ends at once.
+// Connects until the dispatcher sends its greeting; a refused connection ends at once.
 TestConnection connect_when_ready(ChildProcess& dispatcher, std::uint16_t port) {
   TestConnection connection = TestConnection::connect(port);
   for (int attempts = 0; !connection.wait_for_bytes(kPacketHeaderSize, kGreetingWait); ++attempts) {
     if (attempts == kMaxConnectAttempts || !dispatcher.is_running()) {
-      throw std::runtime_error("the dispatcher does not come up");
+      throw std::runtime_error("the dispatcher did not start");
     }
     std::this_thread::sleep_for(kConnectInterval);
     connection = TestConnection::connect(port);
@@ -175,7 +177,8 @@
   return connection;
 }
 
-// Runs the statement through a dispatcher of its own; unless `once`, serves on until a signal ends it.
+// Starts a dispatcher and runs the statement through it. Unless `once` is set, the dispatcher keeps serving
+// until a signal ends it.
 void run_demo(const std::string& statement, bool once) {
   const test::TemporaryDirectory directory;
   FakeMysqlEngine first_engine;
@@ -191,7 +194,7 @@
   TestConnection connection = connect_when_ready(dispatcher, frontend_port);
   std::cout << statement << "\n" << run_query(connection, statement) << std::flush;
   if (once) return;
-  std::cout << "serving on 127.0.0.1:" << frontend_port << ", user demo, password demo; Ctrl-C ends it"
+  std::cout << "serving on 127.0.0.1:" << frontend_port << ", user demo, password demo; stop with Ctrl-C"
             << std::endl;
   dispatcher.wait();
 }
@@ -199,11 +202,11 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app("A dispatcher before two stand-in engines, on an embedded default.", "rookproxy-demo");
+  CLI::App app("Runs a dispatcher with two fake engines and an embedded configuration.", "rookproxy-demo");
   bool once = false;
   std::string statement = "SELECT name FROM marks_17.pupils LIMIT rows_3";
-  app.add_flag("--once", once, "ends after the answer, and does not serve on");
-  app.add_option("--query", statement, "what it asks; the stand-ins answer N rows to rows_N");
+  app.add_flag("--once", once, "exits after the first response");
+  app.add_option("--query", statement, "the statement to run; the fake engines return N rows for rows_N");
   CLI11_PARSE(app, argc, argv);
   try {
     run_demo(statement, once);
