--- a/src/simulator/action_writer.cpp
+++ b/src/simulator/action_writer.cpp
@@ -9,11 +9,10 @@
 namespace rookproxy::simulator {
 namespace {
 
-// Enough for the digits and the sign of any 64-bit integer.
+// Holds the digits and the sign of any 64-bit integer.
 constexpr std::size_t kMaxIntegerLength = 24;
 
-// Stands in a line for a value that is left out.
-constexpr char kAbsent = '-';
+constexpr char kAbsent = '-';  // marks an absent value
 
 void append_integer(std::string& text, std::int64_t value) {
   std::array<char, kMaxIntegerLength> digits{};
@@ -28,7 +27,7 @@
   }
 }
 
-// Writes one line, without its end, for the action it is called with.
+// Writes one line for an action, without the newline.
 class ActionVisitor {
  public:
   ActionVisitor(const EngineTable& engines, RequestTable& requests, std::string& reply)
@@ -43,12 +42,12 @@
     append_time_or_absent(reply_, send.timeout);
   }
 
-  void operator()(const routing::SetExecutionOptions& terms) {
-    begin_line("terms", terms.request);
+  void operator()(const routing::SetExecutionOptions& options) {
+    begin_line("terms", options.request);
     reply_ += '\t';
-    append_integer(reply_, terms.memory_mb ? std::llround(*terms.memory_mb) : 0);
+    append_integer(reply_, options.memory_mb ? std::llround(*options.memory_mb) : 0);
     reply_ += '\t';
-    append_integer(reply_, terms.priority);
+    append_integer(reply_, options.priority);
   }
 
   void operator()(const routing::Cancel& cancel) {
@@ -69,11 +68,11 @@
     complete(failure.request);
   }
 
-  void operator()(const routing::SetTimer& wake) {
+  void operator()(const routing::SetTimer& timer) {
     reply_ += "wake_at\t";
-    append_integer(reply_, wake.at);
+    append_integer(reply_, timer.at);
     reply_ += '\t';
-    reply_ += std::to_string(wake.token);
+    reply_ += std::to_string(timer.token);
   }
 
   void operator()(const routing::Probe& probe) {
@@ -88,8 +87,8 @@
     reply_ += log.text;
   }
 
-  // Forgets completed requests. Called after the last action, since one after the final answer may name its
-  // request.
+  // Releases completed requests. To be called after the last action, because an action that follows the final
+  // response may still refer to the request.
   void release_completed() {
     for (const routing::RequestId request : completed_) requests_.release_if_finished(request);
   }
--- a/src/simulator/action_writer.h
+++ b/src/simulator/action_writer.h
@@ -10,9 +10,9 @@
 
 namespace rookproxy::simulator {
 
-// Appends a line for each action to `reply`, in order, and keeps `requests` up to date: attempts that begin,
-// requests that are rejected or fail. Throws std::logic_error for an action that names an unknown request and
-// std::out_of_range for one that names an unknown engine.
+// Appends a line for each action to `reply`, in order, and records started attempts and rejected or failed
+// requests in `requests`. Throws std::logic_error for an action on an unknown request and std::out_of_range
+// for an action on an unknown engine.
 void write_actions(const std::vector<routing::Action>& actions, const EngineTable& engines,
                    RequestTable& requests, std::string& reply);
 
--- a/src/simulator/engine_table.h
+++ b/src/simulator/engine_table.h
@@ -1,5 +1,4 @@
-// The engines that an instance has been told of, by the addresses that the simulator's protocol names them
-// with.
+// The ids of the engines that an instance knows, by the addresses that the simulator's protocol uses.
 #pragma once
 
 #include <string>
@@ -11,17 +10,17 @@
 
 namespace rookproxy::simulator {
 
-// Numbers engines from 0 in the order in which they were first named; an engine keeps its number. Used by one
-// thread at a time.
+// Assigns ids to engines from 0 in the order of their first appearance; an engine keeps its id. Not
+// thread-safe.
 class EngineTable {
  public:
-  // The number of an engine, which gets one if it has none yet.
+  // Returns the engine's id and assigns one if it has none yet.
   routing::EngineId add(const std::string& address);
 
-  // The number of an engine that is known. Throws FormatError for any other.
+  // Returns the id of a known engine. Throws FormatError for an unknown one.
   [[nodiscard]] routing::EngineId find(std::string_view address) const;
 
-  // The address of an engine. Throws std::out_of_range for a number that was not given.
+  // Returns the address of an engine. Throws std::out_of_range for an id that was not assigned.
   [[nodiscard]] const std::string& address(routing::EngineId engine) const { return addresses_.at(engine); }
 
   void clear();
--- a/src/simulator/instance.cpp
+++ b/src/simulator/instance.cpp
@@ -11,20 +11,20 @@
 namespace rookproxy::simulator {
 namespace {
 
-// The protocol packs what an attempt cost into one integer: milliseconds of work times this, plus memory in
-// units of kCostMemoryUnitMb.
+// The protocol encodes the cost of an attempt as one integer: milliseconds of work times kCostWorkUnit, plus
+// memory in units of kCostMemoryUnitMb.
 constexpr std::int64_t kCostWorkUnit = 4096;
 constexpr double kCostMemoryUnitMb = 4;
 constexpr double kMicrosecondsPerMillisecond = 1000;
 
-// The bit of a request's state that marks a client's own retry.
+// The bit of a request's state that marks a retry by the client.
 constexpr std::uint64_t kClientRetryBit = 2;
 
-// Zones and machine types that the settings don't name; differs from the number that restrictions of classes
-// have for names unknown to them, so that no restriction admits such an engine.
+// The index of zones and machine types that are not in the settings. It differs from the index that class
+// restrictions use for unknown names, so that no restriction admits such an engine.
 constexpr std::uint32_t kUnlistedIndex = UINT32_MAX - 1;
 
-// The amount of a waiting update that tells a wait for a load from one for memory.
+// The amount of a waiting update that means waiting for a load; any other amount means waiting for memory.
 constexpr double kWaitsForLoadAmount = 2.0;
 
 constexpr auto kOutcomes = std::to_array<settings::Keyword<routing::Outcome>>({
@@ -61,8 +61,8 @@
   return report;
 }
 
-// The kind of an update by its number in the protocol, which has one number for both ways of waiting; nothing
-// if there is no such number.
+// Maps an update's number in the protocol to its kind, or to nothing if the number is unknown. Both kinds of
+// waiting have the same number and are distinguished by the amount.
 std::optional<routing::AttemptUpdateKind> update_kind(int number, double amount) {
   switch (number) {
     case 1:
@@ -77,7 +77,7 @@
   }
 }
 
-// What an attempt cost, unpacked into the event; left out or 0, it is unknown.
+// Decodes the cost of an attempt into the event. A cost of 0 means that it is unknown.
 void read_cost(std::string_view text, routing::AttemptEnded& ended) {
   const auto cost = settings::read_integer<std::int64_t>(text, "bill");
   if (cost < 0) settings::throw_format_error("bill is out of range", text);
@@ -109,7 +109,7 @@
   return names;
 }
 
-// A reply's line ends at a line's end, and its values at tabs.
+// Replaces the characters that separate the lines and values of a reply.
 void replace_separators(std::string& text) {
   std::replace_if(
       text.begin(), text.end(), [](char character) { return character == '\t' || character == '\n'; }, ' ');
@@ -134,11 +134,11 @@
   }
 }
 
-// A message of the protocol: how many values it has at least and at most, and what it does.
+// A message of the protocol: its name, the allowed number of values, and its handler.
 struct SimulatedInstance::MessageHandler {
   std::string_view name;
-  std::size_t least_values;
-  std::size_t most_values;
+  std::size_t min_values;
+  std::size_t max_values;
   void (SimulatedInstance::*handle)(const Message&, const EngineLists&);
 };
 
@@ -153,12 +153,12 @@
       {"dropped", 1, 1, &SimulatedInstance::request_cancelled},
       {"timeout_fired", 1, 1, &SimulatedInstance::timer_fired},
       {"probed", 3, 4, &SimulatedInstance::probe_ended},
-      {"heard", 2, 2,
-       &SimulatedInstance::ignore},  // instances share nothing: peers' messages are not passed on
+      // Messages from peers are ignored, because instances share no state.
+      {"heard", 2, 2, &SimulatedInstance::ignore},
   });
   for (const MessageHandler& handler : kHandlers) {
     if (handler.name != message.name()) continue;
-    message.require_values(handler.least_values, handler.most_values);
+    message.require_values(handler.min_values, handler.max_values);
     (this->*handler.handle)(message, engine_lists);
     return;
   }
@@ -168,7 +168,7 @@
 void SimulatedInstance::destroy(const Message&, const EngineLists&) { reset(); }
 
 void SimulatedInstance::update_engines(const Message& message, const EngineLists& engine_lists) {
-  enum Place { kKind = 2, kListNumber = 3 };
+  enum Field { kKind = 2, kListNumber = 3 };
   routing::EngineList list;
   list.kind = settings::read_keyword(kEngineListKinds, message.value(kKind), "mode");
   if (list.kind != routing::EngineListKind::kRejected) {
@@ -189,7 +189,7 @@
 }
 
 void SimulatedInstance::request_arrived(const Message& message, const EngineLists&) {
-  enum Place { kId = 1, kState, kClass, kKey, kDeadline, kMemory, kWork, kGroup, kTenant };
+  enum Field { kId = 1, kState, kClass, kKey, kDeadline, kMemory, kWork, kGroup, kTenant };
   routing::RequestArrived request;
   if (!message.has(kId)) throw settings::FormatError("new_request without an id");
   if (message.has(kState)) {
@@ -215,7 +215,7 @@
 }
 
 void SimulatedInstance::attempt_ended(const Message& message, const EngineLists&) {
-  enum Place { kRequest = 1, kAttempt, kEngine, kOutcome, kLatency, kCompleted, kCost, kReport };
+  enum Field { kRequest = 1, kAttempt, kEngine, kOutcome, kLatency, kCompleted, kCost, kReport };
   routing::AttemptEnded ended;
   ended.engine = engines_.find(message.value(kEngine));
   ended.attempt = settings::read_integer<std::uint32_t>(message.value(kAttempt), "shot");
@@ -233,21 +233,21 @@
 }
 
 void SimulatedInstance::response_started(const Message& message, const EngineLists&) {
-  enum Place { kRequest = 1, kAttempt = 3 };
+  enum Field { kRequest = 1, kAttempt = 3 };
   const auto attempt = settings::read_integer<std::uint32_t>(message.value(kAttempt), "shot");
   const auto request = requests_.find(message.value(kRequest));
   if (request) events_.emplace_back(routing::ResponseStarted{*request, attempt});
 }
 
 void SimulatedInstance::attempt_progressed(const Message& message, const EngineLists&) {
-  enum Place { kRequest = 1, kAttempt, kEngine, kKind, kAmount };
+  enum Field { kRequest = 1, kAttempt, kEngine, kKind, kAmount };
   routing::AttemptUpdate update;
   update.attempt = settings::read_integer<std::uint32_t>(message.value(kAttempt), "shot");
   update.engine = engines_.find(message.value(kEngine));
   const int kind = settings::read_integer<int>(message.value(kKind), "what");
   if (message.has(kAmount)) update.amount = settings::read_number(message.value(kAmount), "amount");
   const auto known_kind = update_kind(kind, update.amount);
-  if (!known_kind) settings::throw_format_error("unknown note", message.value(kKind));
+  if (!known_kind) settings::throw_format_error("unknown kind of update", message.value(kKind));
   update.kind = *known_kind;
   const auto request = requests_.find(message.value(kRequest));
   if (!request) return;
@@ -267,7 +267,7 @@
 }
 
 void SimulatedInstance::probe_ended(const Message& message, const EngineLists&) {
-  enum Place { kOutcome = 1, kEngine, kLatency, kReport };
+  enum Field { kOutcome = 1, kEngine, kLatency, kReport };
   routing::ProbeEnded probe;
   probe.outcome = settings::read_keyword(kOutcomes, message.value(kOutcome), "disposition");
   probe.engine = engines_.find(message.value(kEngine));
@@ -288,13 +288,13 @@
   keys_.clear();
 }
 
-// Keys are numbered from 1: the router takes 0 for none.
+// Assigns numbers from 1, because 0 means to the router that there is no key.
 std::uint64_t SimulatedInstance::number_of_key(std::string_view key) {
   return keys_.try_emplace(std::string(key), keys_.size() + 1).first->second;
 }
 
-// What is wrong, if the router could not be made or could not handle the batch; else its actions are in
-// `actions_`.
+// Returns an error message if the router could not be created or could not handle the batch. Otherwise its
+// actions are in `actions_`.
 std::optional<std::string> SimulatedInstance::run_router(routing::Time now) {
   actions_.clear();
   if (!settings_error_.empty()) return settings_error_;
--- a/src/simulator/instance.h
+++ b/src/simulator/instance.h
@@ -1,5 +1,4 @@
-// One dispatcher as the simulator plays it: a router, and the names that the protocol has for what it deals
-// with.
+// A dispatcher instance in the simulator: a router, and the mapping between its ids and the protocol's names.
 #pragma once
 
 #include <array>
@@ -19,39 +18,39 @@
 
 namespace rookproxy::simulator {
 
-// How many lists of engines the protocol numbers.
+// The number of engine lists in the protocol, which numbers them from 0.
 inline constexpr std::size_t kEngineListCount = 16;
 
-// One engine of a list, with the names that each instance numbers for itself.
+// An engine of a list, with the names that each instance maps to its own ids.
 struct EngineRow {
-  routing::EngineEntry entry;  // without its id, zone and machine type
+  routing::EngineEntry entry;  // its id, zone and machine type are not set
   std::string zone;
   std::string machine_type;
 };
 
-// The lists of engines that the instances of a session share, by their numbers.
+// The engine lists that the instances of a session share, by number.
 using EngineLists = std::array<std::vector<EngineRow>, kEngineListCount>;
 
-// Gathers the events of a batch from messages and lets the router answer them at the batch's end. Used by one
-// thread at a time; instances share nothing but the lists of engines, which they only read.
+// Collects the events of a batch from messages and passes them to the router at the end of the batch. Not
+// thread-safe. Instances share only the engine lists, which they do not change.
 class SimulatedInstance {
  public:
   explicit SimulatedInstance(std::string name) : name_(std::move(name)) {}
 
   [[nodiscard]] const std::string& name() const { return name_; }
 
-  // Whether it runs: it was enlisted and not destroyed since.
+  // Returns whether the instance was enlisted and has not been destroyed since.
   [[nodiscard]] bool is_running() const { return running_; }
 
-  // Starts afresh with the settings of `enlist`. Throws FormatError for malformed settings.
-  // Settings that the router turns down are no error here: each batch is then answered with that fault.
+  // Discards all state and starts with the settings of an `enlist` message. Throws FormatError for malformed
+  // settings. If the router rejects the settings, the reply to each batch is the router's error message.
   void enlist(std::uint64_t seed, const std::vector<std::string_view>& pairs);
 
-  // Takes a message of a running instance. Throws FormatError for one that is unknown or malformed.
+  // Handles a message for a running instance. Throws FormatError if it is unknown or malformed.
   void handle_message(const Message& message, const EngineLists& engine_lists);
 
-  // Lets the router handle the batch's events and appends its actions, or its fault, to `reply`. Does nothing
-  // if the instance does not run.
+  // Passes the batch's events to the router and appends its actions, or its error message, to `reply`. Does
+  // nothing if the instance is not running.
   void finish_batch(routing::Time now, std::string& reply);
 
  private:
@@ -76,7 +75,7 @@
   std::string name_;
   bool running_ = false;
   std::unique_ptr<routing::Router> router_;
-  std::string settings_error_;  // what the router found wrong with its settings; empty if nothing
+  std::string settings_error_;  // the router's error message for its settings; empty if they are valid
   std::vector<std::string> class_names_;
   std::vector<std::string> tenant_names_;
   std::vector<std::string> zone_names_;
--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -1,4 +1,4 @@
-// The simulator adapter: the decision module behind the simulator's protocol on standard input and output.
+// The simulator adapter: connects the decision module to the simulator over standard input and output.
 #include <iostream>
 
 #include "simulator/adapter.h"
--- a/src/simulator/message.cpp
+++ b/src/simulator/message.cpp
@@ -5,23 +5,22 @@
 namespace rookproxy::simulator {
 namespace {
 
-// Characters of a wrong message name that an error message quotes at most.
-constexpr std::size_t kMaxQuotedName = 40;
+constexpr std::size_t kMaxQuotedName = 40;  // characters
 
 }  // namespace
 
 std::string_view Message::quoted_name() const { return name().substr(0, kMaxQuotedName); }
 
-std::vector<std::string_view> Message::values_from(std::size_t place) const {
+std::vector<std::string_view> Message::values_from(std::size_t index) const {
   std::vector<std::string_view> values;
-  for (; place < fields_.size(); ++place) values.push_back(fields_[place]);
+  for (; index < fields_.size(); ++index) values.push_back(fields_[index]);
   return values;
 }
 
-void Message::require_values(std::size_t least, std::size_t most) const {
-  if (value_count() >= least && value_count() <= most) return;
+void Message::require_values(std::size_t min_count, std::size_t max_count) const {
+  if (value_count() >= min_count && value_count() <= max_count) return;
   throw settings::FormatError(std::string(quoted_name()) + " has " + std::to_string(value_count()) +
-                              " values, not " + std::to_string(least));
+                              " values, not " + std::to_string(min_count));
 }
 
 }  // namespace rookproxy::simulator
--- a/src/simulator/request_table.h
+++ b/src/simulator/request_table.h
@@ -1,4 +1,4 @@
-// The requests of an instance that still matter, by the ids that the simulator's protocol names them with.
+// The active requests of an instance, by the ids that the simulator's protocol uses.
 #pragma once
 
 #include <optional>
@@ -10,35 +10,34 @@
 
 namespace rookproxy::simulator {
 
-// Numbers requests and remembers each until it has its final answer and none of its attempts is in flight.
-// Numbers are never given twice, not even after `clear`. Used by one thread at a time.
+// Assigns ids to requests and tracks each request until it is completed and none of its attempts is in
+// flight. An id is never reused, not even after `clear`. Not thread-safe.
 class RequestTable {
  public:
-  // The number of a request, which gets one if it has none yet.
+  // Returns the request's id and assigns one if the request is not tracked yet.
   routing::RequestId add(std::string_view wire_id);
 
-  // The number of a request that is remembered.
+  // Returns the id of a tracked request, or nothing.
   [[nodiscard]] std::optional<routing::RequestId> find(std::string_view wire_id) const;
 
-  // The protocol's id of a request. Throws std::logic_error for one that is not remembered.
+  // Returns the protocol's id of a request. Throws std::logic_error if the request is not tracked.
   [[nodiscard]] const std::string& wire_id(routing::RequestId request) const;
 
-  // An attempt is in flight from now on. Throws std::logic_error for a request that is not remembered.
+  // Records that an attempt was started. Throws std::logic_error if the request is not tracked.
   void start_attempt(routing::RequestId request);
 
-  // An attempt of a remembered request is no longer in flight.
+  // Records that an attempt of a tracked request is no longer in flight.
   void end_attempt(routing::RequestId request);
 
-  // The request has its final answer. One that is not remembered is left alone.
+  // Records that the request has its final response. Does nothing if the request is not tracked.
   void complete(routing::RequestId request);
 
-  // Forgets a request that has its final answer and no attempt in flight; leaves any other alone.
+  // Stops tracking the request if it is completed and has no attempt in flight.
   void release_if_finished(routing::RequestId request);
 
   void clear();
 
  private:
-  // A request that is remembered.
   struct TrackedRequest {
     std::string wire_id;
     int in_flight = 0;
--- a/src/simulator/session.cpp
+++ b/src/simulator/session.cpp
@@ -43,7 +43,7 @@
 }
 
 void SimulatorSession::add_engine_row() {
-  enum Place { kName = 1, kStartedAt, kState, kZone, kCell, kWeight, kMachineType };
+  enum Field { kName = 1, kStartedAt, kState, kZone, kCell, kWeight, kMachineType };
   if (message_.name() != "row") {
     settings::throw_format_error("a row of the directory is missing before", message_.name());
   }
@@ -63,7 +63,7 @@
   --rows_expected_;
 }
 
-// A message inside a batch. Those for the session itself come first; all others are for the current instance.
+// Handles a message inside a batch: those of the session itself here, all others by the current instance.
 void SimulatorSession::handle_message() {
   if (message_.name() == "target_instance") return select_instance();
   if (message_.name() == "directory") return begin_engine_list();
@@ -83,7 +83,7 @@
 }
 
 void SimulatorSession::begin_engine_list() {
-  enum Place { kListNumber = 1, kRowCount };
+  enum Field { kListNumber = 1, kRowCount };
   message_.require_values(kRowCount, kRowCount);
   receiving_list_ = settings::read_integer<std::uint32_t>(message_.value(kListNumber), "roster_id");
   if (receiving_list_ >= engine_lists_.size()) {
@@ -94,7 +94,7 @@
 }
 
 void SimulatorSession::enlist() {
-  enum Place { kSeed = 1, kFirstSetting };
+  enum Field { kSeed = 1, kFirstSetting };
   message_.require_values(kSeed, SIZE_MAX);
   SimulatedInstance& instance = current_instance();
   if (instance.is_running()) settings::throw_format_error("enlisted twice", instance.name());
--- a/src/simulator/session.h
+++ b/src/simulator/session.h
@@ -1,5 +1,5 @@
-// A session of the simulator's protocol: batches of messages for any number of instances, one reply for each
-// batch.
+// A session of the simulator's protocol, which consists of batches of messages for any number of instances
+// and one reply per batch.
 #pragma once
 
 #include <cstddef>
@@ -15,16 +15,16 @@
 
 namespace rookproxy::simulator {
 
-// A batch begins with `clock` and ends with `commit`; between them messages go to the instance that was last
-// named. Carries messages and replies and decides nothing. Used by one thread at a time.
+// Dispatches messages to instances and collects their replies. A batch begins with `clock` and ends with
+// `commit`; the messages between them are for the instance that was selected last. Not thread-safe.
 class SimulatorSession {
  public:
-  // Takes one line without its end. Returns true if the line ended a batch: its reply has been appended to
-  // `reply` and has to be written and flushed. Throws FormatError for a line that the protocol
-  // doesn't allow, after which the session is not to be used.
+  // Handles one line, given without its newline. Returns true if the line ended a batch, whose reply was then
+  // appended to `reply` and must be written and flushed. Throws FormatError for a line that violates the
+  // protocol; the session must not be used after that.
   bool handle_line(std::string_view line, std::string& reply);
 
-  // Whether a batch has begun that has not ended.
+  // Returns whether a batch has begun and not ended.
   [[nodiscard]] bool is_inside_batch() const { return in_batch_; }
 
  private:
@@ -37,20 +37,20 @@
   void finish_batch(std::string& reply);
   SimulatedInstance& current_instance();
 
-  // An instance and its part in the batch that is being read.
+  // An instance and whether the current batch has messages for it.
   struct Participant {
     std::unique_ptr<SimulatedInstance> instance;
-    bool in_batch = false;  // named in the batch that is being read
+    bool in_batch = false;
   };
 
   Message message_;
   bool in_batch_ = false;
-  routing::Time now_ = 0;  // microseconds, of the batch that is being read
+  routing::Time now_ = 0;  // the clock of the current batch, in microseconds
   std::unordered_map<std::string, Participant> participants_;
-  std::vector<Participant*> batch_participants_;  // in the order in which the batch named them
+  std::vector<Participant*> batch_participants_;  // in the order of their first message in the batch
   std::string current_name_;
   EngineLists engine_lists_;
-  std::size_t receiving_list_ = 0;  // the list that rows go to
+  std::size_t receiving_list_ = 0;  // index of the list that rows are added to
   std::size_t rows_expected_ = 0;
 };
 
--- a/tests/simulator/adapter_test.cpp
+++ b/tests/simulator/adapter_test.cpp
@@ -1,4 +1,4 @@
-// The simulator adapter as a whole: the replies to lines of its protocol, and the errors for malformed ones.
+// Tests of the simulator adapter: replies to valid batches and errors for malformed input.
 #include "simulator/adapter.h"
 
 #include <gtest/gtest.h>
@@ -38,7 +38,7 @@
   return "new_request\t" + id + "\t1\tlook\t-\t2001000\t384\t12000\t11\t-\n";
 }
 
-TEST(SimulatorAdapter, ARequestBecomesASend) {
+TEST(SimulatorAdapter, RequestIsSentToAnEngine) {
   const auto result = run("clock\t10\ncommit\n" + kStart + request(kId) + "commit\n");
   EXPECT_EQ(result.code, 0) << result.err;
   EXPECT_EQ(result.out.rfind("finished\nas\trouter_0\n", 0), 0u) << result.out;
@@ -46,7 +46,7 @@
   EXPECT_NE(result.out.find("wake_at\t2001000\t"), std::string::npos) << result.out;
 }
 
-TEST(SimulatorAdapter, AnUnansweredRequestEndsFailed) {
+TEST(SimulatorAdapter, RequestFailsAtItsDeadlineAfterAnAttemptWithoutResponse) {
   const auto result =
       run(kStart + request(kId) + "commit\nclock\t2001000\ntarget_instance\trouter_0\nclosed_attempt\t" +
           kId + "\t0\t10.0.0.1:99\tno_answer\t2000000\t0\t0\t-\ncommit\n");
@@ -54,7 +54,7 @@
   EXPECT_NE(result.out.find("end_failed\t" + kId), std::string::npos) << result.out;
 }
 
-TEST(SimulatorAdapter, TwoInstancesAnswerAsThemselves) {
+TEST(SimulatorAdapter, EachInstanceRepliesUnderItsOwnName) {
   auto second = kStart;
   second.replace(second.find("clock\t1000\n"), 11, "");
   second.replace(second.find("router_0"), 8, "router_1");
@@ -64,7 +64,7 @@
   EXPECT_NE(result.out.find("as\trouter_1\n"), std::string::npos);
 }
 
-TEST(SimulatorAdapter, AKilledInstanceForgets) {
+TEST(SimulatorAdapter, DestroyedInstanceDiscardsItsRequests) {
   const auto result =
       run(kStart + request(kId) + "commit\nclock\t2000\ntarget_instance\trouter_0\ndestroy\n" + kEnlist +
           "\nmembers\t1\tremembered\t0\ncommit\nclock\t3000\ntarget_instance\trouter_0\ndropped\t" + kId +
@@ -73,13 +73,13 @@
   EXPECT_EQ(result.out.find("push_back"), std::string::npos);
 }
 
-TEST(SimulatorAdapter, ContradictingSettingsBailOut) {
+TEST(SimulatorAdapter, InvalidSettingsAreReportedAsBailOut) {
   const auto result = run("clock\t1\ntarget_instance\trouter_0\nenlist\t1\tgrades.count=0\ncommit\n");
   EXPECT_EQ(result.code, 0) << result.err;
   EXPECT_NE(result.out.find("bail_out\tsetting classes"), std::string::npos) << result.out;
 }
 
-TEST(SimulatorAdapter, MalformedTextNamesLineAndFault) {
+TEST(SimulatorAdapter, ErrorForMalformedInputNamesLineAndCause) {
   const struct {
     std::string text;
     std::string fault;
@@ -107,11 +107,11 @@
   }
 }
 
-TEST(SimulatorAdapter, EveryTruncationIsRefusedOrHarmless) {
+TEST(SimulatorAdapter, TruncatedInputIsRejected) {
   const std::string text = kStart + request(kId) + "commit\n";
-  for (std::size_t cut = 1; cut + 1 < text.size(); ++cut) {  // the last line's end may be missing
-    const auto result = run(text.substr(0, cut));
-    EXPECT_NE(result.code, 0) << "cut at " << cut;
+  for (std::size_t length = 1; length + 1 < text.size(); ++length) {  // the final newline is optional
+    const auto result = run(text.substr(0, length));
+    EXPECT_NE(result.code, 0) << "truncated to " << length;
     EXPECT_FALSE(result.err.empty());
     if (::testing::Test::HasFailure()) break;
   }
--- a/tests/simulator/request_table_test.cpp
+++ b/tests/simulator/request_table_test.cpp
@@ -1,4 +1,4 @@
-// Which requests an instance remembers, and for how long.
+// Tests of how long an instance tracks its requests.
 #include "simulator/request_table.h"
 
 #include <gtest/gtest.h>
@@ -8,7 +8,7 @@
 namespace rookproxy::simulator {
 namespace {
 
-TEST(RequestTable, ARequestIsForgottenOnceItIsCompletedAndNoAttemptIsInFlight) {
+TEST(RequestTable, RequestIsReleasedOnceCompletedWithNoAttemptInFlight) {
   RequestTable table;
   const routing::RequestId request = table.add("a");
   EXPECT_EQ(table.add("a"), request);
@@ -22,7 +22,7 @@
   EXPECT_THROW(static_cast<void>(table.wire_id(request)), std::logic_error);
 }
 
-TEST(RequestTable, NumbersAreNotGivenTwice) {
+TEST(RequestTable, IdIsNotReusedAfterClear) {
   RequestTable table;
   const routing::RequestId first = table.add("a");
   table.clear();
