--- a/src/mysql/constants.h
+++ b/src/mysql/constants.h
@@ -1,4 +1,4 @@
-// Numbers of the MySQL client/server protocol, under the names that the server's documentation gives them.
+// Constants of the MySQL client/server protocol, named as in the server's documentation.
 #pragma once
 
 #include <cstddef>
@@ -7,7 +7,7 @@
 
 namespace rookproxy::mysql {
 
-// The first byte of a client's request.
+// The first byte of a command from a client.
 enum Command : std::uint8_t {
   kQuit = 0x01,
   kInitDb = 0x02,
@@ -23,7 +23,7 @@
   kResetConnection = 0x1f
 };
 
-// Bits that both sides exchange in the handshake.
+// Capability flags that both sides exchange in the handshake.
 enum Capability : std::uint32_t {
   kLongPassword = 1,
   kLongFlag = 4,
@@ -36,14 +36,14 @@
   kConnectAttrs = 0x100000,
   kPluginAuthLenenc = 0x200000
 };
-// What the dispatcher speaks on either side. Left out on purpose: DEPRECATE_EOF and SESSION_TRACK (they
-// change the form of responses, which pass through unchanged), MULTI_STATEMENTS and MULTI_RESULTS,
-// LOCAL_FILES, SSL and COMPRESS.
+// The capabilities that the dispatcher supports toward clients and engines. DEPRECATE_EOF and SESSION_TRACK
+// are excluded because they change the format of responses, which are passed through unchanged.
+// MULTI_STATEMENTS, MULTI_RESULTS, LOCAL_FILES, SSL and COMPRESS are not supported.
 constexpr std::uint32_t kCapabilities = kLongPassword | kLongFlag | kConnectWithDb | kProtocol41 |
                                         kTransactions | kSecureConnection | kPluginAuth | kConnectAttrs |
                                         kPluginAuthLenenc;
 
-// The server's own error codes.
+// Error codes of the MySQL server.
 enum Error : std::uint16_t {
   kTooManyConnections = 1040,
   kOutOfResources = 1041,
@@ -71,14 +71,14 @@
   kSecureTransportRequired = 3159,
   kServerNotAvailable = 3168
 };
-// The SQLSTATE that the server gives with an error code.
+// Returns the SQLSTATE that the server sends with an error code.
 [[nodiscard]] std::string_view sql_state(std::uint16_t error);
 
-// Bits of a response's status.
+// Status flags of a response.
 constexpr std::uint16_t kAutocommit = 2;
 constexpr std::uint16_t kMoreResultsExist = 8;
 
-constexpr std::uint8_t kUtf8mb4 = 45;  // the character set's number
+constexpr std::uint8_t kUtf8mb4 = 45;  // character set id
 
 // Authentication plugins.
 constexpr std::string_view kClearPassword = "mysql_clear_password";
--- a/src/mysql/handshake.cpp
+++ b/src/mysql/handshake.cpp
@@ -17,11 +17,11 @@
 
 constexpr std::uint8_t kProtocolVersion = 10;
 constexpr std::size_t kNonceSize = 20;
-constexpr std::size_t kFirstNoncePart = 8;       // the greeting holds the nonce in two parts
-constexpr std::size_t kMinSecondNoncePart = 13;  // with the zero byte behind it
+constexpr std::size_t kFirstNoncePart = 8;       // the greeting contains the nonce in two parts
+constexpr std::size_t kMinSecondNoncePart = 13;  // including the terminating zero byte
 constexpr std::size_t kReservedGreetingBytes = 10;
 constexpr std::size_t kReservedLoginBytes = 23;
-constexpr std::uint64_t kMaxPacketSize = 1U << 24U;  // what we announce in a login
+constexpr std::uint64_t kMaxPacketSize = 1U << 24U;  // announced in a login
 
 std::string digest(const EVP_MD* algorithm, std::initializer_list<std::string_view> parts) {
   std::array<unsigned char, EVP_MAX_MD_SIZE> out{};
@@ -32,12 +32,12 @@
     succeeded = succeeded && EVP_DigestUpdate(context.get(), part.data(), part.size()) == 1;
   }
   if (!succeeded || EVP_DigestFinal_ex(context.get(), out.data(), &size) != 1) {
-    throw std::runtime_error("digest failed");
+    throw std::runtime_error("OpenSSL digest computation failed");
   }
   return {reinterpret_cast<const char*>(out.data()), size};
 }
 
-// The key is repeated as often as the bytes need it.
+// Combines the bytes with the key, which is repeated to their length.
 std::string xor_bytes(std::string bytes, std::string_view key) {
   for (std::size_t index = 0; index < bytes.size(); ++index) {
     bytes[index] = static_cast<char>(bytes[index] ^ key[index % key.size()]);
@@ -109,7 +109,7 @@
   PayloadReader reader(payload);
   Login login;
   login.capabilities = static_cast<std::uint32_t>(reader.integer(4));
-  reader.integer(4);  // the client's largest packet
+  reader.integer(4);  // the client's maximum packet size
   login.charset = static_cast<std::uint8_t>(reader.integer(1));
   reader.take(kReservedLoginBytes);
   if ((login.capabilities & kProtocol41) == 0) {
@@ -169,9 +169,9 @@
 std::string generate_nonce() {
   std::string nonce(kNonceSize, '\0');
   if (RAND_bytes(reinterpret_cast<unsigned char*>(nonce.data()), kNonceSize) != 1) {
-    throw std::runtime_error("no randomness");
+    throw std::runtime_error("OpenSSL random number generator failed");
   }
-  // Clients take it for a text: printable characters, without NUL and, as with servers, of seven bits.
+  // Clients handle the nonce as text, so it consists of printable ASCII characters.
   constexpr int kFirstCharacter = 33;
   constexpr int kCharacters = 94;
   for (char& byte : nonce) {
--- a/src/mysql/handshake.h
+++ b/src/mysql/handshake.h
@@ -1,4 +1,4 @@
-// The connection phase of the MySQL protocol: greeting, login and the proof of a password.
+// The connection phase of the MySQL protocol: greeting, login and password authentication.
 #pragma once
 
 #include <cstddef>
@@ -20,8 +20,9 @@
   std::string plugin;
   std::string version;
 };
+// Encodes a greeting.
 [[nodiscard]] std::string greeting_payload(const Greeting& greeting);
-// Throws MalformedPacketError.
+// Decodes a greeting. Throws MalformedPacketError.
 [[nodiscard]] Greeting parse_greeting(std::string_view payload);
 
 // The client's answer (Protocol::HandshakeResponse41).
@@ -29,30 +30,35 @@
   std::uint32_t capabilities = 0;
   std::uint8_t charset = kUtf8mb4;
   std::string user;
-  std::string auth_response;  // what proves the password, in the form of the plugin
+  std::string auth_response;  // in the format of the plugin
   std::string schema;
   std::string plugin;
 };
+// Encodes a login.
 [[nodiscard]] std::string login_payload(const Login& login);
-// Throws MalformedPacketError.
+// Decodes a login. Throws MalformedPacketError.
 [[nodiscard]] Login parse_login(std::string_view payload);
 
-// A client that asks for TLS sends only this much of its login in the clear.
+// The size of the part of a login, in bytes, that a client sends unencrypted to request TLS.
 constexpr std::size_t kSslRequestSize = 32;
+// Returns whether the payload is a request for TLS.
 [[nodiscard]] bool is_ssl_request(std::string_view payload);
-// COM_CHANGE_USER behind its first byte, with the capabilities of the login. Throws MalformedPacketError.
+// Parses the payload of COM_CHANGE_USER after its first byte, given the capabilities of the login. Throws
+// MalformedPacketError.
 [[nodiscard]] Login parse_change_user(std::string_view payload, std::uint32_t capabilities);
 
-// What proves the password under that plugin; nothing if the plugin is not supported.
+// Computes the response that authenticates the password with the plugin, or nothing if the plugin is not
+// supported.
 [[nodiscard]] std::optional<std::string> make_auth_response(std::string_view plugin,
                                                             std::string_view password,
                                                             std::string_view nonce);
-// Compares in a time that does not depend on where the two differ.
+// Compares in a time that does not depend on the position of the first difference.
 [[nodiscard]] bool constant_time_equal(std::string_view a, std::string_view b);
-// 20 random bytes as servers send them. Throws std::runtime_error if there is no randomness.
+// Returns 20 random bytes in the form that servers send. Throws std::runtime_error if the random number
+// generator fails.
 [[nodiscard]] std::string generate_nonce();
-// The password, encrypted to the public key (PEM) of a server that asks for the password itself over a plain
-// connection; nothing if the key can't be used.
+// Encrypts the password with the public key (PEM) of a server that requires the password itself over an
+// unencrypted connection. Returns nothing if the key cannot be used.
 [[nodiscard]] std::optional<std::string> encrypt_password(std::string_view password, std::string_view nonce,
                                                           const std::string& public_key);
 
--- a/src/mysql/packet.cpp
+++ b/src/mysql/packet.cpp
@@ -5,7 +5,7 @@
 namespace rookproxy::mysql {
 namespace {
 
-// The first byte of a length-encoded integer, if it is not the integer itself.
+// Values of the first byte of a length-encoded integer. Up to kMaxOneByteLength it is the integer itself.
 constexpr std::uint8_t kMaxOneByteLength = 0xfa;
 constexpr std::uint8_t kTwoByteLength = 0xfc;
 constexpr std::uint8_t kThreeByteLength = 0xfd;
@@ -78,7 +78,7 @@
     packets += static_cast<char>(sequence++);
     packets += part;
     payload.remove_prefix(part.size());
-    // A payload that fills its last packet is closed by an empty one.
+    // A payload that fills its last packet is terminated by an empty packet.
     if (part.size() < kMaxPayloadSize) return packets;
   }
 }
@@ -87,7 +87,7 @@
   Message message;
   std::size_t position = 0;
   std::size_t total_size = 0;
-  // Joined only once all are there: a large message arrives in many pieces.
+  // Assembled only when complete, because a large message arrives in many pieces.
   std::vector<std::string_view> parts;
   for (bool is_first = true;; is_first = false) {
     if (bytes.size() - position < kHeaderSize) return message;
--- a/src/mysql/packet.h
+++ b/src/mysql/packet.h
@@ -1,4 +1,4 @@
-// Packets of the MySQL protocol and the values in them.
+// Encoding and decoding of the packets of the MySQL protocol and their values.
 #pragma once
 
 #include <cstddef>
@@ -11,9 +11,9 @@
 namespace rookproxy::mysql {
 
 constexpr std::size_t kHeaderSize = 4;
-constexpr std::size_t kMaxPayloadSize = 0xffffff;  // of one packet; larger payloads take several
+constexpr std::size_t kMaxPayloadSize = 0xffffff;  // of one packet; a larger payload is split
 
-// Bytes from the peer are not a valid packet or value.
+// Thrown if bytes from the peer are not a valid packet or value.
 struct MalformedPacketError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
@@ -24,14 +24,14 @@
  public:
   explicit PayloadReader(std::string_view bytes) : bytes_(bytes) {}
 
-  // A little-endian number of `size` bytes.
+  // Reads a little-endian integer of `size` bytes.
   std::uint64_t integer(std::size_t size);
   std::uint64_t length_encoded_integer();
   std::string_view length_encoded_string() { return take(length_encoded_integer()); }
   std::string_view null_terminated_string();
   std::string_view take(std::uint64_t size);
   std::string_view take_remaining() { return std::exchange(bytes_, {}); }
-  // How many bytes are left.
+  // Returns the number of bytes not yet read.
   [[nodiscard]] std::size_t remaining() const { return bytes_.size(); }
 
  private:
@@ -42,19 +42,20 @@
 void append_length_encoded_integer(std::string& out, std::uint64_t value);
 void append_length_encoded_string(std::string& out, std::string_view text);
 
-// The payload in packets. The first one gets the number `sequence`, which is moved on behind the last one.
+// Splits the payload into packets. The first one has the sequence number `sequence`, which is advanced past
+// the last one.
 [[nodiscard]] std::string split_into_packets(std::string_view payload, std::uint8_t& sequence);
 
-// One message, joined from its packets.
+// A message, assembled from its packets.
 struct Message {
   std::string payload;
   std::uint8_t first_sequence = 0;
   std::uint8_t next_sequence = 0;
-  std::size_t consumed = 0;  // bytes of the input; 0: the message is not complete yet
+  std::size_t consumed = 0;  // bytes of the input, or 0 if the message is incomplete
   bool too_large = false;
   bool out_of_order = false;
 };
-// The message at the front of `bytes`, whose payload may have at most `max_size` bytes.
+// Parses the message at the start of `bytes`, whose payload may have at most `max_size` bytes.
 [[nodiscard]] Message parse_message(std::string_view bytes, std::size_t max_size);
 
 }  // namespace rookproxy::mysql
--- a/src/mysql/protocol.h
+++ b/src/mysql/protocol.h
@@ -1,4 +1,4 @@
-// The MySQL client/server protocol, as far as both sides of the dispatcher need it.
+// The parts of the MySQL client/server protocol that the dispatcher uses toward clients and engines.
 #pragma once
 
 #include "mysql/constants.h"
--- a/src/mysql/response.cpp
+++ b/src/mysql/response.cpp
@@ -12,15 +12,17 @@
 constexpr char kLocalFileHeader = '\xfb';
 constexpr char kNullColumn = '\xfb';
 
-constexpr std::size_t kMaxEofSize = 8;  // a longer payload with that first byte is a row
+constexpr std::size_t kMaxEofSize = 8;  // a longer payload with this header is a row
 constexpr std::size_t kEofSize = 5;
 constexpr std::size_t kEofStatusOffset = 3;
 constexpr std::size_t kMaxErrorTextSize = 512;
-constexpr std::size_t kSqlStateSize = 6;  // with the mark before it
+constexpr std::size_t kSqlStateSize = 6;  // including the '#' before it
 
-// Where the status lies in a payload that has one; 0 if it has none. `reader` is at its start.
+// Returns the offset of the status in a payload, or 0 if it has no status. `reader` is at the payload's
+// start.
 std::size_t status_offset(PayloadReader reader, std::size_t size, bool is_first_packet) {
-  // The first packet of a response without rows is an OK; among rows only an EOF is that short.
+  // A response without rows starts with an OK packet. Among rows, only an EOF packet has this header and
+  // size.
   const auto header = static_cast<char>(reader.integer(1));
   if (is_first_packet && header == kOkHeader) {
     reader.length_encoded_integer();
@@ -81,7 +83,7 @@
 }
 
 bool ResponseTracker::on_packet(std::string_view payload) {
-  // Only the first packet of a payload that is too large for one is looked at.
+  // Only the first packet of a payload that is split into several is examined.
   const bool belongs_to_previous = std::exchange(is_continued_, payload.size() == kMaxPayloadSize);
   if (belongs_to_previous) return false;
   switch (state_) {
@@ -184,7 +186,7 @@
 std::string format_rows(std::string_view response) {
   std::string out;
   std::uint64_t columns = 0;
-  int eof_packets = 0;  // the first ends the columns, the second the rows
+  int eof_packets = 0;  // the first one ends the columns, the second one the rows
   for (bool is_first = true; !response.empty(); is_first = false) {
     const Message message = parse_message(response, SIZE_MAX);
     if (message.consumed == 0) throw MalformedPacketError("a result that ends too soon");
