--- a/bench/access_load.cpp
+++ b/bench/access_load.cpp
@@ -1,5 +1,5 @@
-// Latency on sockets with and without the identification of callers, side by side in one run, and under a
-// flood of bad tokens. docs/performance.md has the command and figures.
+// Measures the latency of requests with and without authentication in one run, and during a flood of bad
+// tokens. docs/performance.md has the command and results.
 #include <signal.h>
 #include <sys/socket.h>
 #include <sys/wait.h>
@@ -18,7 +18,6 @@
 #include "fakes/sockets.h"
 #include "fakes/temporary_directory.h"
 #include "frontend/frame_codec.h"
-
 #include "frontend/frames_frontend.h"
 #include "net/file_descriptor.h"
 #include "net/sockets.h"
@@ -33,7 +32,7 @@
 constexpr const char* kStatement =
     "SELECT p.name, m.mark FROM sales_17.pupils AS p JOIN sales_17.marks AS m ON m.pupil = p.id";
 
-json base(const std::vector<std::uint16_t>& engines, std::uint16_t port) {
+json base_config(const std::vector<std::uint16_t>& engines, std::uint16_t port) {
   json members = json::array();
   for (std::size_t i = 0; i < engines.size(); ++i) {
     members.push_back({{"id", "e" + std::to_string(i)},
@@ -78,7 +77,7 @@
   pid_t pid_;
 };
 
-std::string frame_of(std::uint32_t stream, std::uint64_t call, const std::string& token) {
+std::string encode_request_frame(std::uint32_t stream, std::uint64_t call, const std::string& token) {
   static const char* digits = "0123456789abcdef";
   std::string id(16, '0');
   for (int i = 0; i < 16; ++i) id[static_cast<std::size_t>(i)] = digits[call >> (60 - 4 * i) & 15];
@@ -94,7 +93,7 @@
 }
 
 struct Timings {
-  std::vector<double> us;
+  std::vector<double> latencies_us;
   std::uint64_t served = 0, other = 0;
 };
 double quantile(std::vector<double> values, double q) {
@@ -104,17 +103,19 @@
                          static_cast<std::size_t>(q * static_cast<double>(values.size())))];
 }
 
-// Open loop: what is due is sent whether or not answers came, and each is timed from when it was due. The
-// thread spins, so that its own waking is not measured.
-Timings ask(std::uint16_t port, double rate, Clock::duration length, const std::vector<std::string>& tokens) {
-  struct Line {
+// Generates load in an open loop: requests are sent when they are due, regardless of outstanding responses,
+// and latency is measured from the due time. The thread busy-waits, so that its wake-up latency is not
+// included.
+Timings run_load(std::uint16_t port, double rate, Clock::duration length,
+                 const std::vector<std::string>& tokens) {
+  struct Connection {
     FileDescriptor fd;
     std::string in;
-    std::vector<Clock::time_point> due{Clock::time_point()};  // by stream
+    std::vector<Clock::time_point> due{Clock::time_point()};  // by stream id
   };
   static std::uint64_t call = 1;
-  std::vector<Line> lines(16);
-  for (auto& line : lines) line.fd = connect_tcp({0x7f000001, port});
+  std::vector<Connection> connections(16);
+  for (auto& connection : connections) connection.fd = connect_tcp({0x7f000001, port});
   std::this_thread::sleep_for(50ms);
   Timings outcome;
   const auto begin = Clock::now();
@@ -124,41 +125,44 @@
     const auto now = Clock::now();
     if (now > begin + length + 5s) break;
     if (due < begin + length && now >= due) {
-      Line& line = lines[sent % lines.size()];
-      const auto stream = static_cast<std::uint32_t>(line.due.size());
-      line.due.push_back(due);
-      const std::string frame = frame_of(stream, call++, tokens.empty() ? "" : tokens[sent % tokens.size()]);
-      if (::send(line.fd.get(), frame.data(), frame.size(), MSG_NOSIGNAL) !=
+      Connection& connection = connections[sent % connections.size()];
+      const auto stream = static_cast<std::uint32_t>(connection.due.size());
+      connection.due.push_back(due);
+      const std::string frame =
+          encode_request_frame(stream, call++, tokens.empty() ? "" : tokens[sent % tokens.size()]);
+      if (::send(connection.fd.get(), frame.data(), frame.size(), MSG_NOSIGNAL) !=
           static_cast<ssize_t>(frame.size()))
         break;
       ++sent;
       due += step;
     }
-    for (auto& line : lines) {
+    for (auto& connection : connections) {
       char bytes[8192];
-      const ssize_t got = ::recv(line.fd.get(), bytes, sizeof bytes, MSG_DONTWAIT);
-      if (got <= 0) continue;
-      line.in.append(bytes, static_cast<std::size_t>(got));
+      const ssize_t received = ::recv(connection.fd.get(), bytes, sizeof bytes, MSG_DONTWAIT);
+      if (received <= 0) continue;
+      connection.in.append(bytes, static_cast<std::size_t>(received));
       frames::Frame frame;
       std::size_t used = 0;
-      while (frames::parse_frame(line.in, frame, used) == frames::ParseStatus::kComplete) {
-        if (frame.type == frames::kResponse && frame.stream_id < line.due.size() && frame.stream_id > 0) {
+      while (frames::parse_frame(connection.in, frame, used) == frames::ParseStatus::kComplete) {
+        if (frame.type == frames::kResponse && frame.stream_id < connection.due.size() &&
+            frame.stream_id > 0) {
           ++answered;
-          outcome.us.push_back(
-              std::chrono::duration<double, std::micro>(Clock::now() - line.due[frame.stream_id]).count());
+          outcome.latencies_us.push_back(
+              std::chrono::duration<double, std::micro>(Clock::now() - connection.due[frame.stream_id])
+                  .count());
           ++(frame.payload[0] == 0 ? outcome.served : outcome.other);
         }
-        line.in.erase(0, used);
+        connection.in.erase(0, used);
       }
     }
   }
   return outcome;
 }
 
-// Bad tokens at that rate, each another one, over connections that are opened anew as they are closed.
+// Sends distinct bad tokens at the given rate and reopens connections that are closed.
 void flood(std::uint16_t port, double rate, const std::string& token, std::atomic<bool>& stop,
            std::atomic<std::uint64_t>& sent) {
-  std::vector<FileDescriptor> lines(20);
+  std::vector<FileDescriptor> connections(20);
   std::vector<std::uint32_t> streams(20, 0);
   const auto begin = Clock::now();
   std::uint64_t number = 0, call = std::uint64_t{1} << 62;
@@ -169,19 +173,19 @@
       std::this_thread::sleep_for(200us);
       continue;
     }
-    const std::size_t at = number++ % lines.size();
-    if (!lines[at]) {
-      lines[at] = connect_tcp({0x7f000001, port});
+    const std::size_t at = number++ % connections.size();
+    if (!connections[at]) {
+      connections[at] = connect_tcp({0x7f000001, port});
       streams[at] = 0;
     }
     char bytes[16384];
-    while (::recv(lines[at].get(), bytes, sizeof bytes, MSG_DONTWAIT) > 0) continue;
+    while (::recv(connections[at].get(), bytes, sizeof bytes, MSG_DONTWAIT) > 0) continue;
     std::string bad = token;
     for (std::size_t i = 1; i <= 8; ++i)
       bad[bad.size() - 10 - i] = "abcdefghijklmnop"[number >> (4 * (i - 1)) & 15];
-    const std::string frame = frame_of(++streams[at], ++call, bad);
-    if (::send(lines[at].get(), frame.data(), frame.size(), MSG_NOSIGNAL | MSG_DONTWAIT) < 0) {
-      lines[at].reset();
+    const std::string frame = encode_request_frame(++streams[at], ++call, bad);
+    if (::send(connections[at].get(), frame.data(), frame.size(), MSG_NOSIGNAL | MSG_DONTWAIT) < 0) {
+      connections[at].reset();
     } else {
       ++sent;
     }
@@ -192,8 +196,8 @@
   std::vector<double> p50, p99;
   std::uint64_t served = 0, other = 0;
   for (const auto& one : rounds) {
-    p50.push_back(quantile(one.us, 0.5));
-    p99.push_back(quantile(one.us, 0.99));
+    p50.push_back(quantile(one.latencies_us, 0.5));
+    p99.push_back(quantile(one.latencies_us, 0.99));
     served += one.served;
     other += one.other;
   }
@@ -204,7 +208,8 @@
 
 double ratio(const std::vector<Timings>& a, const std::vector<Timings>& b, double q) {
   std::vector<double> ratios;
-  for (std::size_t i = 0; i < a.size(); ++i) ratios.push_back(quantile(a[i].us, q) / quantile(b[i].us, q));
+  for (std::size_t i = 0; i < a.size(); ++i)
+    ratios.push_back(quantile(a[i].latencies_us, q) / quantile(b[i].latencies_us, q));
   return quantile(ratios, 0.5);
 }
 
@@ -215,41 +220,42 @@
   double rate = 2000, seconds = 2, bad_rate = 10'000;
   int rounds = 9;
   std::string program;
-  app.add_option("--rookproxy", program, "the dispatcher")->required();
-  app.add_option("--rate", rate, "requests a second");
-  app.add_option("--seconds", seconds, "of each run");
-  app.add_option("--rounds", rounds, "of each kind, in turns");
-  app.add_option("--bad-rate", bad_rate, "bad tokens a second");
+  app.add_option("--rookproxy", program, "path of the dispatcher program")->required();
+  app.add_option("--rate", rate, "requests per second");
+  app.add_option("--seconds", seconds, "duration of each run");
+  app.add_option("--rounds", rounds, "number of alternating runs of each kind");
+  app.add_option("--bad-rate", bad_rate, "bad tokens per second");
   CLI11_PARSE(app, argc, argv);
   const std::string folder = test::make_temporary_directory();
   {
     test::AutoReplyLineEngine one, two;
-    test::CredentialFixture callers(folder);
-    callers.make_key("k", "ES256");
-    callers.publish_keys({"k"});
+    test::CredentialFixture credentials(folder);
+    credentials.make_key("k", "ES256");
+    credentials.publish_keys({"k"});
     const auto free_port = [] { return local_port(test::listen_on_free_port()); };
     const std::uint16_t off_port = free_port(), on_port = free_port();
     const std::vector<std::uint16_t> engines{one.port(), two.port()};
-    json on = base(engines, on_port);
-    on["access"] = callers.access_section();
+    json on = base_config(engines, on_port);
+    on["access"] = credentials.access_section();
     on["access"]["users"] = json::array();
-    Server off_server(program, folder, "off", base(engines, off_port)), on_server(program, folder, "on", on);
+    Server off_server(program, folder, "off", base_config(engines, off_port)),
+        on_server(program, folder, "on", on);
     std::this_thread::sleep_for(1s);
     std::vector<std::string> tokens;
     for (int i = 0; i < 200; ++i)
-      tokens.push_back(callers.mint_token("k", "student", {{"sub", "s-" + std::to_string(i)}}));
+      tokens.push_back(credentials.mint_token("k", "student", {{"sub", "s-" + std::to_string(i)}}));
     const auto length = std::chrono::duration_cast<Clock::duration>(std::chrono::duration<double>(seconds));
-    ask(off_port, rate, 500ms, {});
-    ask(on_port, rate, 500ms, tokens);
+    run_load(off_port, rate, 500ms, {});
+    run_load(on_port, rate, 500ms, tokens);
     std::vector<Timings> without, with, flooded;
     for (int round = 0; round < rounds; ++round) {
-      without.push_back(ask(off_port, rate, length, {}));
-      with.push_back(ask(on_port, rate, length, tokens));
+      without.push_back(run_load(off_port, rate, length, {}));
+      with.push_back(run_load(on_port, rate, length, tokens));
       std::atomic<bool> stop{false};
       std::atomic<std::uint64_t> sent{0};
       std::thread attacker([&] { flood(on_port, bad_rate, tokens[0], stop, sent); });
       std::this_thread::sleep_for(100ms);
-      flooded.push_back(ask(on_port, rate, length, tokens));
+      flooded.push_back(run_load(on_port, rate, length, tokens));
       stop = true;
       attacker.join();
       if (round == 0) std::cout << "bad tokens sent in a round: " << sent << "\n";
--- a/bench/access_micro.cpp
+++ b/bench/access_micro.cpp
@@ -1,5 +1,5 @@
-// What authenticating and authorizing a caller costs, each step by itself. docs/performance.md has the
-// command and figures.
+// Measures the cost of each step of authentication and authorization. docs/performance.md has the command and
+// results.
 #include <benchmark/benchmark.h>
 #include <openssl/sha.h>
 
@@ -27,10 +27,10 @@
     "SELECT p.name, m.mark FROM marks_17.pupils AS p JOIN marks_17.marks AS m ON m.pupil = p.id "
     "WHERE p.class = 12 AND m.day >= '2026-11-01' ORDER BY m.mark DESC LIMIT 50";
 
-constexpr int kTokens = 10'000;        // as many as the cache holds
-constexpr std::size_t kStride = 7919;  // a prime: visits all entries in an order that no cache line predicts
+constexpr int kTokens = 10'000;        // the capacity of the authenticator's cache
+constexpr std::size_t kStride = 7919;  // a prime, to visit all entries in an order without locality
 
-// An authenticator with one key of each algorithm.
+// An authenticator with one key per algorithm.
 struct Fixture {
   Fixture() : folder(test::make_temporary_directory()), credentials(folder) {
     for (const char* name : {"ES256", "RS256", "EdDSA"}) credentials.make_key(name, name);
@@ -39,7 +39,7 @@
     settings.policy.tenants = {{"addis", {"marks_*", "staging"}, {{1, 40}}}};
     settings.token_rules = {{"https://id.test"}, "rookproxy", 0s, 0s};
     settings.keys_file = folder + "/keys.json";
-    settings.check_queue_limits.burst = 24h * 365;  // no budget: every token is checked
+    settings.check_queue_limits.burst = 24h * 365;  // unlimited: every token is checked
     authenticator = std::make_unique<auth::Authenticator>(loop, logger, metrics, settings, 7);
   }
   ~Fixture() { std::filesystem::remove_all(folder); }
@@ -71,7 +71,7 @@
   for (int number = 0; number < kTokens; ++number) {
     tokens.push_back(
         fixture().credentials.mint_token("EdDSA", "student", {{"sub", "s-" + std::to_string(number)}}));
-    if (check(tokens.back()).denial != policy::Denial::kNone) state.SkipWithError("not taken");
+    if (check(tokens.back()).denial != policy::Denial::kNone) state.SkipWithError("token denied");
   }
   std::size_t index = 0;
   for (auto _ : state) {
@@ -88,7 +88,7 @@
     const std::string token =
         fixture().credentials.mint_token(key, "student", {{"jti", std::to_string(++number)}});
     state.ResumeTiming();
-    if (check(token).denial != policy::Denial::kNone) state.SkipWithError("not taken");
+    if (check(token).denial != policy::Denial::kNone) state.SkipWithError("token denied");
   }
 }
 BENCHMARK_CAPTURE(uncached, es256, "ES256")->Iterations(5000);
@@ -108,9 +108,9 @@
                                                                 analysis, {"frames", "1"}));
   }
 }
-BENCHMARK(authorize)->Name("judge");  // the name that docs/performance.md gives
+BENCHMARK(authorize)->Name("judge");  // named as in docs/performance.md
 
-// The structure of the cache beside two plain ones.
+// Compares the token cache with two simpler data structures.
 
 std::vector<std::string> make_texts() {
   std::vector<std::string> texts;
