--- a/tests/preload/failing_calls.cpp
+++ b/tests/preload/failing_calls.cpp
@@ -1,7 +1,8 @@
-// A library that a test preloads into a dispatcher, in which system calls fail as the test says.
+// A library that a test preloads into a dispatcher to inject failures into system calls.
 //
-// ROOKPROXY_FAILING_CALLS lists faults, separated by commas: CALL:FIRST:COUNT:ERRNO lets the calls of that
-// name from the FIRST on (counted from 1) fail, COUNT of them; CALL:every:N:ERRNO lets each N-th call fail.
+// ROOKPROXY_FAILING_CALLS is a list of faults separated by commas. CALL:FIRST:COUNT:ERRNO makes COUNT calls
+// of the function CALL fail, starting with the FIRST one (counted from 1). CALL:every:N:ERRNO makes every
+// N-th call fail.
 #include <dlfcn.h>
 #include <sys/epoll.h>
 #include <sys/signalfd.h>
@@ -24,7 +25,7 @@
   int error = 0;
 };
 
-std::vector<Fault> read_faults() {
+std::vector<Fault> parse_faults() {
   std::vector<Fault> faults;
   const char* text = std::getenv("ROOKPROXY_FAILING_CALLS");
   std::istringstream list(text == nullptr ? "" : text);
@@ -51,9 +52,9 @@
 constexpr int kNoFault = -1;
 constexpr int kOneByte = 0;
 
-// What befalls this call, the `number`-th of its name: an errno, kOneByte or kNoFault.
+// Returns the fault of the `number`-th call of a function: an errno, kOneByte or kNoFault.
 int fault_of(const char* call, long number) {
-  static const std::vector<Fault> faults = read_faults();
+  static const std::vector<Fault> faults = parse_faults();
   for (const Fault& fault : faults) {
     if (fault.call != call) continue;
     const bool is_due = fault.every > 0 ? number % fault.every == 0
@@ -63,7 +64,7 @@
   return kNoFault;
 }
 
-// Whether this call has to fail; sets errno.
+// Returns whether the call must fail, and sets errno if so.
 bool fails(const char* call, long number) {
   const int fault = fault_of(call, number);
   if (fault == kNoFault) return false;
