--- a/src/sql/ambiguity.cpp
+++ b/src/sql/ambiguity.cpp
@@ -25,7 +25,7 @@
     return position_ + offset < statement_.size() ? statement_[position_ + offset] : fallback;
   }
 
-  // Checks one character, comment or quoted text, and moves behind it.
+  // Checks one character, comment or quoted text and moves past it.
   std::optional<std::string> scan_one() {
     const char current = statement_[position_];
     const char next = peek(1, '\0');
@@ -45,10 +45,10 @@
     const bool starts_with_dashes = statement_[position_] == '-';
     if (starts_with_dashes && static_cast<unsigned char>(peek(2, ' ')) > ' ') {
       if (!is_mysql_) return "'--' with no space after it";
-      ++position_;  // to MySQL these are two minus signs
+      ++position_;  // MySQL reads two minus signs
       return std::nullopt;
     }
-    // Some servers end such a comment at a carriage return that no line feed follows.
+    // Some servers end a line comment at a carriage return without a line feed.
     const auto end = std::min(statement_.find('\n', position_), statement_.size());
     const bool ends_in_crlf = end < statement_.size() && statement_[end - 1] == '\r';
     const auto size = end - position_;
--- a/src/sql/ambiguity.h
+++ b/src/sql/ambiguity.h
@@ -1,5 +1,5 @@
-// Finds places that servers, or their modes, split into tokens differently, so that what runs may not be what
-// tokenize() shows.
+// Detects text that servers or SQL modes split into tokens differently, so that the statement that the server
+// runs may differ from the tokens that tokenize() returns.
 #pragma once
 
 #include <optional>
@@ -8,13 +8,13 @@
 
 namespace rookproxy::sql {
 
-// How an engine reads a statement.
+// The lexical rules by which an engine reads a statement.
 enum class Dialect {
-  kMysql,  // as MySQL does in its default mode
-  kAny     // not known: whatever dialects read differently is ambiguous
+  kMysql,  // MySQL in its default mode
+  kAny     // unknown; text that dialects read differently is ambiguous
 };
 
-// A description of the first ambiguous place, or nothing if there is none.
+// Returns a description of the first ambiguity in the statement, or nothing if there is none.
 [[nodiscard]] std::optional<std::string> find_ambiguity(std::string_view statement, Dialect dialect);
 
 }  // namespace rookproxy::sql
--- a/src/sql/functions.cpp
+++ b/src/sql/functions.cpp
@@ -6,8 +6,8 @@
 namespace rookproxy::sql {
 namespace {
 
-// Built-in functions and types that look at nothing but their arguments and the session. A function that is
-// not listed may be a stored one, or one that reads files or takes locks.
+// Built-in functions and types that depend only on their arguments and the session. A function that is not
+// listed may be a stored one, or one that reads files or takes locks.
 // clang-format off
 constexpr auto kSideEffectFreeFunctions = std::to_array<std::string_view>({
     "ABS", "ASCII", "AVG", "BINARY", "BIT_COUNT", "CAST", "CEIL", "CEILING", "CHAR", "CHAR_LENGTH",
@@ -25,7 +25,7 @@
     "TRUNCATE", "UCASE", "UNHEX", "UNIX_TIMESTAMP", "UPPER", "UTC_TIMESTAMP", "VARCHAR", "VARIANCE",
     "VAR_POP", "VAR_SAMP", "VERSION", "WEEK", "WEEKDAY", "YEAR"});
 
-// Keywords that a parenthesis may follow without a call.
+// Keywords that may be followed by a parenthesis without being a call.
 constexpr auto kKeywordsBeforeParenthesis = std::to_array<std::string_view>({
     "ALL", "AND", "ANY", "AS", "BETWEEN", "BY", "CASE", "DISTINCT", "DIV", "ELSE", "EXCEPT", "EXISTS",
     "FROM", "HAVING", "IN", "INDEX", "INTERSECT", "INTERVAL", "IS", "JOIN", "KEY", "LATERAL", "LIKE",
--- a/src/sql/lexer.cpp
+++ b/src/sql/lexer.cpp
@@ -8,17 +8,17 @@
 namespace rookproxy::sql {
 namespace {
 
-// With its quotes. The text of longer strings is never looked at.
+// In bytes, including the quotes. The text of longer strings is not stored because no caller needs it.
 constexpr std::size_t kMaxStoredStringSize = 66;
 
-// Most statements have at least four characters per token; the bound keeps long ones from reserving too much.
+// Limits the reservation of one token per four characters, which suffices for most statements.
 constexpr std::size_t kMaxReservedTokens = 4096;
 
 bool is_digit(char character) { return std::isdigit(static_cast<unsigned char>(character)) != 0; }
 
 bool is_space(char character) { return std::isspace(static_cast<unsigned char>(character)) != 0; }
 
-// Letters, digits and everything beyond ASCII.
+// Letters, digits, '_', '$' and all bytes outside ASCII.
 bool is_word_character(char character) {
   const auto byte = static_cast<unsigned char>(character);
   return std::isalnum(byte) != 0 || character == '_' || character == '$' || byte >= 0x80;
@@ -38,7 +38,7 @@
   }
 
  private:
-  // The character at an offset from the position, or `fallback` beyond the end.
+  // Returns the character at an offset from the position, or `fallback` past the end.
   char peek(std::size_t offset, char fallback) const {
     return position_ + offset < statement_.size() ? statement_[position_ + offset] : fallback;
   }
@@ -53,14 +53,14 @@
                (current == '-' && next == '-' && static_cast<unsigned char>(third) <= ' ')) {
       position_ = std::min(statement_.find('\n', position_), statement_.size());
     } else if (current == '/' && next == '*' && third == '!') {
-      // Only the opening and its version number are skipped: MySQL runs the body.
+      // Skips only the opening and its version number, because MySQL runs the body.
       position_ += 3;
       while (position_ < statement_.size() && is_digit(statement_[position_])) ++position_;
     } else if (current == '/' && next == '*') {
       const auto end = statement_.find("*/", position_ + 2);
       position_ = end == statement_.npos ? statement_.size() : end + 2;
     } else if (current == '*' && next == '/') {
-      position_ += 2;  // the end of a "/*!" comment, whose body was read
+      position_ += 2;  // the end of a "/*!" comment, whose body was tokenized
     } else {
       return false;
     }
@@ -115,8 +115,9 @@
     position_ = end;
   }
 
-  // Behind the end of what the quote at the position opens. A doubled quote does not close it, nor, except
-  // for backticks, one after a backslash. `inner`, if given, gets the text between the quotes.
+  // Returns the position after the quoted text that starts here. A doubled quote does not end the text, nor
+  // does a quote after a backslash, except for backticks. Stores the text between the quotes in `inner` if
+  // given.
   std::size_t quoted_end(std::string* inner) const {
     const char quote = statement_[position_];
     for (std::size_t at = position_ + 1; at < statement_.size(); ++at) {
@@ -144,7 +145,7 @@
 
 bool is_word(const Token& token, std::string_view upper_case) {
   if (token.kind != Token::Kind::kWord || token.text.size() != upper_case.size()) return false;
-  // ASCII alone, as keywords are: the result must not depend on the locale.
+  // Keywords are ASCII; the result must not depend on the locale.
   const auto to_upper = [](char character) {
     return character >= 'a' && character <= 'z' ? static_cast<char>(character - ('a' - 'A')) : character;
   };
--- a/src/sql/lexer.h
+++ b/src/sql/lexer.h
@@ -1,4 +1,4 @@
-// Splits a SQL statement into tokens, as far as the dispatcher has to understand it.
+// Splits SQL statements into tokens, in the detail that the dispatcher needs.
 #pragma once
 
 #include <string>
@@ -7,28 +7,27 @@
 
 namespace rookproxy::sql {
 
-// One token of a statement.
 struct Token {
-  // What a token is, by its first character.
+  // The kind of a token, which its first character determines.
   enum class Kind { kWord, kQuotedName, kNumber, kString, kVariable, kMark };
   Kind kind = Kind::kMark;
-  // The word as written, a name or a short string without its quotes (longer strings are left empty), or one
-  // character of punctuation.
+  // The word as written, a quoted name or a short string without its quotes (empty for longer strings), or
+  // one punctuation character.
   std::string text;
 };
 
-// The statement's tokens. Comments are left out, except for the bodies of "/*!" comments, which MySQL runs.
-// An unclosed string runs to the end of the statement.
+// Returns the statement's tokens. Comments are skipped, except for the bodies of "/*!" comments, which MySQL
+// runs. An unterminated string extends to the end of the statement.
 [[nodiscard]] std::vector<Token> tokenize(std::string_view statement);
 
-// Whether the token is that keyword, given in upper case; the comparison ignores the case of ASCII letters.
+// Returns whether the token is the given upper-case keyword, ignoring the case of ASCII letters.
 [[nodiscard]] bool is_word(const Token& token, std::string_view upper_case);
-// Whether the token is that punctuation character.
+// Returns whether the token is the given punctuation character.
 [[nodiscard]] bool is_mark(const Token& token, char mark);
-// Whether the token may be an identifier: a word or a quoted name.
+// Returns whether the token can be an identifier: a word or a quoted name.
 [[nodiscard]] bool is_identifier(const Token& token);
 
-// Whether the token is one of the keywords, given in upper case.
+// Returns whether the token is one of the given upper-case keywords.
 template <class Words>
 [[nodiscard]] bool is_any_word(const Token& token, const Words& upper_case_words) {
   for (const std::string_view word : upper_case_words) {
--- a/src/sql/query_parser.cpp
+++ b/src/sql/query_parser.cpp
@@ -11,12 +11,12 @@
 
 using Kind = Token::Kind;
 
-// Deeper than any client's statement; bounds the use of the stack.
+// Limits the stack that nested statements can use.
 constexpr int kMaxDepth = 64;
 
 constexpr std::size_t kMaxQuotedSize = 40;
 
-// Words that can't be a table's name or alias where one may stand: they continue the clause.
+// Words that continue the clause and therefore cannot be the name or alias of a table.
 // clang-format off
 constexpr auto kReservedWords = std::to_array<std::string_view>({
     "WHERE", "GROUP", "HAVING", "ORDER", "LIMIT", "UNION", "EXCEPT", "INTERSECT", "FOR", "LOCK", "WINDOW",
@@ -28,7 +28,7 @@
     "SEMI", "POSITIONAL", "LOAD", "CALL", "DO"});
 // clang-format on
 
-// Words that start another kind of statement or of table; in an expression they are out of place.
+// Words that start another kind of statement or table and are not allowed in an expression.
 constexpr auto kWordsOfOtherStatements =
     std::to_array<std::string_view>({"INTO", "TABLE", "DELETE", "INSERT", "REPLACE", "CALL", "LOAD", "DO",
                                      "HANDLER", "PROCEDURE", "TABLESAMPLE"});
@@ -93,7 +93,7 @@
                            "STRAIGHT_JOIN", "WITH", "RETURNING", "UPDATE")) {
     return true;
   }
-  // With a parenthesis these are functions.
+  // Followed by a parenthesis, these are functions.
   if (cursor_.has_any_word("LEFT", "RIGHT") && !cursor_.has_mark('(', 1)) return true;
   return stop_at_where_ &&
          cursor_.has_any_word("WHERE", "GROUP", "HAVING", "ORDER", "LIMIT", "SET", "WINDOW");
@@ -105,11 +105,11 @@
   return !is_function;
 }
 
-// One token, or a name with what belongs to it.
+// Parses one token, or a name with its qualifiers or arguments.
 void QueryParser::parse_operand() {
   const Token first = cursor_.peek();
   if (first.kind == Kind::kString) {
-    // In some modes it would be a name in double quotes.
+    // In some SQL modes this is a name in double quotes.
     if (cursor_.has_mark('.', 1) || cursor_.has_mark('(', 1)) cursor_.throw_unexpected();
     cursor_.skip();
     return;
@@ -130,7 +130,8 @@
   parse_parentheses(may_have_from ? FromWord::kIsOperand : FromWord::kEndsExpression);
 }
 
-// "a.b" is a column of a table that FROM names; "a.b.c" names its schema, and "a.b(" is a function there.
+// "a.b" is a column of a table that is listed in FROM, "a.b.c" a column qualified with a schema, and "a.b(" a
+// call of a function in a schema.
 void QueryParser::parse_qualified_name(const std::string& first) {
   cursor_.skip();
   if (cursor_.take_mark('*')) return;
@@ -235,7 +236,7 @@
   in_parentheses_ = outer_in_parentheses;
 }
 
-// Anything else behind a list of tables could be a form of table that is not known here.
+// Accepts known clauses only: any other word after a list of tables could start an unknown form of table.
 void QueryParser::parse_trailing_clauses() {
   if (cursor_.has_any_word("WHERE", "GROUP", "HAVING", "ORDER", "LIMIT", "WINDOW")) parse_clause_expression();
 }
@@ -248,7 +249,7 @@
   cursor_.skip();
   if (!cursor_.take_mark('.')) {
     if (may_be_common_table && is_common_table(first.text)) return;
-    // A name that starts with a number, as "17.t", would have been read as another kind of token.
+    // A name that starts with a digit, such as "17.t", has another kind of token.
     return add_schema(default_schema_);
   }
   if (!is_identifier(cursor_.peek()) && cursor_.peek().kind != Kind::kNumber) cursor_.throw_unexpected();
@@ -294,7 +295,7 @@
   return cursor_.take_word("JOIN") || cursor_.take_word("STRAIGHT_JOIN");
 }
 
-// What follows ON: up to a comma of the list, a join, or the end of the clause.
+// Parses the condition after ON up to a comma of the list, a join, or the end of the clause.
 void QueryParser::parse_join_condition() {
   const DepthGuard depth(*this);
   while (!cursor_.at_end() && !cursor_.has_mark(',') && !cursor_.has_mark(')') && !cursor_.has_mark(';')) {
@@ -314,7 +315,7 @@
   if (cursor_.take_mark('(')) return parse_parenthesized_tables(is_lateral);
   if (is_lateral) cursor_.throw_unexpected();
   parse_table(true);
-  if (cursor_.has_mark('(')) cursor_.throw_unexpected();  // a function in place of a table
+  if (cursor_.has_mark('(')) cursor_.throw_unexpected();  // a table function
   if (cursor_.take_word("PARTITION")) parse_parentheses();
   parse_alias();
   while (cursor_.has_any_word("USE", "FORCE", "IGNORE")) parse_index_hint();
@@ -324,7 +325,7 @@
   if (starts_query()) {
     parse_query();
   } else {
-    // Tables, or a query in parentheses of its own that set operators join to others.
+    // Tables, or a parenthesized query that set operators combine with other queries.
     if (is_lateral) cursor_.throw_unexpected();
     parse_table_references();
     while (has_set_operator()) {
@@ -347,7 +348,7 @@
     return;
   }
   if (cursor_.has_mark('.')) cursor_.throw_unexpected();
-  if (cursor_.has_mark('(')) parse_parentheses();  // names of its columns
+  if (cursor_.has_mark('(')) parse_parentheses();  // column names
 }
 
 void QueryParser::parse_index_hint() {
--- a/src/sql/query_parser.h
+++ b/src/sql/query_parser.h
@@ -1,4 +1,4 @@
-// Collects the schemas that queries and expressions touch.
+// Parses queries and expressions and collects the schemas that they access.
 #pragma once
 
 #include <cstddef>
@@ -10,43 +10,43 @@
 
 namespace rookproxy::sql {
 
-// A recursive-descent parser for a known part of MySQL's grammar. Each function starts at the cursor's
-// position, moves behind what it has read, and throws UnresolvedStatementError at whatever it does not know.
-// The cursor must outlive the parser.
+// A recursive-descent parser for a subset of MySQL's grammar. Each function starts at the cursor's position,
+// moves past the text that it has parsed, and throws UnresolvedStatementError for anything outside the
+// subset. The cursor must outlive the parser.
 class QueryParser {
  public:
-  // `default_schema` stands for tables whose schema is not written.
+  // Tables that are not qualified with a schema belong to `default_schema`.
   QueryParser(TokenCursor& cursor, std::string_view default_schema)
       : cursor_(cursor), default_schema_(default_schema) {}
 
-  // Whether a query without parentheses around it starts here.
+  // Returns whether a query that is not in parentheses starts here.
   [[nodiscard]] bool starts_query() const;
   void parse_query();
-  // The WITH clause alone. Its names stay known until the parser is destroyed.
+  // Parses the WITH clause only. Its names remain defined until the parser is destroyed.
   void parse_with();
-  // Up to the word or mark that ends the clause; subqueries are parsed.
+  // Parses up to the word or mark that ends the clause, including subqueries.
   void parse_expression();
   void parse_parentheses();
-  // The list of tables behind FROM, with joins.
+  // Parses the list of tables that follows FROM, with joins.
   void parse_table_references();
-  // One table of such a list, with its alias and index hints.
+  // Parses one table of such a list, with its alias and index hints.
   void parse_table_factor();
-  // WHERE and what follows it.
+  // Parses WHERE and the clauses that follow it.
   void parse_trailing_clauses();
-  // A table where one must stand, whatever names WITH has defined.
+  // Parses the name of a stored table, which cannot refer to a name defined by WITH.
   void parse_stored_table() { parse_table(false); }
 
-  // Whether an identifier is next that can be a table's name or alias.
+  // Returns whether the next token can be the name or alias of a table.
   [[nodiscard]] bool has_name() const;
-  // Records a schema, once.
+  // Records a schema if it is not recorded yet.
   void add_schema(const std::string& schema);
   [[nodiscard]] const std::vector<std::string>& schemas() const { return schemas_; }
 
  private:
-  // Within a function's own parentheses FROM may be one of its words, as in TRIM(a FROM b).
+  // Whether FROM ends an expression or is part of a function's arguments, as in TRIM(a FROM b).
   enum class FromWord { kEndsExpression, kIsOperand };
 
-  // Bounds the depth of recursion.
+  // Limits the depth of recursion.
   class DepthGuard {
    public:
     explicit DepthGuard(QueryParser& parser);
@@ -86,9 +86,11 @@
   TokenCursor& cursor_;
   std::string default_schema_;
   int depth_ = 0;
-  bool in_parentheses_ = false;  // of an expression, where set operators join queries in parentheses
-  bool stop_at_where_ = false;   // in a list of tables, an expression ends where the clause does
-  std::vector<std::string> common_tables_;  // names that WITH defined, innermost last
+  // Within the parentheses of an expression, where set operators combine parenthesized queries.
+  bool in_parentheses_ = false;
+  // Within a list of tables, where WHERE and the clauses after it end an expression.
+  bool stop_at_where_ = false;
+  std::vector<std::string> common_tables_;  // names defined by WITH, innermost last
   std::vector<std::string> schemas_;
 };
 
--- a/src/sql/session_statement.cpp
+++ b/src/sql/session_statement.cpp
@@ -14,8 +14,8 @@
 
 using Tokens = std::vector<Token>;
 
-// All statements of this kind are shorter: longer ones need not be tokenized.
-constexpr std::size_t kMaxSessionStatementSize = 200;
+// Longer statements are not session statements and are not tokenized.
+constexpr std::size_t kMaxSessionStatementSize = 200;  // bytes
 
 constexpr std::array<std::string_view, 6> kTransactionEndWords{"WORK", "AND", "NO", "CHAIN", "NO", "RELEASE"};
 constexpr std::array<std::string_view, 10> kImplicitCommitStatements{
@@ -45,7 +45,7 @@
 }
 
 SessionStatement classify_set_names(const Tokens& tokens) {
-  // A collation would change how strings compare, which is not kept.
+  // A collation is not supported because it would change how strings compare.
   const bool is_plain = tokens.size() == 3 && is_utf8(to_lower(tokens[2].text));
   return is_plain ? SessionStatement::kNoEffect : SessionStatement::kNone;
 }
@@ -65,12 +65,12 @@
   const bool is_charset = variable == "character_set_client" || variable == "character_set_connection" ||
                           variable == "character_set_results";
   if (is_charset && is_utf8(to_lower(value.text))) return SessionStatement::kNoEffect;
-  // NULL asks for results as they are stored, which is in UTF-8.
+  // NULL requests results without conversion, and they are stored in UTF-8.
   if (variable == "character_set_results" && is_word(value, "NULL")) return SessionStatement::kNoEffect;
   return SessionStatement::kNone;
 }
 
-// SET of one variable of the session.
+// Classifies a SET of one session variable.
 SessionStatement classify_set(const Tokens& tokens) {
   std::size_t index = 1;
   if (is_word(tokens[index], "NAMES")) return classify_set_names(tokens);
@@ -83,7 +83,7 @@
   return classify_assignment(variable, tokens[index + 1]);
 }
 
-// Whether only "[WORK] [AND NO CHAIN] [NO RELEASE]" follows: anything else asks for more than an end.
+// Returns whether only "[WORK] [AND NO CHAIN] [NO RELEASE]" follows; other words have further effects.
 bool ends_transaction_only(const Tokens& tokens) {
   std::size_t next = 0;
   for (std::size_t index = 1; index < tokens.size(); ++index) {
--- a/src/sql/session_statement.h
+++ b/src/sql/session_statement.h
@@ -1,22 +1,23 @@
-// Statements about the session itself, which the dispatcher answers: consecutive statements may run on
-// different engines, so an engine's session can't hold the state that they set.
+// Recognizes statements about the session, which the dispatcher answers itself: consecutive statements may
+// run on different engines, so an engine's session cannot hold the state that they set.
 #pragma once
 
 #include <string_view>
 
 namespace rookproxy::sql {
 
-// What a statement asks of its session.
+// The effect of a statement on its session.
 enum class SessionStatement {
-  kNone,            // it is not a statement about the session
-  kNoEffect,        // it asks for what is in force anyway, as SET NAMES utf8mb4
-  kAutocommitOn,    // recorded; nothing else changes
-  kAutocommitOff,   // recorded; a later statement that would need a transaction is rejected
+  kNone,            // not a statement about the session
+  kNoEffect,        // requests a setting that is always in force, such as SET NAMES utf8mb4
+  kAutocommitOn,    // recorded without further effect
+  kAutocommitOff,   // recorded; later statements that need a transaction are rejected
   kEndTransaction,  // COMMIT or ROLLBACK: there is never a transaction to end
 };
+// Returns kNone for any statement that it does not recognize.
 [[nodiscard]] SessionStatement classify_session_statement(std::string_view statement);
 
-// Whether the statement causes an implicit commit whatever autocommit says (DDL and the like).
+// Returns whether the statement, such as DDL, causes an implicit commit regardless of autocommit.
 [[nodiscard]] bool commits_implicitly(std::string_view statement);
 
 }  // namespace rookproxy::sql
--- a/src/sql/statement_analysis.cpp
+++ b/src/sql/statement_analysis.cpp
@@ -16,13 +16,13 @@
 
 constexpr std::size_t kMaxQuotedSize = 40;
 
-// Parses whole statements; queries and expressions are left to QueryParser.
+// Parses whole statements and delegates queries and expressions to QueryParser.
 class StatementParser {
  public:
   StatementParser(std::vector<Token> tokens, std::string_view default_schema)
       : cursor_(std::move(tokens)), query_(cursor_, default_schema) {}
 
-  // Throws UnresolvedStatementError if the statement is not known.
+  // Throws UnresolvedStatementError if the statement is outside the supported grammar.
   std::vector<std::string> parse_schemas() {
     if (cursor_.is_empty()) throw UnresolvedStatementError("nothing to run");
     parse_statement();
@@ -86,10 +86,10 @@
     return parse_statement();
   }
   query_.parse_stored_table();
-  if (!cursor_.at_end()) cursor_.skip();  // a column, or a pattern for columns
+  if (!cursor_.at_end()) cursor_.skip();  // a column name or pattern
 }
 
-// Only what belongs to the server itself and names nobody's data.
+// Accepts only forms of SHOW that concern the server itself and reveal no tenant's data.
 void StatementParser::parse_show() {
   if (!cursor_.take_word("GLOBAL") && !cursor_.take_word("SESSION")) cursor_.take_word("LOCAL");
   if (cursor_.take_word("CHARACTER")) {
@@ -119,7 +119,7 @@
   const bool query_follows =
       cursor_.has_mark('(') &&
       (cursor_.has_word("SELECT", 1) || cursor_.has_word("WITH", 1) || cursor_.has_mark('(', 1));
-  if (cursor_.has_mark('(') && !query_follows) query_.parse_parentheses();  // names of columns
+  if (cursor_.has_mark('(') && !query_follows) query_.parse_parentheses();  // column names
   if (cursor_.has_any_word("SELECT", "WITH", "TABLE") || cursor_.has_mark('(')) {
     query_.parse_query();
   } else if (cursor_.take_word("VALUES") || cursor_.take_word("VALUE") || cursor_.take_word("SET")) {
@@ -127,7 +127,7 @@
   } else {
     cursor_.throw_unexpected();
   }
-  // The expression ends at UPDATE; the words before it are those of "ON DUPLICATE KEY".
+  // The expression ends at UPDATE, which must follow "DUPLICATE KEY".
   if (!cursor_.has_word("UPDATE")) return;
   const bool is_on_duplicate_key = cursor_.position() >= 3 && is_word(cursor_.previous(1), "KEY") &&
                                    is_word(cursor_.previous(2), "DUPLICATE");
@@ -155,7 +155,7 @@
   query_.parse_trailing_clauses();
 }
 
-// "DELETE FROM a, b USING tables", or one table and a condition.
+// Parses "DELETE FROM a, b USING tables", or one table and a condition.
 void StatementParser::parse_delete_from() {
   const std::size_t first_table = cursor_.position();
   do {
@@ -170,7 +170,7 @@
   }
 }
 
-// Names of tables in FROM, or their aliases; with the name of a schema they are tables themselves.
+// Parses names or aliases of tables listed in FROM. A name qualified with a schema is a table itself.
 void StatementParser::parse_deleted_names() {
   do {
     if (!query_.has_name()) cursor_.throw_unexpected();
@@ -207,7 +207,7 @@
   if (!cursor_.at_end()) query_.parse_query();
 }
 
-// Up to the closing parenthesis, with no word that could name another table.
+// Skips to the closing parenthesis and rejects words that could refer to another table.
 void StatementParser::parse_column_definitions() {
   for (int open_parentheses = 0; !cursor_.at_end(); cursor_.skip()) {
     if (cursor_.has_mark('(')) ++open_parentheses;
@@ -233,7 +233,7 @@
                                     Dialect dialect) {
   StatementAnalysis analysis;
   if (const auto ambiguity = find_ambiguity(statement, dialect)) {
-    // Its effect is unknown as well and stays a write: what it hides could be one.
+    // The effect remains kWrites, because the ambiguous text could hide a write.
     analysis.unresolved_reason = *ambiguity;
     return analysis;
   }
--- a/src/sql/statement_analysis.h
+++ b/src/sql/statement_analysis.h
@@ -1,4 +1,4 @@
-// What a statement does and which schemas it touches, for authorization.
+// Determines a statement's effect and the schemas that it accesses, for authorization.
 #pragma once
 
 #include <string_view>
@@ -8,8 +8,9 @@
 
 namespace rookproxy::sql {
 
-// Parses a known part of MySQL's grammar strictly: whatever is not known makes the tables unresolved, and is
-// never guessed. `default_schema` is the session's, for tables whose schema is not written.
+// Parses a subset of MySQL's grammar strictly. A statement outside the subset has unresolved tables, because
+// a wrong guess could grant access. `default_schema` is the session's schema, to which unqualified tables
+// belong.
 [[nodiscard]] policy::StatementAnalysis analyze_statement(std::string_view statement,
                                                           std::string_view default_schema, Dialect dialect);
 
--- a/src/sql/statement_class.cpp
+++ b/src/sql/statement_class.cpp
@@ -27,7 +27,7 @@
 constexpr std::string_view kEarlierResults = "results of an earlier statement";
 constexpr std::string_view kRowLocks = "row locks";
 
-// The token at an index, or an empty one beyond the end.
+// Returns the token at an index, or an empty one past the end.
 Token token_at(const Tokens& tokens, std::size_t index) {
   return index < tokens.size() ? tokens[index] : Token{};
 }
@@ -46,7 +46,7 @@
   const bool is_assignment = is_mark(token, ':') && is_mark_at(tokens, index + 1, '=');
   if (is_assignment) return true;
   if (!is_mark_at(tokens, index + 1, '(')) return false;
-  // A function that is not one of MySQL's own may do anything.
+  // A function that is not known to be free of side effects may write.
   if (token.kind == Token::Kind::kQuotedName) return true;
   return token.kind == Token::Kind::kWord && !is_side_effect_free_function(token) &&
          !is_keyword_before_parenthesis(token);
--- a/src/sql/statement_class.h
+++ b/src/sql/statement_class.h
@@ -1,4 +1,4 @@
-// Whether a statement only reads, and whether it depends on its session.
+// Determines whether a statement only reads and whether it depends on its session.
 #pragma once
 
 #include <optional>
@@ -10,13 +10,13 @@
 
 namespace rookproxy::sql {
 
-// Whether the statement is known to only read. Any other counts as a write.
+// Returns whether the statement is known to only read. Any other statement counts as a write.
 [[nodiscard]] bool is_read_only(std::string_view statement);
-// The same for a statement that was split into tokens already.
+// Does the same for a statement that is already tokenized.
 [[nodiscard]] bool is_read_only(const std::vector<Token>& tokens);
 
-// What the statement leaves in its session, or needs from it (a transaction, a lock, a temporary table, a
-// variable ...), which later statements on another engine would miss; nothing if it is independent.
+// Returns the kind of session state that the statement creates or needs (such as a transaction, a lock, a
+// temporary table or a variable) and that would be missing on another engine, or nothing if it needs none.
 [[nodiscard]] std::optional<std::string> find_session_state(std::string_view statement);
 
 }  // namespace rookproxy::sql
--- a/src/sql/table_group.cpp
+++ b/src/sql/table_group.cpp
@@ -16,14 +16,14 @@
 constexpr std::array<std::string_view, 12> kWordsAfterTables{
     "WHERE", "SET", "VALUES", "VALUE", "SELECT", "ON", "GROUP", "HAVING", "ORDER", "LIMIT", "UNION", "USING"};
 
-// A schema without an underscore, as "staging", belongs to no group.
+// A schema without an underscore, such as "staging", belongs to no group.
 std::optional<std::uint64_t> group_of_schema(std::string_view schema) {
   const auto underscore = schema.rfind('_');
   if (underscore == schema.npos) return std::nullopt;
   return parse_number<std::uint64_t>(schema.substr(underscore + 1));
 }
 
-// Whether "schema.table" starts here.
+// Returns whether "schema.table" starts here.
 bool is_qualified(const std::vector<Token>& tokens, std::size_t index) {
   return index + 2 < tokens.size() && is_mark(tokens[index + 1], '.') && is_identifier(tokens[index + 2]);
 }
@@ -32,7 +32,7 @@
 
 std::uint64_t table_group(std::string_view statement, std::string_view default_schema) {
   const auto tokens = tokenize(statement);
-  std::optional<std::uint64_t> group_elsewhere;  // of a name that is not in a list of tables
+  std::optional<std::uint64_t> group_elsewhere;  // from a name outside the lists of tables
   bool in_tables = false;
   bool has_unqualified_table = false;
   for (std::size_t index = 0; index < tokens.size(); ++index) {
--- a/src/sql/table_group.h
+++ b/src/sql/table_group.h
@@ -1,4 +1,4 @@
-// The group of tables that a statement works on, by which requests are routed to engines.
+// Determines the table group of a statement, by which requests are routed to engines.
 #pragma once
 
 #include <cstdint>
@@ -6,8 +6,8 @@
 
 namespace rookproxy::sql {
 
-// The number behind the last underscore of the name of the schema that the statement reads or writes, or 0 if
-// it names none. `default_schema` is the connection's, for tables whose schema is not written.
+// Returns the number after the last underscore in the name of the schema that the statement accesses, or 0 if
+// there is none. `default_schema` is the connection's schema, to which unqualified tables belong.
 [[nodiscard]] std::uint64_t table_group(std::string_view statement, std::string_view default_schema = "");
 
 }  // namespace rookproxy::sql
--- a/src/sql/token_cursor.cpp
+++ b/src/sql/token_cursor.cpp
@@ -5,7 +5,7 @@
 namespace rookproxy::sql {
 namespace {
 
-constexpr std::size_t kMaxQuotedSize = 40;
+constexpr std::size_t kMaxQuotedSize = 40;  // bytes
 
 }  // namespace
 
--- a/src/sql/token_cursor.h
+++ b/src/sql/token_cursor.h
@@ -1,4 +1,4 @@
-// Walks over the tokens of a statement, for parsers.
+// A cursor over the tokens of a statement, for parsers.
 #pragma once
 
 #include <cstddef>
@@ -11,7 +11,7 @@
 
 namespace rookproxy::sql {
 
-// Thrown by parsers where a statement is not in the known part of the grammar; the message says what was met.
+// Thrown by parsers if a statement is outside the supported grammar. The message describes the cause.
 struct UnresolvedStatementError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
@@ -19,7 +19,7 @@
 // The tokens of one statement and a position among them. Keywords are given in upper case.
 class TokenCursor {
  public:
-  // Semicolons at the end are dropped.
+  // Drops semicolons at the end.
   explicit TokenCursor(std::vector<Token> tokens);
 
   [[nodiscard]] bool is_empty() const { return tokens_.empty(); }
@@ -28,9 +28,9 @@
   void move_to(std::size_t position) { position_ = position; }
   void skip(std::size_t count = 1) { position_ += count; }
 
-  // The token at the position, or some further ahead; beyond the end a mark that no statement holds.
+  // Returns the token `ahead` places after the position, or past the end a mark that occurs in no statement.
   [[nodiscard]] const Token& peek(std::size_t ahead = 0) const;
-  // The token so many places before the position; there must be one.
+  // Returns the token `back` places before the position, which must exist.
   [[nodiscard]] const Token& previous(std::size_t back) const { return tokens_[position_ - back]; }
 
   [[nodiscard]] bool has_mark(char mark, std::size_t ahead = 0) const;
@@ -42,14 +42,14 @@
     return (has_word(words) || ...);
   }
 
-  // Moves behind the word or mark and returns true if it is next.
+  // Moves past the word or mark and returns true if it is next.
   bool take_word(std::string_view word);
   bool take_mark(char mark);
 
-  // Moves behind the word or mark; throws UnresolvedStatementError if it is not next.
+  // Moves past the word or mark. Throws UnresolvedStatementError if it is not next.
   void expect_word(std::string_view word);
   void expect_mark(char mark);
-  // Throws an UnresolvedStatementError that names the next token.
+  // Throws an UnresolvedStatementError whose message quotes the next token.
   [[noreturn]] void throw_unexpected() const;
 
  private:
--- a/tests/sql/statement_analysis_test.cpp
+++ b/tests/sql/statement_analysis_test.cpp
@@ -1,4 +1,5 @@
-// Statement analysis: the schemas that a statement touches, and what makes them unknown.
+// Tests of statement analysis: the schemas that a statement accesses, and the statements that are not
+// resolved.
 #include <catch2/catch.hpp>
 #include <string>
 #include <utility>
@@ -14,7 +15,7 @@
 
 }  // namespace
 
-TEST_CASE("sql: the schemas that a statement touches are made out") {
+TEST_CASE("sql: analysis resolves the schemas that a statement accesses") {
   using List = std::vector<std::string>;
   const std::vector<std::pair<const char*, List>> cases{
       {"SELECT a FROM x_1.t", {"x_1"}},
@@ -69,9 +70,9 @@
   }
 }
 
-TEST_CASE("sql: what could hide a table is unknown, and counts as a write where it could hide one") {
-  // Each of these is run by some server or mode as something else than it looks like, or names tables in a
-  // form that is not read here: a caller must not reach another tenant's data by it.
+TEST_CASE("sql: a statement that could hide a table is unresolved, and a write if it is ambiguous") {
+  // Some server or SQL mode runs each of these differently from how it is parsed, or they refer to tables in
+  // an unsupported form. A caller must not gain access to another tenant's data with them.
   for (const char* statement : {"SELECT 1 FROM /*!99999 x_1.t WHERE x = */ y_2.t",
                                 "SELECT 1 /*M! FROM y_2.t */",
                                 "SELECT '",
@@ -131,7 +132,7 @@
   CHECK_FALSE(sql::analyze_statement("SELECT " + deep, "", Dialect::kMysql).tables_resolved);
   CHECK_FALSE(sql::analyze_statement("SELECT a FROM " + deep, "", Dialect::kMysql).tables_resolved);
   CHECK_FALSE(sql::analyze_statement(deep, "", Dialect::kMysql).tables_resolved);
-  // Of an unknown engine also what only other dialects read otherwise.
+  // If the dialect is unknown, text that only other dialects read differently is ambiguous, too.
   for (const char* statement :
        {"SELECT 'a\\' FROM y_2.t -- '", "SELECT $$ ' $$ FROM y_2.t -- '", "SELECT 1 --1 FROM y_2.t",
         "SELECT 1 # FROM y_2.t", "SELECT a FROM x_1.t WHERE [b]"}) {
