--- a/src/fakes/auto_reply_line_engine.cpp
+++ b/src/fakes/auto_reply_line_engine.cpp
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-// The engine's event loop with its listener and connections, on the engine's thread.
+// The engine's event loop, listener and connections. Runs on the engine's thread.
 class AutoReplyLineEngine::Server {
  public:
   explicit Server(AutoReplyLineEngine& engine)
@@ -65,7 +65,7 @@
     return consumed;
   }
 
-  // May run within on_bytes, so the connection is destroyed after this iteration.
+  // May be called from on_bytes, so the connection is destroyed after the current loop iteration.
   void on_closed(std::string_view) override {
     auto closed = server_.connections_.take(key_);
     if (!closed) return;
@@ -73,8 +73,8 @@
   }
 
  private:
-  // `after_line` is what follows the command's line; returns how many bytes line and body took, 0 if the body
-  // has not come yet.
+  // `after_line` contains the bytes after the command's line. Returns the number of bytes that the line and
+  // the body took, or 0 if the body is incomplete.
   std::size_t handle_request(std::string_view line, std::string_view after_line) {
     const std::size_t body_size = std::stoul(std::string(line.substr(line.rfind(' ') + 1)));
     if (after_line.size() < body_size + kLineEnd.size()) return 0;
--- a/src/fakes/auto_reply_line_engine.h
+++ b/src/fakes/auto_reply_line_engine.h
@@ -1,4 +1,4 @@
-/// An engine for load tests that speaks the line protocol and answers every request at once.
+// An engine for load tests that speaks the line protocol and responds to every request immediately.
 #pragma once
 
 #include <atomic>
@@ -13,8 +13,7 @@
 
 namespace rookproxy::test {
 
-/// Serves any number of connections on one thread of its own and counts the statements by their text. Its
-/// functions may be called from any thread.
+// Serves any number of connections on its own thread and counts the statements by text. Thread-safe.
 class AutoReplyLineEngine {
  public:
   AutoReplyLineEngine();
@@ -25,13 +24,13 @@
   [[nodiscard]] std::uint16_t port() const { return port_; }
   [[nodiscard]] std::uint64_t response_count() const { return response_count_; }
 
-  /// Records statements and their times from now on; otherwise only responses are counted.
+  // Starts recording statements and their arrival times. Without it only responses are counted.
   void record_statements() { records_statements_ = true; }
 
-  /// How many recorded statements hold this text.
+  // Returns how many recorded statements contain the text.
   [[nodiscard]] std::uint64_t count_statements_containing(const std::string& text);
 
-  /// When each recorded statement came.
+  // Returns the arrival times of the recorded statements.
   [[nodiscard]] std::vector<std::chrono::steady_clock::time_point> arrival_times();
 
  private:
--- a/src/fakes/certificate_authority.cpp
+++ b/src/fakes/certificate_authority.cpp
@@ -21,7 +21,7 @@
 using Asn1Time = std::unique_ptr<ASN1_TIME, decltype(&ASN1_STRING_free)>;
 
 void require(bool holds) {
-  if (!holds) throw std::runtime_error("OpenSSL could not make a certificate or a revocation list");
+  if (!holds) throw std::runtime_error("OpenSSL failed to create a certificate or a revocation list");
 }
 
 Bio memory_bio() { return {BIO_new(BIO_s_mem()), BIO_free}; }
@@ -45,7 +45,7 @@
   X509_EXTENSION_free(extension);
 }
 
-// A certificate with a new key, which its issuer has yet to name itself on and to sign.
+// Creates a certificate with a new key. The issuer's name and signature are not set.
 Certificate make_unsigned(const std::string& common_name, long serial, const ValidityPeriod& validity) {
   Certificate made;
   made.key = auth::generate_key(policy::Algorithm::kEs256);
@@ -111,17 +111,17 @@
 
 std::string CertificateAuthority::revocation_list_pem(const ValidityPeriod& validity) const {
   const Crl list{X509_CRL_new(), X509_CRL_free};
-  const Asn1Time made_at = time_from_now(validity.from);
-  const Asn1Time next_due_at = time_from_now(validity.to);
+  const Asn1Time last_update = time_from_now(validity.from);
+  const Asn1Time next_update = time_from_now(validity.to);
   X509_CRL_set_version(list.get(), kCrlVersion2);
   X509_CRL_set_issuer_name(list.get(), X509_get_subject_name(root_.certificate.get()));
-  X509_CRL_set1_lastUpdate(list.get(), made_at.get());
-  X509_CRL_set1_nextUpdate(list.get(), next_due_at.get());
+  X509_CRL_set1_lastUpdate(list.get(), last_update.get());
+  X509_CRL_set1_nextUpdate(list.get(), next_update.get());
   for (const auto& certificate : revoked_) {
     X509_REVOKED* entry = X509_REVOKED_new();
     X509_REVOKED_set_serialNumber(entry, X509_get_serialNumber(certificate.get()));
-    X509_REVOKED_set_revocationDate(entry, made_at.get());
-    X509_CRL_add0_revoked(list.get(), entry);  // the list owns it from here on
+    X509_REVOKED_set_revocationDate(entry, last_update.get());
+    X509_CRL_add0_revoked(list.get(), entry);  // the list takes ownership
   }
   X509_CRL_sort(list.get());
   require(X509_CRL_sign(list.get(), root_.key.get(), EVP_sha256()) > 0);
--- a/src/fakes/certificate_authority.h
+++ b/src/fakes/certificate_authority.h
@@ -1,4 +1,4 @@
-/// A certificate authority for tests: certificates that live for seconds, and lists of revoked ones.
+// A certificate authority for tests, which issues short-lived certificates and revocation lists.
 #pragma once
 
 #include <chrono>
@@ -12,7 +12,7 @@
 
 namespace rookproxy::test {
 
-/// A certificate with its private key.
+// A certificate with its private key.
 struct Certificate {
   auth::Pkey key;
   std::shared_ptr<x509_st> certificate;
@@ -21,13 +21,13 @@
   [[nodiscard]] std::string private_key_pem() const;
 };
 
-/// From when to when something is valid, counted from now.
+// A validity period, relative to the current time.
 struct ValidityPeriod {
   std::chrono::seconds from{-10};
   std::chrono::seconds to{3600};
 };
 
-/// What a certificate is to say.
+// The contents of a certificate to be issued.
 struct CertificateRequest {
   enum class Usage { kClient, kServer };
 
@@ -37,22 +37,22 @@
   Usage usage = Usage::kClient;
 };
 
-/// Issues and revokes certificates under a root of its own. Every function throws std::runtime_error if
-/// OpenSSL fails. For one thread.
+// Issues and revokes certificates with its own root certificate. Every function throws std::runtime_error if
+// OpenSSL fails. Not thread-safe.
 class CertificateAuthority {
  public:
-  /// Makes the root certificate, with that common name.
+  // Creates the root certificate with the common name.
   explicit CertificateAuthority(const std::string& name);
 
   [[nodiscard]] Certificate issue(const CertificateRequest& request);
 
-  /// Puts the certificate on the lists that are made from now on.
+  // Adds the certificate to revocation lists that are created from now on.
   void revoke(const Certificate& certificate);
 
-  /// The list of revoked certificates; `validity` says when it was made and when the next one is due.
+  // Returns a revocation list in PEM. `validity` determines its last and next update.
   [[nodiscard]] std::string revocation_list_pem(const ValidityPeriod& validity) const;
 
-  /// The root certificate.
+  // Returns the root certificate in PEM.
   [[nodiscard]] std::string pem() const { return root_.pem(); }
 
  private:
--- a/src/fakes/credential_fixture.cpp
+++ b/src/fakes/credential_fixture.cpp
@@ -14,7 +14,7 @@
   return std::chrono::duration<double>(std::chrono::system_clock::now().time_since_epoch()).count();
 }
 
-// Adds a time claim that a spec gives in seconds from now; "-" or nothing leaves it out.
+// Adds a time claim, given in seconds from now. Adds nothing if the text is "-" or empty.
 void add_time_claim(json& claims, const char* name, const std::string& seconds_from_now) {
   if (seconds_from_now.empty() || seconds_from_now == "-") return;
   claims[name] = unix_now() + std::stod(seconds_from_now);
@@ -41,7 +41,7 @@
           {"users", {{{"name", "school"}, {"tenant", "addis"}, {"roles", {"officer"}}}}}};
 }
 
-// Renames the new file into place, so that a reader never sees a part of it.
+// Renames the new file into place, so that a reader never sees a partial file.
 void CredentialFixture::replace_file(const std::string& file, const std::string& text) const {
   const std::string new_file = path_of("aside");
   std::ofstream(new_file) << text;
--- a/src/fakes/dns_response.cpp
+++ b/src/fakes/dns_response.cpp
@@ -5,13 +5,13 @@
 
 enum class RecordType : std::uint16_t { kA = 1, kSoa = 6, kTxt = 16, kSrv = 33 };
 
-constexpr std::size_t kHeaderSize = 12;             // id, flags and four counts
-constexpr std::uint16_t kAuthoritative = 0x8400;    // flags: a response, by the authority
-constexpr std::uint16_t kInternetClass = 1;         // IN
-constexpr std::uint16_t kSrvWeight = 10;            //
-constexpr std::size_t kRecordHeaderSize = 10;       // type, class, time to live and length of the data
+constexpr std::size_t kHeaderSize = 12;           // id, flags and four counts
+constexpr std::uint16_t kAuthoritative = 0x8400;  // flags: an authoritative response
+constexpr std::uint16_t kInternetClass = 1;       // IN
+constexpr std::uint16_t kSrvWeight = 10;
+constexpr std::size_t kRecordHeaderSize = 10;       // type, class, time to live and data length
 constexpr std::size_t kSrvFieldsBeforeTarget = 6;   // priority, weight and port
-constexpr std::uint16_t kCompressionMarker = 0xc0;  // in the first byte of a pointer to an earlier name
+constexpr std::uint16_t kCompressionMarker = 0xc0;  // marks the first byte of a pointer to an earlier name
 
 void append_big_endian_16(std::string& out, unsigned value) {
   out += static_cast<char>(value >> 8);
@@ -28,7 +28,7 @@
   out += text;
 }
 
-// A name written as a pointer to where it stands in the message already.
+// Returns a name encoded as a pointer to its earlier occurrence in the message.
 std::string name_at(std::size_t offset) {
   return {static_cast<char>(kCompressionMarker | offset >> 8), static_cast<char>(offset)};
 }
--- a/src/fakes/dns_response.h
+++ b/src/fakes/dns_response.h
@@ -1,5 +1,5 @@
-/// DNS responses as a service discovery server sends them: one SRV record an engine, with its address and
-/// attributes as additional records.
+// Creates DNS responses of a service discovery server, with one SRV record per engine and the engine's
+// address and attributes as additional records.
 #pragma once
 
 #include <cstdint>
@@ -11,8 +11,8 @@
 
 namespace rookproxy::test {
 
-/// The response to `query` (a whole DNS message with one question) that lists these endpoints; the SOA
-/// record's serial is the list's version.
+// Returns a response to `query`, a complete DNS message with one question, that lists the endpoints. The
+// serial of the SOA record is the version of the list.
 [[nodiscard]] std::string make_dns_response(std::string_view query, std::uint32_t version,
                                             const std::vector<EngineEndpoint>& endpoints);
 
--- a/src/fakes/fake_discovery_server.cpp
+++ b/src/fakes/fake_discovery_server.cpp
@@ -23,7 +23,7 @@
     : socket_(::socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0)), version_(version) {
   const sockaddr_in address = kAnyLoopbackPort.to_sockaddr();
   if (::bind(socket_.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0) {
-    throw std::runtime_error("no port for the fake discovery server");
+    throw std::runtime_error("fake discovery server failed to bind a UDP port");
   }
   thread_ = std::thread([this] { serve(); });
 }
--- a/src/fakes/fake_discovery_server.h
+++ b/src/fakes/fake_discovery_server.h
@@ -1,4 +1,4 @@
-/// A service discovery server for tests.
+// A service discovery server for tests.
 #pragma once
 
 #include <netinet/in.h>
@@ -19,11 +19,10 @@
 
 namespace rookproxy::test {
 
-/// Answers DNS queries over UDP with the endpoint list that it was last given, on a thread of its own. Its
-/// functions may be called from any thread.
+// Answers DNS queries over UDP with the current endpoint list, on its own thread. Thread-safe.
 class FakeDiscoveryServer {
  public:
-  /// Throws std::runtime_error if no port is free.
+  // Throws std::runtime_error if no port is free.
   explicit FakeDiscoveryServer(std::uint32_t version = 1);
   ~FakeDiscoveryServer();
   FakeDiscoveryServer(const FakeDiscoveryServer&) = delete;
@@ -31,24 +30,25 @@
 
   [[nodiscard]] std::uint16_t port() const { return local_port(socket_); }
 
-  /// How polls are answered.
+  // How the server responds to polls.
   enum class ResponseMode {
     kCurrentList,
-    kOlderList,        // by a server that lags: the list before the current one
-    kLost,             // the response with the current list is lost on its way
-    kOlderThenCurrent  // an older list overtakes the current one: both come, under the same query
+    kOlderList,        // the list before the current one, as from a server that lags behind
+    kLost,             // no response arrives: the one with the current list is lost
+    kOlderThenCurrent  // two responses to the same query, the older list first
   };
 
-  /// Replaces the list and raises its version by one.
+  // Replaces the list and raises its version by one.
   void set_endpoints(std::vector<EngineEndpoint> endpoints);
-  /// Answers so from the next poll on.
+  // Sets the response mode from the next poll on.
   void set_response_mode(ResponseMode mode);
-  /// Answers the next poll alone with another list, as a response does that was made for a former run of the
-  /// dispatcher, whose versions were counted from another start.
+  // Responds to the next poll only with another list, like a delayed response to a previous run of the
+  // dispatcher, whose version numbers had another starting value.
   void answer_once_with(std::uint32_t version, std::vector<EngineEndpoint> endpoints);
-  /// How many polls have come since the response mode was set last.
+  // Returns the number of polls since the response mode was last set.
   [[nodiscard]] int polls_in_mode();
-  /// When the first response with the current list was sent, be it lost or not; nothing if none was.
+  // Returns when the first response with the current list was sent, including a lost one, or nothing if none
+  // was.
   [[nodiscard]] std::optional<std::chrono::steady_clock::time_point> current_list_sent_at();
   [[nodiscard]] std::uint32_t version();
 
--- a/src/fakes/fake_mysql_engine.h
+++ b/src/fakes/fake_mysql_engine.h
@@ -1,4 +1,4 @@
-/// An engine for tests that speaks the MySQL protocol.
+// An engine for tests that speaks the MySQL protocol.
 #pragma once
 
 #include <cstdint>
@@ -13,9 +13,9 @@
 
 namespace rookproxy::test {
 
-/// Listens on 127.0.0.1 and serves every connection on a thread of its own; StatementBehavior says what words
-/// in a statement do. The account is rookproxy, with the password engine-secret. Its functions may be called
-/// from any thread.
+// Listens on 127.0.0.1 and serves every connection on its own thread. StatementBehavior describes the words
+// in a statement that control the response. The account is rookproxy with the password engine-secret.
+// Thread-safe.
 class FakeMysqlEngine {
  public:
   FakeMysqlEngine();
@@ -25,9 +25,9 @@
 
   [[nodiscard]] std::uint16_t port() const { return local_port(listener_); }
 
-  /// The statements that ran, in their order; a prepared one is followed by " <-" and its parameters.
+  // Returns the executed statements in order. A prepared statement is followed by " <-" and its parameters.
   [[nodiscard]] std::vector<std::string> executed_statements() { return state_.executed_statements(); }
-  /// The statements that were prepared, in their order.
+  // Returns the prepared statements in order.
   [[nodiscard]] std::vector<std::string> prepared_statements() { return state_.prepared_statements(); }
 
  private:
@@ -35,11 +35,11 @@
 
   FakeMysqlEngineState state_;
   FileDescriptor listener_;
-  std::vector<std::thread> session_threads_;  // filled by accept_thread_ alone
+  std::vector<std::thread> session_threads_;  // modified only by accept_thread_
   std::thread accept_thread_;
 };
 
-/// How often a statement was executed after its first run, summed over all distinct statements.
+// Returns the number of executions after the first one, summed over all distinct statements.
 [[nodiscard]] std::size_t count_repeated_executions(const std::vector<std::string>& executed);
 
 }  // namespace rookproxy::test
--- a/src/fakes/fake_mysql_engine_state.h
+++ b/src/fakes/fake_mysql_engine_state.h
@@ -1,4 +1,4 @@
-/// What the connections of one fake MySQL engine share.
+// State shared by the connections of a fake MySQL engine.
 #pragma once
 
 #include <atomic>
@@ -11,20 +11,19 @@
 
 namespace rookproxy::test {
 
-/// The engine's connections by id, and a record of what ran on them. Its functions may be called from any
-/// thread.
+// The engine's connections by id, and the statements that ran on them. Thread-safe.
 class FakeMysqlEngineState {
  public:
   using KillFlag = std::shared_ptr<std::atomic<bool>>;
 
-  /// A new connection: its id, and the flag that KILL QUERY sets.
+  // The id of a new connection, and the flag that KILL QUERY sets.
   struct Registration {
     std::uint32_t connection_id;
     KillFlag kill_flag;
   };
   [[nodiscard]] Registration register_connection();
 
-  /// Asks that connection to end its statement; nothing if there is none with the id.
+  // Requests the connection to end its statement. Does nothing if the id is unknown.
   void kill_query(std::uint32_t connection_id);
 
   void record_executed(const std::string& statement);
@@ -32,7 +31,7 @@
   [[nodiscard]] std::vector<std::string> executed_statements();
   [[nodiscard]] std::vector<std::string> prepared_statements();
 
-  /// Asks all connections to end; they look every few milliseconds.
+  // Requests all connections to end. They poll the flag every few milliseconds.
   void request_stop() { stop_requested_ = true; }
   [[nodiscard]] bool is_stop_requested() const { return stop_requested_; }
 
--- a/src/fakes/fake_mysql_session.cpp
+++ b/src/fakes/fake_mysql_session.cpp
@@ -25,7 +25,7 @@
 constexpr auto kSleepStep = 10ms;
 constexpr std::uint64_t kVarStringType = 0xfd;
 constexpr std::uint64_t kColumnLength = 255;
-constexpr std::size_t kBinaryRowHeaderSize = 2;  // a zero byte and the bitmap of nulls, for one column
+constexpr std::size_t kBinaryRowHeaderSize = 2;  // a zero byte and the null bitmap of one column
 
 }  // namespace
 
@@ -115,7 +115,7 @@
   mysql::append_integer(ok, id, 4);
   mysql::append_integer(ok, 0, 2);  // columns
   mysql::append_integer(ok, parameter_count, 2);
-  ok.append(3, '\0');  // a filler and the count of warnings
+  ok.append(3, '\0');  // a filler and the warning count
   reply(ok);
   for (std::size_t parameter = 0; parameter < parameter_count; ++parameter) reply_column_definition("?");
   if (parameter_count > 0) reply_eof();
@@ -144,7 +144,8 @@
   return run_statement(*execution, RowFormat::kBinary);
 }
 
-// The statement's text followed by its parameters; nothing if the command does not bind their types.
+// Returns the statement's text followed by its parameters, or nothing if the command does not bind their
+// types.
 std::optional<std::string> FakeMysqlSession::format_execution(PreparedStatement& statement,
                                                               mysql::PayloadReader& reader) {
   std::string text = statement.text + " <-";
@@ -195,7 +196,7 @@
   return Outcome::kContinue;
 }
 
-// False if KILL QUERY ended the statement.
+// Sleeps for the statement's run time. Returns false if KILL QUERY ended the statement.
 bool FakeMysqlSession::sleep_unless_killed(std::chrono::milliseconds run_time) {
   for (auto left = run_time; left > 0ms && !engine_.is_stop_requested(); left -= kSleepStep) {
     if (*registration_.kill_flag) return false;
@@ -225,7 +226,7 @@
 }
 
 void FakeMysqlSession::reply_column_definition(const std::string& name) {
-  // Catalog, schema, table, the table's own name, the column and the column's own name.
+  // Catalog, schema, table alias, table, column alias and column.
   const std::array<std::string, 6> names{"def", "", "", "", name, name};
   std::string definition;
   for (const std::string& text : names) mysql::append_length_encoded_string(definition, text);
--- a/src/fakes/fake_mysql_session.h
+++ b/src/fakes/fake_mysql_session.h
@@ -1,4 +1,4 @@
-/// The server's side of one MySQL connection, for tests.
+// The server side of a MySQL connection, for tests.
 #pragma once
 
 #include <cstdint>
@@ -17,13 +17,13 @@
 
 namespace rookproxy::test {
 
-/// Serves one connection of a FakeMysqlEngine with blocking calls; for one thread. It keeps a reference to
-/// the engine's state, which lives longer.
+// Serves one connection of a FakeMysqlEngine with blocking calls. Not thread-safe. The engine's state must
+// outlive the session.
 class FakeMysqlSession {
  public:
   FakeMysqlSession(FileDescriptor fd, FakeMysqlEngineState& engine);
 
-  /// Logs the client in and serves its commands, until the connection ends or the engine stops.
+  // Authenticates the client and serves its commands until the connection ends or the engine stops.
   void run();
 
  private:
@@ -33,7 +33,7 @@
   struct PreparedStatement {
     std::string text;
     std::size_t parameter_count;
-    std::map<int, std::string> long_data;  // by parameter
+    std::map<int, std::string> long_data;  // by parameter index
   };
 
   [[nodiscard]] bool log_in();
--- a/src/fakes/fault_injecting_network.cpp
+++ b/src/fakes/fault_injecting_network.cpp
@@ -29,7 +29,7 @@
 
 struct FaultInjectingNetwork::DatagramPort {
   FileDescriptor fd;
-  std::optional<NodeId> node;  // none: it stands for all
+  std::optional<NodeId> node;  // nothing if it represents all nodes
   std::optional<SocketAddress> real_address;
   std::unique_ptr<FdCallback> callback;
 };
@@ -51,7 +51,7 @@
 void FaultInjectingNetwork::run_after(Duration delay, std::function<void()> task) {
   const std::uint64_t id = next_id_++;
   timers_[id] = loop_.run_at(loop_.now() + delay, [this, id, task = std::move(task)] {
-    const auto task_to_run = task;  // the timer's own copy may be destroyed with its entry
+    const auto task_to_run = task;  // the timer's copy may be destroyed with its entry
     timers_.erase(id);
     task_to_run();
   });
@@ -106,7 +106,8 @@
 
 std::unique_ptr<FaultInjectingNetwork::DatagramPort> FaultInjectingNetwork::open_datagram_port() {
   auto port = std::make_unique<DatagramPort>();
-  port->fd = require_open(bind_udp(kAnyLoopbackPort), "a UDP port of the fault-injecting network");
+  port->fd =
+      require_open(bind_udp(kAnyLoopbackPort), "failed to open a UDP port of the fault-injecting network");
   port->callback = std::make_unique<FdCallback>(loop_, port->fd.get(),
                                                 [this, opened = port.get()] { receive_datagrams(*opened); });
   return port;
@@ -164,20 +165,20 @@
 void FaultInjectingNetwork::apply_rule(NodeId from, NodeId to, std::string_view bytes) {
   LinkDirection& link = direction(from, to);
   ++link.statistics.datagrams_received;
-  const DatagramFate fate = link.draw_datagram_fate(rule_for(from, to));
-  if (fate.is_dropped) {
+  const DatagramFaults faults = link.draw_datagram_faults(rule_for(from, to));
+  if (faults.is_dropped) {
     ++link.statistics.datagrams_dropped;
     return;
   }
-  if (fate.is_reordered && !link.held_datagram) {
+  if (faults.is_reordered && !link.held_datagram) {
     ++link.statistics.datagrams_reordered;
     link.held_datagram = std::string(bytes);
     return run_after(kReorderHoldTime, [this, from, to] { release_held_datagram(from, to); });
   }
-  forward_datagram(from, to, std::string(bytes), fate.delay);
-  if (fate.is_duplicated) {
+  forward_datagram(from, to, std::string(bytes), faults.delay);
+  if (faults.is_duplicated) {
     ++link.statistics.datagrams_duplicated;
-    forward_datagram(from, to, std::string(bytes), fate.duplicate_delay);
+    forward_datagram(from, to, std::string(bytes), faults.duplicate_delay);
   }
   release_held_datagram(from, to);
 }
@@ -207,7 +208,8 @@
 SocketAddress FaultInjectingNetwork::open_tcp_proxy(NodeId from, NodeId to, const SocketAddress& target) {
   TcpListener& listener = *tcp_listeners_.emplace_back(std::make_unique<TcpListener>());
   listener.route = {from, to, target};
-  listener.fd = require_open(listen_tcp(kAnyLoopbackPort), "a TCP port of the fault-injecting network");
+  listener.fd =
+      require_open(listen_tcp(kAnyLoopbackPort), "failed to open a TCP port of the fault-injecting network");
   listener.callback = std::make_unique<FdCallback>(loop_, listener.fd.get(),
                                                    [this, &listener] { accept_connections(listener); });
   return {kLoopbackAddress, local_port(listener.fd)};
--- a/src/fakes/fault_injecting_network.h
+++ b/src/fakes/fault_injecting_network.h
@@ -1,5 +1,5 @@
-/// A network between the nodes of a test that loses, delays, duplicates and reorders datagrams, and
-/// partitions, delays and resets connections, as a seed and the test's rules say.
+// A network between the nodes of a test that drops, delays, duplicates and reorders datagrams, and
+// partitions, delays and resets connections, as determined by a seed and the test's rules.
 #pragma once
 
 #include <cstdint>
@@ -20,18 +20,18 @@
 
 namespace rookproxy::test {
 
-/// Stands between the nodes on 127.0.0.1, on ports that the kernel chooses. Every direction between two nodes
-/// has random numbers of its own, so that the fate of its n-th datagram does not depend on what passes
-/// elsewhere. Lives and is used on the loop's thread; functions that open sockets throw std::system_error.
+// Proxies traffic between the nodes on 127.0.0.1, on ports that the kernel chooses. Every direction between
+// two nodes has its own random number generator, so that the handling of its n-th datagram does not depend on
+// other traffic. Must be used on the loop's thread only. Functions that open sockets throw std::system_error.
 class FaultInjectingNetwork final : private LinkRules {
  public:
-  /// One step of a schedule.
+  // An action of a schedule.
   struct ScheduledAction {
     Duration delay_from_start;
     std::function<void(FaultInjectingNetwork&)> action;
   };
 
-  /// How long a datagram that is to be reordered waits for one that overtakes it.
+  // How long a datagram to be reordered is held for one that overtakes it.
   static constexpr Duration kReorderHoldTime = std::chrono::milliseconds(50);
 
   FaultInjectingNetwork(EventLoop& loop, std::uint64_t seed);
@@ -39,46 +39,46 @@
   FaultInjectingNetwork(const FaultInjectingNetwork&) = delete;
   FaultInjectingNetwork& operator=(const FaultInjectingNetwork&) = delete;
 
-  /// The address at which all others reach this node's UDP socket. What a node's real address sends there
-  /// arrives at this node's real address, from the proxy address of the sender.
+  // Returns the address at which other nodes reach the node's UDP socket. A datagram sent to it from a node's
+  // real address arrives at this node's real address, with the proxy address of the sender as its source.
   SocketAddress proxy_address_of(NodeId node);
 
-  /// Says where the node's UDP socket really is; again after it has restarted at another port.
+  // Sets the address of the node's UDP socket. To be called again after a restart on another port.
   void set_real_address(NodeId node, const SocketAddress& real);
 
-  /// An address that reaches all other nodes, as the platform's `peers_all`.
+  // Returns an address that reaches all other nodes, like the platform's `peers_all`.
   SocketAddress broadcast_address();
 
-  /// An address at which `from` reaches `target`, a TCP listener of the node `to`. Bytes to the target follow
-  /// the rule from-to, bytes back the rule to-from.
+  // Returns an address at which `from` reaches `target`, a TCP listener of the node `to`. The rule from-to
+  // applies to bytes sent to the target, and the rule to-from to bytes in the other direction.
   SocketAddress open_tcp_proxy(NodeId from, NodeId to, const SocketAddress& target);
 
   void set_rule(NodeId from, NodeId to, const LinkRule& rule);
 
-  /// The rule of every direction that has none of its own.
+  // Sets the rule of every direction without its own rule.
   void set_default_rule(const LinkRule& rule);
 
-  /// Partitions two nodes in both directions, or ends that.
+  // Starts or ends a partition between two nodes in both directions.
   void set_partitioned(NodeId one, NodeId other, bool is_partitioned = true);
 
-  /// Partitions all nodes of one group from all of the other, or ends that.
+  // Starts or ends a partition between all nodes of two groups.
   void partition_groups(const std::vector<NodeId>& group, const std::vector<NodeId>& other_group,
                         bool is_partitioned = true);
 
-  /// Resets the TCP connections from one node to the other, on both sides.
+  // Resets both sides of the TCP connections from one node to the other.
   void reset_connections(NodeId from, NodeId to);
 
-  /// Runs these actions at their times, counted from now.
+  // Runs the actions after their delays, starting from now.
   void run_schedule(std::vector<ScheduledAction> schedule);
 
   [[nodiscard]] const LinkStatistics& statistics(NodeId from, NodeId to);
 
-  /// Datagrams from an address that belongs to no node.
+  // Returns the number of datagrams from addresses that belong to no node.
   [[nodiscard]] std::uint64_t unknown_sender_datagrams() const { return unknown_sender_datagrams_; }
 
  private:
-  struct DatagramPort;  // a UDP socket that stands for a node, or for all
-  struct TcpListener;   // a TCP listener that stands for a target
+  struct DatagramPort;  // a UDP socket that represents one node or all nodes
+  struct TcpListener;   // a TCP listener that represents a target
 
   [[nodiscard]] const LinkRule& rule_for(NodeId from, NodeId to) const override;
   LinkDirection& direction(NodeId from, NodeId to) override;
@@ -107,7 +107,7 @@
   std::map<std::uint64_t, TimerId> timers_;
   std::uint64_t next_id_ = 1;
   std::uint64_t unknown_sender_datagrams_ = 0;
-  // Tells tasks that were deferred to the loop whether the network still exists.
+  // Indicates to tasks deferred to the loop whether the network still exists.
   std::shared_ptr<bool> is_alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/fakes/fault_injecting_network_thread.cpp
+++ b/src/fakes/fault_injecting_network_thread.cpp
@@ -12,7 +12,7 @@
 
 FaultInjectingNetworkThread::FaultInjectingNetworkThread(std::uint64_t seed)
     : wakeup_(::eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
-  if (!wakeup_) throw std::system_error(errno, std::generic_category(), "an eventfd");
+  if (!wakeup_) throw std::system_error(errno, std::generic_category(), "failed to create an eventfd");
   std::promise<void> ready;
   auto is_ready = ready.get_future();
   thread_ = std::thread([this, seed, &ready] { run(seed, ready); });
--- a/src/fakes/fault_injecting_network_thread.h
+++ b/src/fakes/fault_injecting_network_thread.h
@@ -1,4 +1,4 @@
-/// A fault-injecting network with an event loop and a thread of its own.
+// A fault-injecting network with its own event loop and thread.
 #pragma once
 
 #include <cstdint>
@@ -17,17 +17,17 @@
 
 namespace rookproxy::test {
 
-/// Runs a FaultInjectingNetwork beside the test's own thread. run_on_thread may be called from any thread.
+// Runs a FaultInjectingNetwork on a separate thread. run_on_thread is thread-safe.
 class FaultInjectingNetworkThread {
  public:
-  /// Throws std::system_error if the event descriptor can't be created.
+  // Throws std::system_error if the event descriptor can't be created.
   explicit FaultInjectingNetworkThread(std::uint64_t seed);
   ~FaultInjectingNetworkThread();
   FaultInjectingNetworkThread(const FaultInjectingNetworkThread&) = delete;
   FaultInjectingNetworkThread& operator=(const FaultInjectingNetworkThread&) = delete;
 
-  /// Calls `action` with the network on the network's thread, waits for it and returns its result; an
-  /// exception of the action is thrown here.
+  // Calls `action` with the network on the network's thread, waits for it and returns its result. Rethrows an
+  // exception of the action.
   template <class Action>
   auto run_on_thread(Action action) {
     using Result = decltype(action(std::declval<FaultInjectingNetwork&>()));
@@ -43,7 +43,7 @@
   void run_posted_tasks(EventLoop& loop);
 
   std::mutex mutex_;
-  std::vector<std::function<void()>> tasks_;  // an empty one stops the thread
+  std::vector<std::function<void()>> tasks_;  // an empty task stops the thread
   FileDescriptor wakeup_;                     // an eventfd
   FaultInjectingNetwork* network_ = nullptr;  // owned by the thread's function
   std::thread thread_;
--- a/src/fakes/fd_callback.h
+++ b/src/fakes/fd_callback.h
@@ -1,4 +1,4 @@
-/// A registration of a descriptor with an event loop that calls a function.
+// Registers a file descriptor with an event loop and calls a function when it is ready.
 #pragma once
 
 #include <functional>
@@ -9,10 +9,10 @@
 
 namespace rookproxy::test {
 
-/// Calls `action` on the loop's thread whenever the descriptor is ready, until it is stopped or destroyed.
+// Calls `action` on the loop's thread whenever the descriptor is ready, until stopped or destroyed.
 class FdCallback final : public EventHandler {
  public:
-  /// Both the loop and the descriptor live longer than the registration, or stop() comes first.
+  // The loop and the descriptor must outlive the registration, unless stop() is called first.
   FdCallback(EventLoop& loop, int fd, std::function<void()> action)
       : loop_(loop), fd_(fd), action_(std::move(action)), key_(loop.watch(fd, *this)) {}
   ~FdCallback() { stop(); }
@@ -21,11 +21,11 @@
 
   void on_ready(std::uint32_t) override { action_(); }
 
-  /// Ends the registration; call it before the descriptor is closed. Inside of `action` the object itself has
-  /// to live on until the call returns.
+  // Ends the registration. Must be called before the descriptor is closed. If `action` calls it, the object
+  // must exist until `action` returns.
   void stop() { loop_.unwatch(std::exchange(key_, 0), fd_); }
 
-  /// Has the action called again in the loop's next iteration.
+  // Schedules another call of the action for the loop's next iteration.
   void requeue(std::uint32_t events) { loop_.requeue(key_, events); }
 
  private:
--- a/src/fakes/link_direction.cpp
+++ b/src/fakes/link_direction.cpp
@@ -9,17 +9,17 @@
   random_engine_.seed(seeds);
 }
 
-DatagramFate LinkDirection::draw_datagram_fate(const LinkRule& rule) {
+DatagramFaults LinkDirection::draw_datagram_faults(const LinkRule& rule) {
   const double loss_draw = next_uniform();
   const double duplicate_draw = next_uniform();
   const double reorder_draw = next_uniform();
-  DatagramFate fate;
-  fate.is_dropped = rule.is_partitioned || loss_draw < rule.loss_probability;
-  fate.is_reordered = reorder_draw < rule.reorder_probability;
-  fate.is_duplicated = duplicate_draw < rule.duplicate_probability;
-  fate.delay = draw_delay(rule);
-  fate.duplicate_delay = draw_delay(rule);
-  return fate;
+  DatagramFaults faults;
+  faults.is_dropped = rule.is_partitioned || loss_draw < rule.loss_probability;
+  faults.is_reordered = reorder_draw < rule.reorder_probability;
+  faults.is_duplicated = duplicate_draw < rule.duplicate_probability;
+  faults.delay = draw_delay(rule);
+  faults.duplicate_delay = draw_delay(rule);
+  return faults;
 }
 
 Duration LinkDirection::draw_delay(const LinkRule& rule) {
@@ -28,7 +28,7 @@
   return rule.min_delay + Duration(static_cast<std::int64_t>(extra));
 }
 
-// From 0 up to but not 1, of 53 random bits.
+// Returns a number in [0, 1) with 53 random bits.
 double LinkDirection::next_uniform() { return static_cast<double>(random_engine_() >> 11) * 0x1p-53; }
 
 }  // namespace rookproxy::test
--- a/src/fakes/link_direction.h
+++ b/src/fakes/link_direction.h
@@ -1,4 +1,4 @@
-/// One direction between two nodes of a fault-injecting network.
+// One direction between two nodes of a fault-injecting network.
 #pragma once
 
 #include <cstdint>
@@ -10,8 +10,8 @@
 
 namespace rookproxy::test {
 
-/// What happens to one datagram.
-struct DatagramFate {
+// The faults that are applied to a datagram.
+struct DatagramFaults {
   bool is_dropped;
   bool is_reordered;
   bool is_duplicated;
@@ -19,17 +19,17 @@
   Duration duplicate_delay;
 };
 
-/// A direction's own rule, random numbers and counters. Every datagram takes the same number of random
-/// numbers, so that the fate of the n-th one depends on the seed and the rule alone.
+// The rule, random number generator and counters of one direction. Every datagram consumes the same number of
+// random numbers, so that the handling of the n-th one depends only on the seed and the rule.
 class LinkDirection {
  public:
   LinkDirection(std::uint64_t seed, NodeId from, NodeId to);
 
-  [[nodiscard]] DatagramFate draw_datagram_fate(const LinkRule& rule);
+  [[nodiscard]] DatagramFaults draw_datagram_faults(const LinkRule& rule);
   [[nodiscard]] Duration draw_delay(const LinkRule& rule);
 
-  std::optional<LinkRule> own_rule;          // instead of the network's default rule
-  std::optional<std::string> held_datagram;  // waits to be overtaken by the next one
+  std::optional<LinkRule> own_rule;          // replaces the network's default rule
+  std::optional<std::string> held_datagram;  // waits for the next one to overtake it
   LinkStatistics statistics;
 
  private:
--- a/src/fakes/link_rule.h
+++ b/src/fakes/link_rule.h
@@ -1,4 +1,4 @@
-/// What a fault-injecting network does in one direction between two nodes, and what it counted there.
+// Rules and counters of one direction between two nodes of a fault-injecting network.
 #pragma once
 
 #include <cstdint>
@@ -7,23 +7,23 @@
 
 namespace rookproxy::test {
 
-/// A node of the test network, by the number that the test gives it.
+// The id of a node, assigned by the test.
 using NodeId = std::uint32_t;
 
-/// The faults of one direction. Probabilities are from 0 to 1.
+// The faults of one direction. Probabilities range from 0 to 1.
 struct LinkRule {
-  /// Datagrams are lost; the bytes of connections wait until the partition ends.
+  // Datagrams are dropped, and the bytes of connections are held until the partition ends.
   bool is_partitioned = false;
   double loss_probability = 0;       // of a datagram
   double duplicate_probability = 0;  // of a datagram
-  /// Of a datagram; it waits until the next one has passed, or for kReorderHoldTime.
+  // Of a datagram, which is held until the next one has passed, or for kReorderHoldTime.
   double reorder_probability = 0;
-  /// Delays are drawn evenly between these two; the bytes of a connection keep their order.
+  // Delays are distributed uniformly between these two. The bytes of a connection keep their order.
   Duration min_delay{};
   Duration max_delay{};
 };
 
-/// Counters of one direction.
+// Counters of one direction.
 struct LinkStatistics {
   std::uint64_t datagrams_received = 0;
   std::uint64_t datagrams_forwarded = 0;
--- a/src/fakes/proxied_connection.cpp
+++ b/src/fakes/proxied_connection.cpp
@@ -13,7 +13,7 @@
 namespace rookproxy::test {
 namespace {
 
-constexpr std::size_t kMaxBufferedBytes = 1 << 20;  // per direction; nothing more is read above this
+constexpr std::size_t kMaxBufferedBytes = 1 << 20;  // per direction; reading stops at this limit
 constexpr std::size_t kMaxBytesReadPerIteration = 256 * 1024;
 constexpr std::size_t kReadSize = 16 * 1024;
 
@@ -50,7 +50,7 @@
 void ProxiedConnection::forward_bytes() {
   if (is_closed_) return;
   if (!target_.fd) {
-    // Across a partition the target does not even learn that somebody connects.
+    // A partition hides the connection attempt from the target.
     if (rules_.rule_for(client_.node, target_.node).is_partitioned) return;
     if (!connect_target()) return close(true);
   }
@@ -97,7 +97,8 @@
   }
 }
 
-// Sends what the sink takes of the first segment; false if it takes no more, or the connection has closed.
+// Sends as much of the first segment as the sink accepts. Returns false if it accepts no more or the
+// connection has closed.
 bool ProxiedConnection::send_first_segment(Side& source, Side& sink) {
   const std::string& bytes = source.queue.front().bytes;
   const std::size_t offset = source.bytes_sent_of_first_segment;
@@ -115,7 +116,7 @@
   if (source.bytes_sent_of_first_segment < bytes.size()) return true;
   source.bytes_sent_of_first_segment = 0;
   source.queue.pop_front();
-  // There may be room to read again, for which an edge-triggered descriptor reports nothing.
+  // The buffer may have room again, which an edge-triggered descriptor does not report.
   if (!source.is_read_closed) source.callback->requeue(EPOLLIN);
   return true;
 }
--- a/src/fakes/proxied_connection.h
+++ b/src/fakes/proxied_connection.h
@@ -1,4 +1,4 @@
-/// A TCP connection that passes through a fault-injecting network.
+// A TCP connection that passes through a fault-injecting network.
 #pragma once
 
 #include <array>
@@ -17,24 +17,25 @@
 
 namespace rookproxy::test {
 
-/// What a connection needs to know of its network.
+// The interface of the network that a proxied connection uses.
 class LinkRules {
  public:
-  /// The rule in force from one node to the other.
+  // Returns the current rule from one node to the other.
   [[nodiscard]] virtual const LinkRule& rule_for(NodeId from, NodeId to) const = 0;
   virtual LinkDirection& direction(NodeId from, NodeId to) = 0;
-  /// The connection of this id has closed; it is destroyed later, as it may be in the middle of a call.
+  // Called when the connection with the id has closed. The connection must not be destroyed during the call.
   virtual void on_connection_closed(std::uint64_t id) = 0;
 
  protected:
   ~LinkRules() = default;
 };
 
-/// Copies bytes both ways between a client's connection and one of its own to the target, with the delays of
-/// the rules. It connects to the target once no partition lies in between. For the loop's thread.
+// Forwards bytes in both directions between a client's connection and its own connection to the target, with
+// the delays of the rules. Connects to the target once there is no partition between them. Must be used on
+// the loop's thread only.
 class ProxiedConnection {
  public:
-  /// The two ends of the connection.
+  // The two ends of the connection.
   struct Route {
     NodeId client;
     NodeId target;
@@ -49,19 +50,19 @@
 
   [[nodiscard]] const Route& route() const { return route_; }
 
-  /// Forwards what may pass now; to be called after a change of rules, too.
+  // Forwards the bytes that the rules allow. Must also be called after the rules change.
   void forward_bytes();
 
-  /// Closes both sides by a reset.
+  // Closes both sides with a TCP reset.
   void reset() { close(true); }
 
  private:
   struct Segment {
     Time due_at;
-    std::string bytes;  // empty: the end of the stream
+    std::string bytes;  // empty for the end of the stream
   };
 
-  // One end's socket, and what was received from it and waits to be sent to the other end.
+  // The socket of one end, and the bytes received from it that are queued for the other end.
   struct Side {
     NodeId node = 0;
     FileDescriptor fd;
@@ -69,9 +70,9 @@
     std::deque<Segment> queue;
     std::size_t queued_bytes = 0;
     std::size_t bytes_sent_of_first_segment = 0;
-    bool is_read_closed = false;    // its end of stream was received
-    bool is_write_closed = false;   // and was passed on to the other end
-    std::optional<TimerId> resume;  // when the first segment is due
+    bool is_read_closed = false;    // the end of its stream was received
+    bool is_write_closed = false;   // the end of its stream was forwarded
+    std::optional<TimerId> resume;  // scheduled for when the first segment is due
   };
 
   void attach(Side& side, FileDescriptor fd);
--- a/src/fakes/statement_behavior.h
+++ b/src/fakes/statement_behavior.h
@@ -1,4 +1,4 @@
-/// How a fake engine behaves for a statement, said by words in the statement's text.
+// Determines from words in a statement how a fake engine responds to it.
 #pragma once
 
 #include <chrono>
@@ -7,9 +7,9 @@
 
 namespace rookproxy::test {
 
-/// The words of a statement, read. `full` rejects it before it runs, `bad` is an error in the statement,
-/// `sleep_N` runs for N ms, `cut` closes the connection once it has run, `rows_N` returns N rows and `wide_N`
-/// one row of N bytes; without one of these two the response is an OK.
+// The behavior that a statement's words select: `full` rejects the statement before it runs, `bad` is a
+// syntax error, `sleep_N` runs for N ms, `cut` closes the connection after the run, `rows_N` returns N rows
+// and `wide_N` returns one row of N bytes. Without the last two the response is an OK.
 struct StatementBehavior {
   bool is_rejected = false;
   bool is_malformed = false;
@@ -21,8 +21,8 @@
   [[nodiscard]] static StatementBehavior parse(const std::string& statement);
 };
 
-/// The decimal number that follows the first occurrence of `word`; nothing if the text does not hold the
-/// word.
+// Returns the decimal number after the first occurrence of `word`, or nothing if the text does not contain
+// it.
 [[nodiscard]] std::optional<int> find_number_after(const std::string& text, const std::string& word);
 
 }  // namespace rookproxy::test
--- a/src/fakes/temporary_directory.cpp
+++ b/src/fakes/temporary_directory.cpp
@@ -14,7 +14,7 @@
 }
 
 TemporaryDirectory::TemporaryDirectory() : path_(make_temporary_directory()) {
-  if (path_.empty()) throw std::runtime_error("no temporary directory could be created");
+  if (path_.empty()) throw std::runtime_error("failed to create a temporary directory");
 }
 
 TemporaryDirectory::~TemporaryDirectory() {
--- a/src/fakes/temporary_directory.h
+++ b/src/fakes/temporary_directory.h
@@ -1,27 +1,27 @@
-/// Directories that live as long as a test.
+// Temporary directories for tests.
 #pragma once
 
 #include <string>
 
 namespace rookproxy::test {
 
-/// Creates a directory below TMPDIR, or below /tmp without that; returns its path, empty if it can't be
-/// created. The caller removes it.
+// Creates a directory in TMPDIR, or in /tmp if TMPDIR is not set. Returns its path, or an empty string if it
+// cannot be created. The caller must remove it.
 [[nodiscard]] std::string make_temporary_directory();
 
-/// A temporary directory that is removed with all its files at the end of its scope.
+// A temporary directory that is removed with its contents at the end of its scope.
 class TemporaryDirectory {
  public:
-  /// Throws std::runtime_error if the directory can't be created.
+  // Throws std::runtime_error if the directory cannot be created.
   TemporaryDirectory();
   ~TemporaryDirectory();
   TemporaryDirectory(const TemporaryDirectory&) = delete;
   TemporaryDirectory& operator=(const TemporaryDirectory&) = delete;
 
-  /// The directory's path, without a slash at its end.
+  // Returns the directory's path without a trailing slash.
   [[nodiscard]] const std::string& path() const { return path_; }
 
-  /// The path of a file in the directory.
+  // Returns the path of a file in the directory.
   [[nodiscard]] std::string file(const std::string& name) const { return path_ + "/" + name; }
 
  private:
--- a/src/fakes/test_connection.cpp
+++ b/src/fakes/test_connection.cpp
@@ -12,9 +12,9 @@
 namespace {
 
 constexpr std::size_t kPlainReadSize = 64 * 1024;
-constexpr std::size_t kTlsReadSize = 16 * 1024;  // the most that one TLS record holds
+constexpr std::size_t kTlsReadSize = 16 * 1024;  // the maximum size of a TLS record
 
-// Waits until the socket takes more; false if it has ended or takes nothing within kWaitLimit.
+// Waits until the socket is writable. Returns false if it has ended or is not writable within kWaitLimit.
 bool wait_until_writable(const FileDescriptor& fd) {
   pollfd request{fd.get(), POLLOUT, 0};
   const auto limit = std::chrono::milliseconds(kWaitLimit);
--- a/src/fakes/test_connection.h
+++ b/src/fakes/test_connection.h
@@ -1,4 +1,4 @@
-/// A blocking client connection for tests, in plain TCP or TLS.
+// A blocking client connection for tests, in plain TCP or TLS.
 #pragma once
 
 #include <chrono>
@@ -17,38 +17,39 @@
 
 namespace rookproxy::test {
 
-/// A connection with a buffer for what was received. Every read has a time limit; false means that nothing
-/// came within it. Owns its socket; for one thread.
+// A connection with a receive buffer. Every read has a time limit, and false means that no data arrived
+// within it. Owns its socket. Not thread-safe.
 class TestConnection {
  public:
   explicit TestConnection(FileDescriptor fd) : fd_(std::move(fd)) {}
 
-  /// Starts to connect to a port of 127.0.0.1; a refused connection shows as one that has ended.
+  // Starts connecting to a port on 127.0.0.1. A refused connection appears as one that has ended.
   static TestConnection connect(std::uint16_t port);
 
-  /// Continues in TLS, with that client certificate in PEM if there is one. Throws std::runtime_error if the
-  /// handshake fails.
+  // Switches to TLS, with the client certificate in PEM if one is given. Throws std::runtime_error if the
+  // handshake fails.
   void start_tls(const std::string& certificate = "", const std::string& key = "");
 
-  /// Sends all of it, unless the connection ends first.
+  // Sends all bytes unless the connection ends first.
   void send(std::string_view bytes);
 
-  /// Reads what has come into the buffer; false at the end of the stream or of the time.
+  // Reads available data into the buffer. Returns false at the end of the stream or after the time limit.
   bool read_more(std::chrono::milliseconds within = kWaitLimit);
 
-  /// Reads until the buffer holds so many bytes; false at the end of the stream or of the time.
+  // Reads until the buffer holds at least `bytes` bytes. Returns false at the end of the stream or after the
+  // time limit.
   [[nodiscard]] bool wait_for_bytes(std::size_t bytes, std::chrono::milliseconds within = kWaitLimit);
 
-  /// Reads up to the end of the stream; false if a read finds nothing within the time.
+  // Reads up to the end of the stream. Returns false if no data arrives within the time limit.
   [[nodiscard]] bool wait_for_end(std::chrono::milliseconds within = kWaitLimit);
 
   [[nodiscard]] bool has_ended() const { return ended_; }
   [[nodiscard]] bool was_reset() const { return reset_; }
 
-  /// Removes the first bytes from the buffer and returns them.
+  // Removes the first bytes from the buffer and returns them.
   std::string take(std::size_t bytes);
 
-  /// What was received and not yet taken.
+  // Returns the received data that was not taken yet.
   std::string& buffer() { return buffer_; }
   [[nodiscard]] const FileDescriptor& fd() const { return fd_; }
   void close() { fd_.reset(); }
@@ -63,7 +64,7 @@
   bool reset_ = false;
 };
 
-/// Reads one MySQL message from the connection; nothing if none came within kWaitLimit.
+// Reads one MySQL message from the connection. Returns nothing if no data arrives within kWaitLimit.
 std::optional<mysql::Message> read_mysql_message(TestConnection& connection);
 
 }  // namespace rookproxy::test
--- a/src/fakes/tls_client_session.cpp
+++ b/src/fakes/tls_client_session.cpp
@@ -14,7 +14,7 @@
 
 using Bio = std::unique_ptr<BIO, decltype(&BIO_free)>;
 
-// The text has to live as long as the result.
+// The text must outlive the result.
 Bio read_only_bio(const std::string& text) {
   return {BIO_new_mem_buf(text.data(), static_cast<int>(text.size())), BIO_free};
 }
@@ -24,14 +24,14 @@
 TlsClientSession::TlsClientSession(int fd, const std::string& certificate, const std::string& key) : fd_(fd) {
   SSL_CTX* context = SSL_CTX_new(TLS_client_method());
   ssl_ = std::shared_ptr<SSL>(SSL_new(context), SSL_free);
-  SSL_CTX_free(context);  // the session holds a reference of its own
+  SSL_CTX_free(context);  // the session holds its own reference
   if (!certificate.empty()) use_certificate(certificate, key);
   SSL_set_fd(ssl_.get(), fd);
   for (;;) {
     ERR_clear_error();
     const int outcome = SSL_connect(ssl_.get());
     if (outcome == 1) return;
-    if (!wait_for_io(outcome, kWaitLimit)) throw std::runtime_error("the TLS handshake failed");
+    if (!wait_for_io(outcome, kWaitLimit)) throw std::runtime_error("TLS handshake failed");
   }
 }
 
@@ -46,7 +46,7 @@
   EVP_PKEY_free(own_key);
 }
 
-// Waits for what the call with this outcome still needs; false after an error or the time.
+// Waits for the I/O that the call with this outcome requires. Returns false after an error or the time limit.
 bool TlsClientSession::wait_for_io(int outcome, std::chrono::milliseconds within) {
   const int error = SSL_get_error(ssl_.get(), outcome);
   if (error != SSL_ERROR_WANT_READ && error != SSL_ERROR_WANT_WRITE) return false;
--- a/src/fakes/tls_client_session.h
+++ b/src/fakes/tls_client_session.h
@@ -1,4 +1,4 @@
-/// The connecting side of TLS, for test clients.
+// The client side of TLS, for tests.
 #pragma once
 
 #include <chrono>
@@ -10,18 +10,19 @@
 
 namespace rookproxy::test {
 
-/// A TLS client that accepts any server certificate: what is tested is the server's side. For one thread.
+// A TLS client that accepts any server certificate, because tests examine the server side. Not thread-safe.
 class TlsClientSession {
  public:
-  /// Does the handshake on a connected non-blocking socket, which has to live longer; `certificate` and `key`
-  /// are PEM, or empty for a client without a certificate. Throws std::runtime_error if the handshake fails.
+  // Performs the handshake on a connected non-blocking socket, which must outlive the session. `certificate`
+  // and `key` are in PEM, or empty for a client without a certificate. Throws std::runtime_error if the
+  // handshake fails.
   TlsClientSession(int fd, const std::string& certificate, const std::string& key);
 
-  /// Sends all of it; false if the connection ends or takes nothing for too long.
+  // Sends all bytes. Returns false if the connection ends or is not writable within kWaitLimit.
   [[nodiscard]] bool send(std::string_view bytes);
 
-  /// Reads into `buffer`: the count of bytes, 0 at the end of the stream or after an error, -1 if nothing
-  /// came within the time.
+  // Reads into `buffer`. Returns the number of bytes, 0 at the end of the stream or after an error, or -1 if
+  // no data arrived within the time limit.
   [[nodiscard]] int read(char* buffer, int size, std::chrono::milliseconds within);
 
  private:
