--- a/tests/support/descriptor_limit.h
+++ b/tests/support/descriptor_limit.h
@@ -1,4 +1,4 @@
-/// Processes that run out of file descriptors when a test wants it.
+// Helpers that make a process run out of file descriptors.
 #pragma once
 
 #include <fcntl.h>
@@ -13,8 +13,8 @@
 
 namespace rookproxy::test {
 
-/// Limits how many descriptors this process and its children may hold, for its scope. What is open stays
-/// open.
+// Lowers the descriptor limit (RLIMIT_NOFILE) of this process and the children that it starts, until the end
+// of the scope. Descriptors that are already open stay open.
 class DescriptorLimit {
  public:
   explicit DescriptorLimit(std::size_t count) {
@@ -31,20 +31,24 @@
   rlimit former_limit_{};
 };
 
-/// Takes all descriptors for its scope: a new one can be had only where another was closed.
+// Opens descriptors up to the limit and holds them until the end of the scope. A new descriptor is available
+// only after another was closed.
 class DescriptorExhaustion {
  public:
   DescriptorExhaustion() {
-    for (FileDescriptor fd = open_any(); fd; fd = open_any()) taken_.push_back(std::move(fd));
+    for (FileDescriptor fd = open_placeholder(); fd; fd = open_placeholder())
+      placeholders_.push_back(std::move(fd));
   }
 
  private:
   static constexpr std::size_t kLimit = 256;
 
-  static FileDescriptor open_any() { return FileDescriptor(::open("/dev/null", O_RDONLY | O_CLOEXEC)); }
+  static FileDescriptor open_placeholder() {
+    return FileDescriptor(::open("/dev/null", O_RDONLY | O_CLOEXEC));
+  }
 
   DescriptorLimit limit_{kLimit};
-  std::vector<FileDescriptor> taken_;
+  std::vector<FileDescriptor> placeholders_;
 };
 
 }  // namespace rookproxy::test
--- a/tests/support/dispatcher_config.h
+++ b/tests/support/dispatcher_config.h
@@ -1,4 +1,4 @@
-/// Configurations of dispatchers that tests start.
+// Configurations for dispatchers that are started by tests.
 #pragma once
 
 #include <cstdint>
@@ -8,20 +8,20 @@
 
 namespace rookproxy::test {
 
-/// A complete configuration in the platform's JSON, with the classes lookup and load, every port chosen by
-/// the kernel, and neither engines nor a name server.
+// Returns a complete JSON configuration with the classes `lookup` and `load`. The kernel chooses every port;
+// there are no engines and no discovery server.
 [[nodiscard]] nlohmann::json default_dispatcher_config();
 
-/// An engine that listens on 127.0.0.1.
+// An engine that listens on 127.0.0.1.
 struct LocalEngine {
   std::string id;
   std::uint16_t port;
 };
 
-/// The value of /known/batch that lists these engines as serving.
+// Returns a value of /known/batch that lists these engines as serving.
 [[nodiscard]] nlohmann::json make_known_batch(const std::vector<LocalEngine>& engines);
 
-/// "127.0.0.1:PORT".
+// Returns "127.0.0.1:PORT".
 [[nodiscard]] std::string loopback_address(std::uint16_t port);
 
 }  // namespace rookproxy::test
--- a/tests/support/dispatcher_process.cpp
+++ b/tests/support/dispatcher_process.cpp
@@ -26,44 +26,46 @@
 
 constexpr auto kPollInterval = std::chrono::milliseconds(5);
 constexpr int kFirstInheritedDescriptor = 3;
-constexpr int kDescriptorsKeptFree = 64;  // below this the program's own and the inherited ones are put
-constexpr int kFilterFailed = 98;
-constexpr int kStartFailed = 99;
+// Copies get numbers from here on, above the program's own and the inherited descriptors.
+constexpr int kFirstCopyDescriptor = 64;
+constexpr int kFilterFailedExitCode = 98;
+constexpr int kStartFailedExitCode = 99;
 constexpr int kSignalExitOffset = 128;
 constexpr const char* kAdminReady = "answering operators";
 
-// Gives the sockets the numbers from kFirstInheritedDescriptor on. Each is copied first, as it may have one
-// of these numbers already; the copies are closed on exec.
+// Duplicates the sockets to the numbers from kFirstInheritedDescriptor on. Each is first copied to a high
+// number, because it may already have one of the target numbers. The copies are closed on exec.
 void pass_sockets(const std::vector<FileDescriptor>& sockets) {
   if (sockets.empty()) return;
   ::setenv("NODE_PASSED_SOCKET", std::to_string(kFirstInheritedDescriptor).c_str(), 1);
   std::vector<FileDescriptor> copies;
   for (const FileDescriptor& socket : sockets) {
-    copies.emplace_back(::fcntl(socket.get(), F_DUPFD_CLOEXEC, kDescriptorsKeptFree));
+    copies.emplace_back(::fcntl(socket.get(), F_DUPFD_CLOEXEC, kFirstCopyDescriptor));
   }
   int number = kFirstInheritedDescriptor;
   for (const FileDescriptor& copy : copies) ::dup2(copy.get(), number++);
 }
 
-// Runs in the child after fork().
+// Runs in the child after fork() and does not return.
 [[noreturn]] void execute(const DispatcherOptions& options, const std::vector<FileDescriptor>& sockets) {
   ::setenv("NODE_CONFIG", (options.directory + "/config.json").c_str(), 1);
   ::setenv("TMPDIR", options.directory.c_str(), 1);
   if (!options.failing_calls.empty()) {
     ::setenv("ROOKPROXY_FAILING_CALLS", options.failing_calls.c_str(), 1);
     ::setenv("LD_PRELOAD", ROOKPROXY_FAILING_CALLS_LIBRARY, 1);
-    // In a build with sanitizers their library comes behind the preloaded one.
+    // In a sanitizer build, the sanitizer's library is loaded after the preloaded one; ASan rejects that
+    // order by default.
     ::setenv("ASAN_OPTIONS", "verify_asan_link_order=0", 1);
   }
   pass_sockets(sockets);
-  if (std::freopen(options.log_path.c_str(), "w", stderr) == nullptr) ::_exit(kStartFailed);
-  if (options.has_system_call_filter && !apply_system_call_filter()) ::_exit(kFilterFailed);
+  if (std::freopen(options.log_path.c_str(), "w", stderr) == nullptr) ::_exit(kStartFailedExitCode);
+  if (options.has_system_call_filter && !apply_system_call_filter()) ::_exit(kFilterFailedExitCode);
   if (options.operator_file.empty()) {
     ::execl(ROOKPROXY_BINARY, "rookproxy", nullptr);
   } else {
     ::execl(ROOKPROXY_BINARY, "rookproxy", "--file", options.operator_file.c_str(), nullptr);
   }
-  ::_exit(kStartFailed);
+  ::_exit(kStartFailedExitCode);
 }
 
 }  // namespace
@@ -108,7 +110,7 @@
     }
     std::this_thread::sleep_for(kPollInterval);
   }
-  fail_test("the log does not say: " + text);
+  fail_test("text not found in the dispatcher's log: " + text);
 }
 
 std::uint16_t DispatcherProcess::port_logged_with(const std::string& message) const {
@@ -127,7 +129,7 @@
   int status = 0;
   const auto deadline = steady_clock::now() + kWaitLimit;
   while (::waitpid(pid_, &status, WNOHANG) == 0) {
-    require(steady_clock::now() < deadline, "the dispatcher does not exit");
+    require(steady_clock::now() < deadline, "the dispatcher did not exit within the time limit");
     std::this_thread::sleep_for(kPollInterval);
   }
   pid_ = 0;
@@ -137,7 +139,7 @@
 std::string call_admin(const DispatcherProcess& process, const std::string& line) {
   TestConnection connection = TestConnection::connect(process.admin_port());
   connection.send(line + "\n");
-  require(connection.wait_for_end(), "the connection stays open");
+  require(connection.wait_for_end(), "the admin connection was not closed after the response");
   return connection.buffer();
 }
 
--- a/tests/support/dispatcher_process.h
+++ b/tests/support/dispatcher_process.h
@@ -1,4 +1,4 @@
-/// A dispatcher's process under test.
+// A dispatcher process under test.
 #pragma once
 
 #include <sys/types.h>
@@ -13,17 +13,17 @@
 
 namespace rookproxy::test {
 
-/// How a dispatcher is started.
+// The options for the start of a dispatcher.
 struct DispatcherOptions {
-  std::string directory;           // holds its config.json, and its temporary files
-  std::string log_path;            // a file for its standard error
-  std::string operator_file = {};  // an operator's file to start with, or empty
+  std::string directory;           // Contains config.json and the temporary files.
+  std::string log_path;            // The file that receives standard error.
+  std::string operator_file = {};  // The value of --file; empty: the option is omitted.
   bool has_system_call_filter = false;
-  std::string failing_calls = {};  // as tests/preload/failing_calls.cpp reads them, or empty
+  std::string failing_calls = {};  // In the format of tests/preload/failing_calls.cpp, or empty.
 };
 
-/// A running rookproxy, which is killed at the end of its scope. Functions that wait do so for kWaitLimit and
-/// then throw std::runtime_error. For one thread.
+// A rookproxy process. The destructor kills it. Functions that wait throw std::runtime_error after
+// kWaitLimit. Not thread-safe.
 class DispatcherProcess {
  public:
   DispatcherProcess() = default;
@@ -31,28 +31,29 @@
   DispatcherProcess& operator=(DispatcherProcess&& other) noexcept;
   ~DispatcherProcess();
 
-  /// Starts the program; it inherits these sockets, which stay open here.
+  // Starts the program, which inherits these sockets. They also stay open in the calling process.
   void start(const DispatcherOptions& options, const std::vector<FileDescriptor>& inherited_sockets = {});
 
-  /// True once start() was called.
+  // Returns whether start() was called.
   [[nodiscard]] bool started() const { return !log_path_.empty(); }
 
-  /// Its whole log up to now.
+  // Returns the whole log up to now.
   [[nodiscard]] std::string log() const;
 
-  /// Waits until the log holds `text`, and returns what follows it there up to the next quote.
+  // Waits until the log contains `text`, and returns what follows its first occurrence up to the next quote.
   std::string wait_for_log(const std::string& text) const;
 
-  /// The port on which it answers operators, once it does.
+  // Waits until the admin listener is ready, and returns its port.
   [[nodiscard]] std::uint16_t admin_port() const;
 
-  /// Waits until the log holds `message`, and returns the last value of the field port before its last
-  /// occurrence: a start that was tried again logs it once a try.
+  // Waits until the log contains `message`, and returns the last value of the field `port` before the last
+  // occurrence of the message. A listener whose start was retried logs the message once for each try.
   [[nodiscard]] std::uint16_t port_logged_with(const std::string& message) const;
 
   void send_signal(int number) const;
 
-  /// Waits until the process has ended: its exit code, or 128 plus the signal that killed it.
+  // Waits until the process has ended, and returns its exit code, or 128 plus the number of the signal that
+  // killed it.
   int wait_for_exit();
 
  private:
@@ -60,7 +61,7 @@
   std::string log_path_;
 };
 
-/// Sends one line to the process's address for operators and returns the whole answer.
+// Sends one line to the process's admin listener and returns the whole response.
 std::string call_admin(const DispatcherProcess& process, const std::string& line);
 
 }  // namespace rookproxy::test
--- a/tests/support/event_loop_thread.h
+++ b/tests/support/event_loop_thread.h
@@ -1,4 +1,4 @@
-// An event loop in a thread of its own, for tests that act as the peers of what runs on it.
+// An event loop in its own thread, for tests that act as peers of the objects that run on the loop.
 #pragma once
 
 #include <sys/eventfd.h>
@@ -20,7 +20,7 @@
 
 namespace rookproxy::test {
 
-// Runs a loop until it is finished. It waits for nothing but what the test makes happen.
+// Runs an event loop in its own thread until finish() is called.
 class EventLoopThread final : private EventHandler {
  public:
   EventLoopThread() : wake_(::eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
@@ -35,7 +35,7 @@
   EventLoopThread(const EventLoopThread&) = delete;
   EventLoopThread& operator=(const EventLoopThread&) = delete;
 
-  // Runs the task on the loop's thread and returns its result once it is done.
+  // Runs the task on the loop's thread, waits for it and returns its result.
   template <class Task>
   auto run(Task task) {
     std::packaged_task<decltype(task())()> packaged(std::move(task));
@@ -48,7 +48,8 @@
     REQUIRE(::write(wake_.get(), &one, sizeof one) == sizeof one);
     return result.get();
   }
-  // Runs `last`, which destroys what is registered with the loop, and ends the thread.
+  // Runs `last` on the loop's thread and ends the thread. `last` has to destroy the objects that are
+  // registered with the loop.
   void finish(std::function<void()> last = {}) {
     if (!thread_.joinable()) return;
     run([&] {
@@ -57,10 +58,11 @@
     });
     thread_.join();
   }
-  // Whether the condition holds, on the loop's thread, within that time.
+  // Evaluates the condition on the loop's thread every millisecond. Returns false if it does not become true
+  // within that time.
   bool until(const std::function<bool()>& condition, std::chrono::milliseconds within = kWaitLimit) {
-    const auto end = std::chrono::steady_clock::now() + within;
-    while (std::chrono::steady_clock::now() < end) {
+    const auto deadline = std::chrono::steady_clock::now() + within;
+    while (std::chrono::steady_clock::now() < deadline) {
       if (run(condition)) return true;
       std::this_thread::sleep_for(std::chrono::milliseconds(1));
     }
--- a/tests/support/fault_injection.h
+++ b/tests/support/fault_injection.h
@@ -1,6 +1,6 @@
-// A dispatcher between clients and engines that are played byte by byte: real connections on loopback, all in
-// one thread, with a clock and a loop turned by hand, so that every order is forced. One set of invariants,
-// counted from what clients and engines saw.
+// A dispatcher between clients and engines that the test scripts byte by byte. Connections are real ones on
+// loopback; all parties run in one thread with a manual clock, so that the test determines the order of
+// events. One set of invariants is checked against what clients and engines observed.
 #pragma once
 
 #include <sys/socket.h>
@@ -37,10 +37,10 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration kAttemptAfterDisconnectLimit =
-    100ms;  // an attempt that begins later, after its client went, is a break
+// An attempt that begins later than this after its client disconnected is a violation.
+constexpr Duration kAttemptAfterDisconnectLimit = 100ms;
 
-/// How the dispatcher of a test cluster is set up.
+// The options of a test cluster's dispatcher.
 struct ClusterOptions {
   bool may_cancel = true;
   bool second_copies = false;
@@ -48,21 +48,22 @@
   Duration idempotency_window = 100ms;
   Duration drain_grace_period = 1s;
   Duration dial_timeout = 250ms;
-  std::size_t streams_per_connection = 6;  // attempts on a connection before another is dialled
-  bool small_buffers = false;  // small buffers, and reading stops with the first answer that is not taken
+  std::size_t streams_per_connection = 6;  // Attempts on a connection before another is opened.
+  // Uses small socket buffers, and stops reading from a client that leaves its first response unread.
+  bool small_buffers = false;
 };
 
 inline const char* const kClassNames[] = {"safe", "all", "zone", "cell", "unsafe"};
 
-inline routing::Settings make_routing_settings(const ClusterOptions& setup) {
+inline routing::Settings make_routing_settings(const ClusterOptions& options) {
   routing::Settings settings;
   settings.zones = 2;
   settings.machine_types = {{"m", 64.0, 65536.0}};
-  settings.may_cancel = setup.may_cancel;
-  settings.hedging = setup.second_copies;
+  settings.may_cancel = options.may_cancel;
+  settings.hedging = options.second_copies;
   settings.reports_load = false;
-  settings.max_attempts = setup.max_attempts;
-  settings.drain_grace_period = to_routing_duration(setup.drain_grace_period);
+  settings.max_attempts = options.max_attempts;
+  settings.drain_grace_period = to_routing_duration(options.drain_grace_period);
   settings.progress_interval = to_routing_duration(Duration(500ms));
   for (int i = 0; i < 5; ++i) {
     routing::ClassSettings cls;
@@ -74,14 +75,14 @@
                                : routing::Idempotency::kKeyed;
     if (i > 0 && i < 4) {
       cls.idempotency_scope = static_cast<routing::IdempotencyScope>(i - 1);
-      cls.idempotency_window = to_routing_duration(setup.idempotency_window);
+      cls.idempotency_window = to_routing_duration(options.idempotency_window);
     }
     settings.classes.push_back(cls);
   }
   return settings;
 }
 
-/// One request and what its client received for it.
+// One request and the responses that its client received.
 struct Request {
   std::string call_id;
   std::string class_name;
@@ -90,48 +91,50 @@
   Duration time_to_live{};
   std::optional<Time> sent_at;
   std::optional<Time> client_disconnected_at;
-  bool may_lie_unread = false;  // its attempt may lie unread at an engine: when it began there can't be seen
-  std::vector<std::pair<int, std::string>> responses;  // code and body
+  // The attempt's bytes may lie unread at an engine, so that its start time is not known.
+  bool may_lie_unread = false;
+  std::vector<std::pair<int, std::string>> responses;  // Pairs of response code and body.
 };
 
-/// A client of the frame protocol.
+// A client of the frame protocol.
 struct TestClient {
   FileDescriptor fd;
   std::string in;
-  bool saw_end = false;  // it saw the end
+  bool saw_end = false;  // The dispatcher closed or reset the connection.
   bool is_reading = true;
   bool disconnected = false;
   std::uint32_t next_stream = 1;
 };
 
-/// A dispatcher with its frontend and connections, four engines and any clients, all in this thread.
+// A dispatcher with its frontend and its connection pool, four engines and any number of clients, all in the
+// calling thread.
 class TestCluster final : private AttemptObserver {
  public:
-  explicit TestCluster(ManualClock& clock, const ClusterOptions& setup = {})
+  explicit TestCluster(ManualClock& clock, const ClusterOptions& options = {})
       : clock_(clock),
-        setup_(setup),
-        log_(text_, LogLevel::kNotice, "h", "a"),
-        core(loop, log_, figures_, make_routing_settings(setup), {"east", "west"}, {}),
-        pool(loop, log_, core, figures_, make_pool_limits(setup)),
-        front_(loop, log_, core, listener(setup), make_frontend_limits(setup)) {
+        options_(options),
+        log_(log_text_, LogLevel::kNotice, "h", "a"),
+        core(loop, log_, metrics_, make_routing_settings(options), {"east", "west"}, {}),
+        pool(loop, log_, core, metrics_, make_pool_limits(options)),
+        frontend_(loop, log_, core, listener(options), make_frontend_limits(options)) {
     core.set_transport(pool);
     loop.on_iteration_end([this] {
       if (before_settle_hook) std::exchange(before_settle_hook, nullptr)();
       core.process_events();
     });
-    front_.set_accepting(true);
+    frontend_.set_accepting(true);
     for (std::size_t i = 0; i < engines.size(); ++i) engines[i].index = i;
     publish_endpoints();
     settle();
   }
 
-  // Two in the first cell, two more cells, the last of another zone.
+  // Engines 0 and 1 are in cell 0, engine 2 in cell 1 and engine 3 in cell 2, which is in the other zone.
   std::uint32_t cell(std::size_t engine) const {
     return engine < 2 ? 0 : static_cast<std::uint32_t>(engine - 1);
   }
   std::uint32_t zone(std::size_t engine) const { return engine == 3 ? 1 : 0; }
 
-  // The list of engines, one of them in another state from now on.
+  // Sets the state of one engine, if given, and sends the new endpoint list to the dispatcher.
   void publish_endpoints(std::size_t other = SIZE_MAX,
                          routing::EngineState state = routing::EngineState::kServing) {
     if (other < engines.size()) states_[other] = state;
@@ -155,10 +158,11 @@
     TestClient& client = clients.back();
     client.fd = FileDescriptor(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
     const int small = 2048;
-    if (setup_.small_buffers) ::setsockopt(client.fd.get(), SOL_SOCKET, SO_RCVBUF, &small, sizeof small);
-    const sockaddr_in at = SocketAddress{0x7f000001, front_.port()}.to_sockaddr();
-    if (::connect(client.fd.get(), reinterpret_cast<const sockaddr*>(&at), sizeof at) != 0)
-      throw std::runtime_error("no connection to the front");
+    if (options_.small_buffers) ::setsockopt(client.fd.get(), SOL_SOCKET, SO_RCVBUF, &small, sizeof small);
+    const sockaddr_in frontend_address = SocketAddress{0x7f000001, frontend_.port()}.to_sockaddr();
+    if (::connect(client.fd.get(), reinterpret_cast<const sockaddr*>(&frontend_address),
+                  sizeof frontend_address) != 0)
+      throw std::runtime_error("can't connect to the frontend");
     settle();
     return clients.size() - 1;
   }
@@ -184,7 +188,7 @@
     send_bytes(client, frame(request));
     return request;
   }
-  // The client ends: the whole connection, or one request.
+  // Closes the client's connection in the given way, or cancels one of its requests.
   void disconnect_client(std::size_t client, CloseKind how, std::size_t request = SIZE_MAX) {
     TestClient& one = clients[client];
     if (how == CloseKind::kCancelRequest) {
@@ -204,33 +208,33 @@
     }
   }
 
-  // Turns until nothing moves any more; time stands.
+  // Runs the dispatcher, engines and clients until none has anything to do. The clock does not advance.
   void settle() {
     for (int idle = 0, turns = 0; idle < 2; ++turns) {
-      if (turns > 5000) throw std::runtime_error("it never comes to rest");
+      if (turns > 5000) throw std::runtime_error("the cluster did not settle within 5000 turns");
       bool moved = loop.poll() || loop.next_timer_due() <= clock_.now;
       for (ScriptedEngine& engine : engines) moved |= engine.process_input(*this);
       for (std::size_t i = 0; i < clients.size(); ++i) moved |= receive_client_frames(i);
       idle = moved ? 0 : idle + 1;
     }
   }
-  static void advance_time(ManualClock& clock, const std::vector<TestCluster*>& worlds, Duration span) {
+  static void advance_time(ManualClock& clock, const std::vector<TestCluster*>& clusters, Duration span) {
     const Time until = clock.now + span;
     for (;;) {
       Time next = until;
-      for (TestCluster* world : worlds) {
-        world->settle();
-        next = std::min(next, world->loop.next_timer_due());
+      for (TestCluster* cluster : clusters) {
+        cluster->settle();
+        next = std::min(next, cluster->loop.next_timer_due());
       }
       if (clock.now >= until) return;
       clock.now = std::max(next, clock.now + Duration(1));
     }
   }
   void advance_time(Duration span) { advance_time(clock_, {this}, span); }
-  void drain() { front_.drain(); }
-  std::uint64_t attempts_written() const { return figures_.attempts_written; }
+  void drain() { frontend_.drain(); }
+  std::uint64_t attempts_written() const { return metrics_.attempts_written; }
 
-  // The attempt that is out for a request; SIZE_MAX: none has come whole.
+  // Returns the latest fully received attempt of a request, or SIZE_MAX if there is none.
   std::size_t attempt_of(std::size_t request) const {
     for (std::size_t i = observed_attempts.size(); i-- > 0;) {
       if (observed_attempts[i].id == requests[request].call_id && observed_attempts[i].fully_received)
@@ -253,7 +257,7 @@
     observed_attempts[attempt].proven_not_run_at = clock_.now;
     observed_attempts[attempt].is_in_flight = false;
   }
-  // An honest answer in one page.
+  // Sends a complete response in one part.
   void serve(std::size_t attempt) {
     if (!observed_attempts[attempt].is_in_flight) return;
     const std::string body =
@@ -263,16 +267,17 @@
                        body + "\r\n");
   }
 
-  // Lets everything come to its end, some of it first in ways that make the dispatcher try again, and checks
-  // the invariants; then that the dispatcher serves on and closes all it holds. Adds what is wrong.
-  void finish(std::multiset<std::string>& wrong) {
+  // Rejects the attempts in flight, which makes the dispatcher repeat them, completes all requests and checks
+  // the invariants. Then checks that the dispatcher still serves requests and releases all resources. Adds
+  // the violations found.
+  void finish(std::multiset<std::string>& violations) {
     complete_requests();
-    check_invariants(wrong);
+    check_invariants(violations);
     std::multiset<std::string> later;
     repeat_all_calls(later);
-    for (const std::string& violation : later) wrong.insert("afterwards: " + violation);
+    for (const std::string& violation : later) violations.insert("after recovery: " + violation);
     close_everything();
-    check_nothing_left_open(wrong);
+    check_nothing_left_open(violations);
   }
 
   void complete_requests() {
@@ -289,8 +294,8 @@
     settle();
   }
 
-  // The same calls may be sent again, and every client is served.
-  void repeat_all_calls(std::multiset<std::string>& wrong) {
+  // Sends all calls again on a new connection and checks that each is served.
+  void repeat_all_calls(std::multiset<std::string>& violations) {
     std::vector<std::string> calls;
     for (const Request& request : requests) calls.push_back(request.call_id);
     requests.clear();
@@ -306,16 +311,16 @@
       send_bytes(client, frame(request));
     }
     advance_time(3200ms);
-    check_invariants(wrong);
+    check_invariants(violations);
     for (const Request& request : requests) {
       if (request.responses.size() == 1 && request.responses[0].first != frames::kServed) {
-        wrong.insert("not served");
+        violations.insert("repeated call not served");
       }
     }
   }
 
-  // Resets leave no port behind in TIME-WAIT, of which there are few; at one point in 32 the connections are
-  // left to their idle timeouts instead.
+  // Connections are reset, because many in TIME-WAIT would exhaust the local ports. At one point in 32 they
+  // are left to their idle timeouts instead.
   void close_everything() {
     static int points_checked = 0;
     if (++points_checked % 32 == 0) return advance_time(90s);
@@ -330,152 +335,156 @@
     settle();
   }
 
-  void check_nothing_left_open(std::multiset<std::string>& wrong) {
-    if (core.open_request_count() != 0) wrong.insert("a request stays open");
-    if (!front_.is_flushed()) wrong.insert("an answer stays queued");
-    if (pool.attempts_in_flight() != 0) wrong.insert("an attempt stays carried");
+  void check_nothing_left_open(std::multiset<std::string>& violations) {
+    if (core.open_request_count() != 0) violations.insert("request still open");
+    if (!frontend_.is_flushed()) violations.insert("response still queued");
+    if (pool.attempts_in_flight() != 0) violations.insert("attempt still in flight in the connection pool");
     for (const ScriptedEngine& engine : engines) {
       for (const auto& connection : engine.connections) {
-        if (connection.fd && !connection.ended) wrong.insert("a connection to an engine stays open");
+        if (connection.fd && !connection.ended) violations.insert("connection to an engine still open");
       }
     }
     for (const TestClient& client : clients) {
-      if (client.fd && !client.saw_end) wrong.insert("a client's connection stays open");
+      if (client.fd && !client.saw_end) violations.insert("client connection still open");
     }
   }
 
-  void check_invariants(std::multiset<std::string>& wrong) const {
+  void check_invariants(std::multiset<std::string>& violations) const {
     for (const Request& request : requests) {
       std::vector<const ObservedAttempt*> attempts_of_request;
       for (const ObservedAttempt& attempt : observed_attempts) {
         if (attempt.id == request.call_id) attempts_of_request.push_back(&attempt);
       }
-      check_response_count(request, wrong);
-      if (attempts_of_request.size() > setup_.max_attempts) wrong.insert("too many attempts");
+      check_response_count(request, violations);
+      if (attempts_of_request.size() > options_.max_attempts) violations.insert("too many attempts");
       for (std::size_t i = 0; i < attempts_of_request.size(); ++i) {
-        check_attempt(request, *attempts_of_request[i], wrong);
+        check_attempt(request, *attempts_of_request[i], violations);
         for (std::size_t earlier = 0; earlier < i; ++earlier) {
-          check_repeated_attempt(request, *attempts_of_request[earlier], *attempts_of_request[i], wrong);
+          check_repeated_attempt(request, *attempts_of_request[earlier], *attempts_of_request[i], violations);
         }
       }
-      check_responses(request, attempts_of_request, wrong);
+      check_responses(request, attempts_of_request, violations);
     }
-    for (const std::string& violation : protocol_violations) wrong.insert(violation);
+    for (const std::string& violation : protocol_violations) violations.insert(violation);
   }
 
-  static void check_response_count(const Request& request, std::multiset<std::string>& wrong) {
-    const bool is_owed = request.sent_at && !request.client_disconnected_at;
-    if (is_owed && request.responses.empty()) wrong.insert("no answer");
-    if (request.responses.size() > 1) wrong.insert("a second answer");
-    if (!request.sent_at && !request.responses.empty()) wrong.insert("an answer to half a request");
+  static void check_response_count(const Request& request, std::multiset<std::string>& violations) {
+    const bool is_response_expected = request.sent_at && !request.client_disconnected_at;
+    if (is_response_expected && request.responses.empty()) violations.insert("no response");
+    if (request.responses.size() > 1) violations.insert("more than one response");
+    if (!request.sent_at && !request.responses.empty())
+      violations.insert("response to an incomplete request");
   }
 
   void check_attempt(const Request& request, const ObservedAttempt& attempt,
-                     std::multiset<std::string>& wrong) const {
+                     std::multiset<std::string>& violations) const {
     const auto& disconnected_at = request.client_disconnected_at;
-    if (!request.sent_at) wrong.insert("an attempt of half a request");
+    if (!request.sent_at) violations.insert("attempt of an incomplete request");
     if (disconnected_at && attempt.started_at > *disconnected_at + kAttemptAfterDisconnectLimit) {
-      wrong.insert("an attempt after its client went");
+      violations.insert("attempt after its client disconnected");
     }
     if (request.sent_at && attempt.started_at > *request.sent_at + request.time_to_live) {
-      wrong.insert("an attempt after the deadline");
+      violations.insert("attempt after the request's deadline");
     }
     const auto drain = drain_started_at_.find(attempt.engine);
     if (request.may_lie_unread || drain == drain_started_at_.end()) return;
-    if (attempt.started_at > drain->second + setup_.drain_grace_period) {
-      wrong.insert("an attempt after the drain's grace");
+    if (attempt.started_at > drain->second + options_.drain_grace_period) {
+      violations.insert("attempt after the drain grace period");
     }
   }
 
   void check_repeated_attempt(const Request& request, const ObservedAttempt& earlier,
-                              const ObservedAttempt& later, std::multiset<std::string>& wrong) const {
+                              const ObservedAttempt& later, std::multiset<std::string>& violations) const {
     if (earlier.proven_not_run_at && *earlier.proven_not_run_at <= later.started_at) return;
-    if (request.class_name == "unsafe") wrong.insert("unsafe, and an earlier attempt may have run");
+    if (request.class_name == "unsafe")
+      violations.insert("non-idempotent request repeated, though an earlier attempt may have run");
     if (request.class_name == "unsafe" || request.class_name == "safe") return;
-    if (later.started_at > earlier.started_at + setup_.idempotency_window) {
-      wrong.insert("keyed, and its window is over");
+    if (later.started_at > earlier.started_at + options_.idempotency_window) {
+      violations.insert("keyed request repeated after its idempotency window");
     }
     const bool leaves_zone = request.class_name == "zone" && zone(later.engine) != zone(earlier.engine);
     const bool leaves_cell = request.class_name == "cell" && cell(later.engine) != cell(earlier.engine);
-    if (leaves_zone || leaves_cell) wrong.insert("keyed, and outside its group");
+    if (leaves_zone || leaves_cell) violations.insert("keyed request repeated outside its idempotency scope");
   }
 
   void check_responses(const Request& request, const std::vector<const ObservedAttempt*>& attempts_of_request,
-                       std::multiset<std::string>& wrong) const {
+                       std::multiset<std::string>& violations) const {
     const bool may_have_run =
         std::any_of(attempts_of_request.begin(), attempts_of_request.end(),
                     [](const ObservedAttempt* attempt) { return !attempt->proven_not_run_at; });
     const auto produced = produced_bodies.find(request.call_id);
     for (const auto& [code, body] : request.responses) {
       const bool is_produced = produced != produced_bodies.end() && produced->second.contains(body);
-      if (code == frames::kServed && !is_produced) wrong.insert("served what no engine made");
+      if (code == frames::kServed && !is_produced) violations.insert("served a body that no engine produced");
       if (code == frames::kRejected && request.class_name == "unsafe" && may_have_run) {
-        wrong.insert("refused, and it may have run");
+        violations.insert("non-idempotent request rejected, though an attempt may have run");
       }
     }
   }
 
   EventLoop loop;
-  std::function<void()> before_settle_hook;                          // once, in the middle of a turn
-  std::function<void(std::size_t)> on_request = [](std::size_t) {};  // what engines do with what comes
+  std::function<void()> before_settle_hook;  // Called once, at the end of the next loop iteration.
+  // Called with the index of each attempt whose request was received completely.
+  std::function<void(std::size_t)> on_request = [](std::size_t) {};
   std::array<ScriptedEngine, 4> engines;
   std::deque<TestClient> clients;
   std::deque<Request> requests;
   std::deque<ObservedAttempt> observed_attempts;
-  std::map<std::string, std::set<std::string>> produced_bodies;  // whole bodies, by id
+  std::map<std::string, std::set<std::string>> produced_bodies;  // Complete bodies, by attempt id.
   std::string statement = "select * from s_1.t";
-  std::string body_padding;                        // in the bodies of honest answers
-  std::multiset<std::string> protocol_violations;  // what should never come
-  std::string log() const { return text_.str(); }
+  std::string body_padding;                        // Appended to the bodies of complete responses.
+  std::multiset<std::string> protocol_violations;  // Malformed or unexpected responses.
+  std::string log() const { return log_text_.str(); }
   [[nodiscard]] Time now() const override { return clock_.now; }
 
  private:
   std::deque<ObservedAttempt>& attempts() override { return observed_attempts; }
   void on_full_request(std::size_t attempt) override { on_request(attempt); }
-  static FileDescriptor listener(const ClusterOptions& setup) {
+  static FileDescriptor listener(const ClusterOptions& options) {
     FileDescriptor fd = listen_tcp({0x7f000001, 0});
     const int small = 4096;
-    if (setup.small_buffers) ::setsockopt(fd.get(), SOL_SOCKET, SO_SNDBUF, &small, sizeof small);
+    if (options.small_buffers) ::setsockopt(fd.get(), SOL_SOCKET, SO_SNDBUF, &small, sizeof small);
     return fd;
   }
-  static PoolLimits make_pool_limits(const ClusterOptions& setup) {
+  static PoolLimits make_pool_limits(const ClusterOptions& options) {
     PoolLimits limits;
     limits.max_streams_per_connection = 32;
-    limits.preferred_streams_per_connection = setup.streams_per_connection;
-    limits.connect_timeout = setup.dial_timeout;
+    limits.preferred_streams_per_connection = options.streams_per_connection;
+    limits.connect_timeout = options.dial_timeout;
     return limits;
   }
-  static FramesFrontend::Limits make_frontend_limits(const ClusterOptions& setup) {
+  static FramesFrontend::Limits make_frontend_limits(const ClusterOptions& options) {
     FramesFrontend::Limits limits;
-    if (setup.small_buffers) limits.max_unread_bytes_per_connection = 100;
+    if (options.small_buffers) limits.max_unread_bytes_per_connection = 100;
     return limits;
   }
-  bool receive_client_frames(std::size_t at) {
-    TestClient& client = clients[at];
+  bool receive_client_frames(std::size_t client_index) {
+    TestClient& client = clients[client_index];
     if (!client.fd || client.saw_end || !client.is_reading) return false;
     char chunk[64 * 1024];
-    const ssize_t got = ::recv(client.fd.get(), chunk, sizeof chunk, MSG_DONTWAIT);
-    if (got < 0 && (errno == EAGAIN || errno == EINTR)) return false;
-    if (got <= 0) {
+    const ssize_t received = ::recv(client.fd.get(), chunk, sizeof chunk, MSG_DONTWAIT);
+    if (received < 0 && (errno == EAGAIN || errno == EINTR)) return false;
+    if (received <= 0) {
       client.saw_end = true;
-      if (!client.in.empty() && !client.disconnected) protocol_violations.insert("half an answer");
+      if (!client.in.empty() && !client.disconnected)
+        protocol_violations.insert("connection ended inside a response");
       return true;
     }
-    client.in.append(chunk, static_cast<std::size_t>(got));
+    client.in.append(chunk, static_cast<std::size_t>(received));
     frames::Frame frame;
     std::size_t used = 0;
     while (frames::parse_frame(client.in, frame, used) == frames::ParseStatus::kComplete) {
       if (frame.type == frames::kResponse && frame.stream_id != 0) {
         std::string_view body = frame.payload.substr(1);
         frames::Fields fields;
-        const auto asked = std::find_if(requests.begin(), requests.end(), [&](const Request& r) {
-          return r.client == at && r.stream == frame.stream_id;
+        const auto answered_request = std::find_if(requests.begin(), requests.end(), [&](const Request& r) {
+          return r.client == client_index && r.stream == frame.stream_id;
         });
-        if (!frames::parse_fields(body, fields)) protocol_violations.insert("an answer that can't be read");
-        if (asked == requests.end()) {
-          protocol_violations.insert("an answer to nothing");
+        if (!frames::parse_fields(body, fields)) protocol_violations.insert("malformed response fields");
+        if (answered_request == requests.end()) {
+          protocol_violations.insert("response on an unknown stream");
         } else {
-          asked->responses.emplace_back(frame.payload[0], body);
+          answered_request->responses.emplace_back(frame.payload[0], body);
         }
       }
       client.in.erase(0, used);
@@ -484,41 +493,44 @@
   }
 
   ManualClock& clock_;
-  ClusterOptions setup_;
-  std::ostringstream text_;
+  ClusterOptions options_;
+  std::ostringstream log_text_;
   Logger log_;
-  Metrics figures_;
+  Metrics metrics_;
   std::array<routing::EngineState, 4> states_{};
-  std::map<std::size_t, Time> drain_started_at_;  // when each engine was first told not to serve
+  // The time at which each engine first left the serving state.
+  std::map<std::size_t, Time> drain_started_at_;
 
  public:
   Dispatcher core;
   LineProtocolPool pool;
 
  private:
-  FramesFrontend front_;
+  FramesFrontend frontend_;
 };
 
-/// What was wrong at which points: one line for each kind, with the first points and how many there are.
+// Collects violations by kind. The text has one line for each kind, with the number of points at which it
+// occurred and the names of the first eight.
 class InvariantReport {
  public:
   int points = 0;
-  void add(TestCluster& world, const std::string& point) {
+  void add(TestCluster& cluster, const std::string& point) {
     ++points;
-    std::multiset<std::string> wrong;
+    std::multiset<std::string> violations;
     try {
-      world.finish(wrong);
-    } catch (const std::exception& fault) {
-      wrong.insert(fault.what());
+      cluster.finish(violations);
+    } catch (const std::exception& error) {
+      violations.insert(error.what());
     }
-    for (const std::string& one : std::set<std::string>(wrong.begin(), wrong.end()))
+    for (const std::string& one : std::set<std::string>(violations.begin(), violations.end()))
       points_by_violation_[one].push_back(point);
   }
   std::string text() const {
     std::string all;
-    for (const auto& [what, where] : points_by_violation_) {
-      all += what + " (" + std::to_string(where.size()) + " of " + std::to_string(points) + "): ";
-      for (std::size_t i = 0; i < std::min<std::size_t>(where.size(), 8); ++i) all += where[i] + " | ";
+    for (const auto& [what, point_names] : points_by_violation_) {
+      all += what + " (" + std::to_string(point_names.size()) + " of " + std::to_string(points) + "): ";
+      for (std::size_t i = 0; i < std::min<std::size_t>(point_names.size(), 8); ++i)
+        all += point_names[i] + " | ";
       all += "\n";
     }
     return all;
@@ -528,7 +540,7 @@
   std::map<std::string, std::vector<std::string>> points_by_violation_;
 };
 
-/// The name of a point at which a fault was injected: its parts with a space after each.
+// The name of a point at which a fault was injected: its parts, each followed by a space.
 struct PointName {
   std::ostringstream text;
   template <class... Parts>
--- a/tests/support/frames_client.cpp
+++ b/tests/support/frames_client.cpp
@@ -7,7 +7,7 @@
 namespace rookproxy::test {
 namespace {
 
-constexpr std::size_t kPieces = 10;
+constexpr std::size_t kPieceCount = 10;
 
 }  // namespace
 
@@ -19,7 +19,7 @@
 void FramesClient::send_second_half() { send(std::exchange(unsent_half_, "")); }
 
 void FramesClient::send_in_pieces(const std::string& frame, std::chrono::milliseconds pause) {
-  const std::size_t piece_size = (frame.size() + kPieces - 1) / kPieces;
+  const std::size_t piece_size = (frame.size() + kPieceCount - 1) / kPieceCount;
   for (std::size_t offset = 0; offset < frame.size(); offset += piece_size) {
     send(frame.substr(offset, piece_size));
     std::this_thread::sleep_for(pause);
@@ -32,7 +32,7 @@
   while (frames::parse_frame(connection_.buffer(), frame, size) != frames::ParseStatus::kComplete) {
     if (!connection_.read_more()) return std::nullopt;
   }
-  // The payload is a view of the buffer, and so is copied before the buffer changes.
+  // The payload is a view into the buffer and has to be copied before take() changes the buffer.
   ReceivedFrame received{frame.type, frame.stream_id, std::string(frame.payload), ""};
   received.bytes = connection_.take(size);
   return received;
--- a/tests/support/frames_client.h
+++ b/tests/support/frames_client.h
@@ -1,4 +1,4 @@
-/// A test client of the frame protocol.
+// A test client of the frame protocol.
 #pragma once
 
 #include <chrono>
@@ -11,15 +11,15 @@
 
 namespace rookproxy::test {
 
-/// A frame with its own copy of the bytes.
+// A received frame, which owns its bytes.
 struct ReceivedFrame {
   std::uint8_t type;
   std::uint32_t stream_id;
   std::string payload;
-  std::string bytes;  // the whole frame
+  std::string bytes;  // The whole frame, header included.
 };
 
-/// Sends frames whole or in pieces, and reads them one by one. For one thread.
+// Sends frames whole or in pieces, and reads frames one by one. Not thread-safe.
 class FramesClient {
  public:
   explicit FramesClient(TestConnection connection) : connection_(std::move(connection)) {}
@@ -30,14 +30,14 @@
   void send_first_half(const std::string& frame);
   void send_second_half();
 
-  /// Sends the frame in ten pieces, with this pause after each.
+  // Sends the frame in ten pieces and sleeps for `pause` after each.
   void send_in_pieces(const std::string& frame, std::chrono::milliseconds pause);
 
-  /// The next frame; nothing if none comes within kWaitLimit.
+  // Returns the next frame, or nothing if none arrives within kWaitLimit.
   std::optional<ReceivedFrame> next_frame();
 
-  /// Takes the first frame of that type out of what comes and leaves the others to be read; false if none
-  /// comes within kWaitLimit.
+  // Removes the first frame of that type and keeps the frames before it for next_frame(). Returns false if
+  // none arrives within kWaitLimit.
   [[nodiscard]] bool take_frame_of_type(std::uint8_t type);
 
  private:
--- a/tests/support/key_rotation_load.cpp
+++ b/tests/support/key_rotation_load.cpp
@@ -11,7 +11,7 @@
 
 using namespace std::chrono_literals;
 
-constexpr int kRequestsPerStep = 20;
+constexpr int kRequestsPerClientAndPhase = 20;
 
 }  // namespace
 
@@ -25,7 +25,7 @@
 
 KeyRotationLoad::~KeyRotationLoad() { stop(); }
 
-// Every client has call ids of its own.
+// The client's number is the upper half of its call ids, so that clients never share a call id.
 void KeyRotationLoad::run_requests(std::uint64_t client, bool is_untrusted) {
   FramesClient frames_client(TestConnection::connect(port_));
   const std::string statement =
@@ -49,9 +49,10 @@
 }
 
 void KeyRotationLoad::wait_for_progress() const {
-  const int goal = served_ + kRequestsPerStep * client_count_;
+  const int target_count = served_ + kRequestsPerClientAndPhase * client_count_;
   const auto deadline = std::chrono::steady_clock::now() + kWaitLimit;
-  while (served_ < goal && std::chrono::steady_clock::now() < deadline) std::this_thread::sleep_for(1ms);
+  while (served_ < target_count && std::chrono::steady_clock::now() < deadline)
+    std::this_thread::sleep_for(1ms);
 }
 
 void KeyRotationLoad::stop() {
--- a/tests/support/key_rotation_load.h
+++ b/tests/support/key_rotation_load.h
@@ -1,4 +1,4 @@
-/// Load from many clients while the keys that sign their tokens are rotated.
+// Request load from many clients during a rotation of the keys that sign their tokens.
 #pragma once
 
 #include <atomic>
@@ -9,8 +9,9 @@
 
 namespace rookproxy::test {
 
-/// Clients that ask over the frame protocol, one request after another on a connection each, with tokens by
-/// the old key at first; beside them one whose key nobody trusts. Its functions are for one thread.
+// Clients of the frame protocol, each with a thread and a connection of its own, that send one request after
+// another. Their tokens are signed with the old key at first. One more client uses a token that is signed
+// with an untrusted key. The public functions are not thread-safe.
 class KeyRotationLoad {
  public:
   struct Tokens {
@@ -19,28 +20,28 @@
     std::string untrusted_key;
   };
 
-  /// Connects so many clients to the port and starts.
+  // Starts `client_count` clients and the untrusted one, which connect to the port.
   KeyRotationLoad(std::uint16_t port, int client_count, Tokens tokens);
   ~KeyRotationLoad();
   KeyRotationLoad(const KeyRotationLoad&) = delete;
   KeyRotationLoad& operator=(const KeyRotationLoad&) = delete;
 
-  /// Waits until each client was served twenty times more, on average, or for kWaitLimit.
+  // Waits until the clients were served twenty more times each, on average, but not longer than kWaitLimit.
   void wait_for_progress() const;
 
-  /// From now on requests carry the token by the new key.
+  // Makes later requests use the token that is signed with the new key.
   void use_new_key() { uses_new_key_ = true; }
 
-  /// Stops all clients and waits for them.
+  // Stops all clients and joins their threads.
   void stop();
 
   [[nodiscard]] int served() const { return served_; }
   [[nodiscard]] int denied() const { return denied_; }
   [[nodiscard]] int untrusted_denied() const { return untrusted_denied_; }
-  /// Connections that ended before the load was stopped.
+  // The number of connections that ended, or gave no response in time, before stop().
   [[nodiscard]] int failed() const { return failed_; }
 
-  /// The text that only statements of the untrusted client hold.
+  // A text that occurs only in statements of the untrusted client.
   static constexpr const char* kUntrustedStatement = "stolen";
 
  private:
--- a/tests/support/manual_clock.h
+++ b/tests/support/manual_clock.h
@@ -1,4 +1,4 @@
-/// Time that a test moves by hand.
+// A clock that is advanced by the test.
 #pragma once
 
 #include "base/time.h"
@@ -6,8 +6,8 @@
 
 namespace rookproxy::test {
 
-/// Replaces the program's clock for its scope; there is one at a time. It stands still until `now` is
-/// changed.
+// Replaces the monotonic clock for the scope of the object. Only one may exist at a time. Time advances only
+// when `now` is assigned.
 struct ManualClock {
   Time now = monotonic_now();
 
--- a/tests/support/mysql_client.cpp
+++ b/tests/support/mysql_client.cpp
@@ -21,7 +21,7 @@
 
 MysqlLoginResult MysqlClient::log_in(const MysqlLoginOptions& options) {
   const auto message = read_mysql_message(connection_);
-  require(message.has_value(), "no greeting");
+  require(message.has_value(), "the server sent no greeting");
   const auto greeting = mysql::parse_greeting(message->payload);
   mysql::Login login;
   login.capabilities = mysql::kCapabilities & ~mysql::kConnectAttrs;
@@ -45,7 +45,7 @@
   mysql::append_integer(request, capabilities, 4);
   mysql::append_integer(request, kMaxPacketSize, 4);
   request += static_cast<char>(mysql::kUtf8mb4);
-  request.append(23, '\0');  // a filler
+  request.append(23, '\0');  // Reserved bytes.
   connection_.send(mysql::split_into_packets(request, sequence));
   if (certificate == nullptr) {
     connection_.start_tls();
@@ -54,7 +54,7 @@
   }
 }
 
-// Follows the server to another authentication plugin if it asks for that, and reads up to its last message.
+// Answers an AuthSwitchRequest, if the server sends one, and reads up to the final message of the log-in.
 MysqlLoginResult MysqlClient::finish_login(const std::string& token) {
   auto message = read_mysql_message(connection_);
   if (message && message->payload.starts_with(kAuthSwitchRequest)) {
@@ -96,9 +96,9 @@
 void MysqlClient::send_execute(std::size_t number, const std::string& value, ParameterTypes types) {
   std::string payload(1, static_cast<char>(mysql::kStmtExecute));
   mysql::append_integer(payload, statement_id(number), 4);
-  payload += std::string("\0\1\0\0\0", 5);  // no cursor, one iteration
+  payload += std::string("\0\1\0\0\0", 5);  // No cursor, one iteration.
   if (!value.empty()) {
-    payload += '\0';  // no parameter is null
+    payload += '\0';  // The NULL bitmap: no parameter is NULL.
     payload += types == ParameterTypes::kSent ? std::string("\1\xfd\0", 3) : std::string(1, '\0');
     if (value != kLongDataValue) mysql::append_length_encoded_string(payload, value);
   }
@@ -114,8 +114,8 @@
 
 mysql::Message MysqlClient::read_first_message() {
   auto message = read_mysql_message(connection_);
-  require(message.has_value(), "nothing came");
-  require(message->first_sequence == 1, "a sequence that does not start at 1");
+  require(message.has_value(), "no response within the time limit");
+  require(message->first_sequence == 1, "the response's first sequence number is not 1");
   return *std::move(message);
 }
 
@@ -125,8 +125,8 @@
   int count = 1;
   for (bool is_complete = tracker.on_packet(first.payload); !is_complete; ++count) {
     const auto message = read_mysql_message(connection_);
-    require(message.has_value(), "an answer that ends too soon");
-    require(message->first_sequence == sequence, "packets out of order");
+    require(message.has_value(), "incomplete response");
+    require(message->first_sequence == sequence, "sequence numbers are not consecutive");
     sequence = message->next_sequence;
     is_complete = tracker.on_packet(message->payload);
   }
--- a/tests/support/read_to_end.h
+++ b/tests/support/read_to_end.h
@@ -1,4 +1,4 @@
-// Reads a connection to its end, as a peer does that wants to know how it ended.
+// Reads a connection to its end and tells whether it was closed or reset.
 #pragma once
 
 #include <sys/socket.h>
@@ -11,13 +11,14 @@
 
 namespace rookproxy::test {
 
-// All that came up to the end, and how it ended: 0 for an end in order, else an errno.
+// The bytes received up to the end; `error` is 0 for an orderly close, else an errno value.
 struct ReadResult {
   std::string bytes;
   int error = 0;
 };
 
-// ETIMEDOUT if it does not end within the tests' limit.
+// Reads until the peer closes or resets the connection. The error is ETIMEDOUT if nothing arrives for
+// kWaitLimit.
 inline ReadResult read_to_end(const FileDescriptor& socket) {
   ReadResult result;
   char bytes[64 * 1024];
--- a/tests/support/request_frame.h
+++ b/tests/support/request_frame.h
@@ -1,4 +1,4 @@
-/// Requests in the platform's frame protocol, as its clients write them.
+// Encodes requests of the frame protocol, as clients send them.
 #pragma once
 
 #include <cstdint>
@@ -9,11 +9,11 @@
 
 namespace rookproxy::test {
 
-/// A whole request frame on that stream.
+// Returns a complete request frame for that stream.
 [[nodiscard]] std::string encode_request_frame(std::uint32_t stream_id, const frames::Fields& fields,
                                                std::string_view statement);
 
-/// A call's id on the wire: 16 hexadecimal digits.
+// Returns a call id as on the wire: 16 hexadecimal digits.
 [[nodiscard]] std::string format_call_id(std::uint64_t number);
 
 }  // namespace rookproxy::test
--- a/tests/support/run_until.h
+++ b/tests/support/run_until.h
@@ -1,4 +1,4 @@
-// Runs an event loop until something holds.
+// Runs an event loop until a condition holds.
 #pragma once
 
 #include <functional>
@@ -8,14 +8,15 @@
 
 namespace rookproxy::test {
 
-// Checks the condition every millisecond of the loop's time; false if it does not hold within the limit.
+// Evaluates the condition every millisecond of the loop's time. Returns false if it does not hold within the
+// limit.
 template <class Condition>
 bool run_until(EventLoop& loop, Condition condition, Duration limit = Duration(kWaitLimit)) {
-  const Time give_up = loop.now() + limit;
+  const Time deadline = loop.now() + limit;
   bool holds = false;
   std::function<void()> poll = [&] {
     holds = condition();
-    if (holds || loop.now() >= give_up) return loop.stop();
+    if (holds || loop.now() >= deadline) return loop.stop();
     loop.run_at(loop.now() + std::chrono::milliseconds(1), poll);
   };
   loop.run_at(loop.now(), poll);
--- a/tests/support/scenario.cpp
+++ b/tests/support/scenario.cpp
@@ -25,7 +25,7 @@
 namespace rookproxy::test {
 namespace {
 
-constexpr std::size_t kMaxLineInError = 200;
+constexpr std::size_t kMaxLineLengthInError = 200;
 
 // repeat N STEP
 void repeat_step(ScenarioState& state, StepReader& reader) {
@@ -34,19 +34,19 @@
   for (int i = 0; i < times; ++i) run_step(state, line);
 }
 
-constexpr ScenarioStep kControlSteps[] = {{"repeat", repeat_step}};
+constexpr ScenarioStep kControlFlowSteps[] = {{"repeat", repeat_step}};
 
 const ScenarioStep* find_step_in_all_tables(std::string_view verb) {
-  for (const auto& steps : {std::span<const ScenarioStep>(kControlSteps), process_steps(), engine_steps(),
+  for (const auto& steps : {std::span<const ScenarioStep>(kControlFlowSteps), process_steps(), engine_steps(),
                             credential_steps(), client_steps()}) {
     if (const ScenarioStep* step = find_step(steps, verb)) return step;
   }
   return nullptr;
 }
 
-std::string logs_of(const ScenarioState& state) {
+std::string collect_logs(const ScenarioState& state) {
   std::string logs;
-  if (state.previous_process.started()) logs += state.previous_process.log() + "-- its successor:\n";
+  if (state.previous_process.started()) logs += state.previous_process.log() + "-- after the upgrade:\n";
   if (state.process.started()) logs += state.process.log();
   return logs;
 }
@@ -62,7 +62,7 @@
 void run_step(ScenarioState& state, const std::string& line) {
   StepReader reader(line);
   const ScenarioStep* step = find_step_in_all_tables(reader.next_word());
-  require(step != nullptr, "unknown step");
+  require(step != nullptr, "unknown step in the scenario");
   step->run(state, reader);
 }
 
@@ -77,8 +77,8 @@
     try {
       run_step(state, line);
     } catch (const std::exception& error) {
-      fail_test("line " + std::to_string(number) + ", '" + line.substr(0, kMaxLineInError) +
-                "': " + error.what() + "\n" + logs_of(state));
+      fail_test("line " + std::to_string(number) + ", '" + line.substr(0, kMaxLineLengthInError) +
+                "': " + error.what() + "\n" + collect_logs(state));
     }
   }
 }
--- a/tests/support/scenario.h
+++ b/tests/support/scenario.h
@@ -1,71 +1,97 @@
 // clang-format off
-// The scenario language: one step a line, against real processes on loopback. '#' starts a comment.
+// The scenario language, in which tests describe runs of real processes on loopback. Each line is one step.
+// '#' starts a comment line. In TEXT and BYTES, \t, \n and \r stand for tab, line feed and carriage return.
 //
-//   engines A B ...                 engines that the scenario plays, speaking lines
-//   mysql-engines A B ...           engines that speak MySQL by themselves (FakeMysqlEngine)
-//   lines-engines A B ...           engines that speak lines and answer at once by themselves (AutoReplyLineEngine)
-//   rotate under load from N        the keys old and new change places while N connections ask; nobody valid is refused
-//   set /a/b VALUE                  a key of the configuration (JSON pointer and value), before start or configure
-//   confine                         before start: under what the platform refuses (system_call_filter.h)
-//   start                           the dispatcher; waits until it serves
-//   configure [TEXT]                writes the configuration anew, as it stands or as that text
-//   signal TERM|INT|HUP|KILL|STOP|CONT   to the dispatcher
-//   pass sockets                    before start: the scenario holds the fronts' sockets, processes inherit them
-//   upgrade                         a second process beside the first, which is 'old' from now on
-//   signal old TERM|KILL | call old TEXT
-//   directory A=up B=draining ...   what the directory lists from now on; waits until the dispatcher has it
-//   move directory [silent]         to another address; the next 'directory' is told there; silent: never answered
-//   descriptors N                   before start: the process's own limit
-//   client C | mysql C [SCHEMA]     connects a client to the front for frames, or logs in to that for MySQL
-//   mysql C denied                  the log-in must fail
-//   knock C                         connects to the MySQL front and says nothing
+// Configuration and processes:
+//   set /a/b VALUE                  before start or configure: sets a configuration key (JSON pointer, value)
+//   configure [TEXT]                writes the configuration file: the current configuration, or the text
+//   confine                         before start: runs the dispatcher under system_call_filter.h
+//   descriptors N                   before start: sets the dispatcher's descriptor limit
+//   pass sockets                    before start: the scenario opens the frontends' listeners, and
+//                                   dispatchers inherit them
+//   start                           starts the dispatcher and waits until it serves
+//   upgrade                         starts a second dispatcher; the first one is called 'old' from now on
+//   signal TERM|INT|HUP|KILL|STOP|CONT | signal old TERM|KILL
+//                                   sends a signal to the dispatcher or to the old one
+//   call TEXT | call old TEXT       sends one line to the admin listener and stores the response
+//   hold N [TEXT]                   opens N connections to the admin listener and sends each the text
+//   expect answer TEXT              the stored admin response contains the text
+//   expect figure NAME=VALUE        waits until METRICS contains svc.NAME=VALUE
+//   expect log TEXT                 waits until the dispatcher's log contains the text
+//   expect nolog TEXT               the log does not contain the text
+//   expect dispatcher exit CODE | expect old exit CODE | expect old log TEXT
+//   wait MS | repeat N STEP         sleeps; runs a step N times
+//
+// Engines and service discovery:
+//   engines A B ...                 engines of the line protocol whose responses the scenario writes
+//   mysql-engines A B ...           MySQL engines that respond by themselves (FakeMysqlEngine)
+//   lines-engines A B ...           line protocol engines that respond by themselves (AutoReplyLineEngine)
+//   directory A=up B=draining ...   publishes an endpoint list and waits until the dispatcher has applied it
+//   move directory [silent]         moves the discovery server to a new address, which the next configure
+//                                   or start writes; silent: nothing answers there
+//   fill A | let A                  fills A's accept queue, so that the kernel drops connection attempts;
+//                                   empties it
+//   absorb A MS                     discards the engine's commands until none has arrived for MS
+//   send A KIND FIELDS [TEXT]       responds to the engine's last REQ
+//   send A begin KIND FIELDS [TEXT] | send A finish     sends the first half of a response; sends the rest
+//   send A raw BYTES                sends bytes on the connection of the engine's last command
+//   expect A REQ TEXT               the engine's next command contains the text; also FETCH, END, STOP
+//   expect A requests N             the engine has received N REQ commands in total
+//   expect executed N TEXT | expect prepared N TEXT     statements with the text, over all MySQL engines
+//   expect duplicates N             N loads were executed more than once
+//   close A listener | close A door                     close the listener; the first also closes connections
+//
+// Clients of the frame protocol:
+//   client C                        connects a client
+//   client C tls [CERTIFICATE]      connects with TLS
+//   crowd N                         opens N connections that send nothing
+//   idlers N                        connects the clients idler0, idler1, ..., each of which is served once
+//                                   and stays connected
 //   send C request STREAM CLASS TTL TEXT | send C fields STREAM NAME=VALUE,... TEXT
-//                                   STREAM may be + (a number above 1000, each once) and the call 'new'
-//   send C slowly MS request ...    the same in ten pieces, over that time
-//   send C begin request ... | send C finish     its first half, the rest of it
-//   crowd N                          N clients that connect and say nothing
-//   idlers N                         clients idler0, idler1, ... that ask once each, are served and stay
+//                                   STREAM may be + (the next unused number above 1000); call=new stands
+//                                   for an unused call id
+//   send C slowly MS request ...    sends the request in ten pieces over MS
+//   send C begin request ... | send C finish            sends the first half; sends the rest
+//   send C as T request ...         with the token named T, or with T itself as the token
 //   send C abandon STREAM | send C ready STREAM | send C hex BYTES
 //   expect C served|refused|failed STREAM [TEXT] | expect C ready CODE | expect C goaway | expect C error
-//   expect C goaway among           behind other frames or before them; they are kept
-//   expect C final STREAM           any of the three
-//   expect C eof                    an orderly end, no reset, and nothing unread before it
-//   expect C pushback STREAM MS     refused, and to stay away for so long
-//   expect A REQ TEXT               the engine's next command, its fields and body in part; also FETCH, END, STOP
-//   fill A | let A                  A's queue of connections is full: the kernel drops tries to connect; no more so
-//   absorb A MS                     takes the engine's commands until none has come for so long
-//   repeat N STEP                   that step so often
-//   send A WORD FIELDS [TEXT]       an answer to the engine's last REQ
-//   send A begin WORD FIELDS [TEXT] | send A finish          its first half, the rest of it
-//   expect A requests N             so many REQ have come in all
-//   send A raw BYTES                on the connection of the engine's last command
+//   expect C goaway among           waits for a go-away frame; the other frames are kept for later steps
+//   expect C final STREAM           a response with any code
+//   expect C pushback STREAM MS     a rejection that asks the client to wait for MS
+//   expect C denied STREAM REASON   a denial for that reason
+//   expect C eof                    an orderly close without a reset or unread bytes
+//
+// Clients of the MySQL protocol:
+//   mysql C [SCHEMA] | mysql C denied                   logs in; the log-in has to fail
+//   mysql C tls [USER|-] [as TOKEN] [with CERTIFICATE] [in SCHEMA] [denied]
+//   knock C                         connects and sends nothing
+//   send C user NAME TOKEN [denied]                     sends COM_CHANGE_USER
 //   send C query TEXT | send C prepare TEXT | send C command HEX
-//   send C execute N [VALUE] | send C again N [VALUE] (types not bound) | send C long N PARAMETER TEXT
+//   send C execute N [VALUE] | send C again N [VALUE] (without parameter types)
+//   send C long N PARAMETER TEXT
 //   expect C ok | expect C prepared | expect C error CODE [TEXT] | expect C rows N
-//   expect executed N TEXT          that often, over all MySQL engines; also expect prepared N TEXT
-//   expect duplicates N             loads that ran more than once
-//   expect NAME closed | expect NAME nothing MS | close NAME | wait MS
-//   close A listener | close A door both take no more connections; the first ends those that are open
-//   call TEXT                       one line to the operators' address; its answer is kept
-//   expect answer TEXT              that answer, in part
-//   expect figure NAME=VALUE        waits until METRICS shows svc.NAME=VALUE
-//   access                          callers are identified from the start on (CredentialFixture::access_section)
-//   key K ES256|RS256|EdDSA | publish K[:NBF:EXP] ...     makes a key; the set of those keys is in place
-//   token T K ROLE [JSON]           a token signed with K; the claims changed by that merge patch ("exp":"+3": in 3 s)
-//   revoke jti|sub NAME | spoil TEXT                      TEXT in place of the set of keys
-//   expect nolog TEXT               the log does not hold it
-//   tls frames|mysql|both [none|optional|required] [crl]  TLS before those fronts, and clients' certificates
-//   certificate NAME [ALTERNATIVE|-] [FROM TO] [stranger] [server]   NAME is its common name; times in s from now
-//   revoke certificate NAME | crl TO [FROM]   a new list; its times | renew   the server's certificate and key
-//   client C tls [CERTIFICATE]
-//   mysql C tls [USER|-] [as TOKEN] [with CERTIFICATE] [in SCHEMA] [denied]
-//   send C user NAME TOKEN [denied]          COM_CHANGE_USER
-//   driver FILE T USER              a script of tests/drivers, with port, user and token
-//   send C as T request ...         with that token, or with T itself as one
-//   expect C denied STREAM REASON   refused for that reason
-//   hold N [TEXT]                   N connections to the operators' address, with no whole call on them
-//   expect log TEXT                 waits until the dispatcher's log holds it
-//   expect dispatcher exit CODE | expect old exit CODE | expect old log TEXT
+//   driver FILE T USER              runs a script of tests/drivers with the port, the user and the token
+//
+// Clients and engines:
+//   expect NAME closed | expect NAME nothing MS | close NAME
+//
+// Credentials:
+//   access                          configures access control (CredentialFixture::access_section)
+//   key K ES256|RS256|EdDSA         generates a key
+//   publish K[:NBF:EXP] ...         writes the set of these keys
+//   spoil TEXT                      overwrites the key set's file with the text
+//   token T K ROLE [JSON]           creates a token signed with K; JSON is a merge patch of the claims
+//                                   ("exp":"+3": in 3 s)
+//   revoke jti|sub NAME             revokes tokens
+//   rotate under load from N        replaces the key old by new while N clients send requests; no valid
+//                                   token is denied
+//   tls frames|mysql|both [none|optional|required] [crl]
+//                                   enables TLS on these frontends and sets the mode of client certificates
+//   certificate NAME [ALTERNATIVE|-] [FROM TO] [stranger] [server]
+//                                   issues a certificate; NAME is its common name, times are in s from now;
+//                                   stranger: by an untrusted authority; server: for use by servers
+//   revoke certificate NAME | crl TO [FROM]             publishes a new list; times are in s from now
+//   renew                           replaces the server's certificate and key
 // clang-format on
 #pragma once
 
@@ -73,7 +99,7 @@
 
 namespace rookproxy::test {
 
-/// Plays a scenario against real processes; throws std::runtime_error with the line at fault and the logs.
+// Runs a scenario. If a step fails, throws std::runtime_error with its line and the dispatchers' logs.
 void run_scenario(const std::string& scenario);
 
 }  // namespace rookproxy::test
--- a/tests/support/scenario_client_steps.cpp
+++ b/tests/support/scenario_client_steps.cpp
@@ -5,7 +5,7 @@
 namespace {
 
 TestConnection& connection_of(ScenarioClient& client) {
-  return std::visit([](auto& any) -> TestConnection& { return any.connection(); }, client);
+  return std::visit([](auto& typed_client) -> TestConnection& { return typed_client.connection(); }, client);
 }
 
 // client C [tls [CERTIFICATE]]
@@ -24,7 +24,7 @@
 
 struct MysqlLoginStep {
   MysqlLoginOptions options;
-  bool is_denied = false;  // the log-in has to fail
+  bool is_denied = false;  // The log-in has to fail.
 };
 
 // [SCHEMA|denied] | tls [USER|-] [as TOKEN] [with CERTIFICATE] [in SCHEMA] [denied]
@@ -54,9 +54,9 @@
   MysqlClient client(TestConnection::connect(state.mysql_port));
   const MysqlLoginResult result = client.log_in(step.options);
   if (step.is_denied) {
-    require(result.was_denied(), "let in");
+    require(result.was_denied(), "the log-in was accepted, but a denial was expected");
   } else {
-    require(result.was_accepted(), "the log-in failed: " + result.error_text());
+    require(result.was_accepted(), "log-in denied: " + result.error_text());
   }
   state.clients.insert_or_assign(name, std::move(client));
 }
@@ -65,14 +65,14 @@
   state.clients.insert_or_assign(reader.next_word(), MysqlClient(TestConnection::connect(state.mysql_port)));
 }
 
-// crowd N: connections that say nothing.
+// crowd N: opens N connections that send nothing.
 void connect_crowd(ScenarioState& state, StepReader& reader) {
   for (int left = reader.next_integer(); left > 0; --left) {
     state.open_connections.push_back(TestConnection::connect(state.frames_port));
   }
 }
 
-// idlers N: clients that are served once and stay.
+// idlers N: connects N clients that are served once each and stay connected.
 void connect_idle_clients(ScenarioState& state, StepReader& reader) {
   const int count = reader.next_integer();
   for (int number = 0; number < count; ++number) {
@@ -97,19 +97,19 @@
 }
 
 void expect_orderly_end(TestConnection& connection) {
-  require(connection.wait_for_end(), "still open");
-  require(!connection.was_reset(), "reset");
-  require(connection.buffer().empty(), "something came before the end");
+  require(connection.wait_for_end(), "the connection is still open");
+  require(!connection.was_reset(), "the connection was reset");
+  require(connection.buffer().empty(), "unread bytes before the end of the connection");
 }
 
 void expect_silence(TestConnection& connection, std::chrono::milliseconds within) {
   const bool is_silent = connection.buffer().empty() && !connection.read_more(within);
-  require(is_silent || connection.has_ended(), "something came");
-  require(!connection.has_ended(), "its connection ended");
+  require(is_silent || connection.has_ended(), "unexpected bytes received");
+  require(!connection.has_ended(), "the connection ended");
 }
 
 void expect_of_client(ScenarioClient& client, const std::string& what, StepReader& reader) {
-  if (what == "closed") return require(connection_of(client).wait_for_end(), "still open");
+  if (what == "closed") return require(connection_of(client).wait_for_end(), "the connection is still open");
   if (what == "eof") return expect_orderly_end(connection_of(client));
   if (what == "nothing") return expect_silence(connection_of(client), reader.next_milliseconds());
   if (auto* mysql_client = std::get_if<MysqlClient>(&client)) {
--- a/tests/support/scenario_credential_steps.cpp
+++ b/tests/support/scenario_credential_steps.cpp
@@ -47,7 +47,7 @@
   state.credentials.publish_revocation_list();
 }
 
-// spoil TEXT: the text in place of the set of keys.
+// spoil TEXT: overwrites the key set's file with the text.
 void overwrite_keys(ScenarioState& state, StepReader& reader) {
   std::ofstream(state.directory.file("keys.json")) << reader.remaining_text();
 }
@@ -90,9 +90,9 @@
   state.credentials.renew_server_certificate();
 }
 
-// rotate under load from N: the key `new` takes the place of `old` while N connections ask.
+// rotate under load from N: replaces the key `old` by `new` while N clients send requests.
 void rotate_keys_under_load(ScenarioState& state, StepReader& reader) {
-  for (int i = 0; i < 3; ++i) reader.next_word();  // under load from
+  for (int i = 0; i < 3; ++i) reader.next_word();  // The words `under load from`.
   const int client_count = reader.next_integer();
   CredentialFixture& credentials = state.credentials;
   KeyRotationLoad load(state.frames_port, client_count,
@@ -108,17 +108,17 @@
   wait_for_metric(state, "keys=1");
   load.wait_for_progress();
   load.stop();
-  require(load.failed() == 0, std::to_string(load.failed()) + " connections ended");
-  require(load.served() >= 80 * client_count, "only " + std::to_string(load.served()) + " served");
-  require(load.denied() == 0, std::to_string(load.denied()) + " valid callers refused");
-  require(load.untrusted_denied() > 0, "the client of the untrusted key was never denied");
+  require(load.failed() == 0, std::to_string(load.failed()) + " connections ended early");
+  require(load.served() >= 80 * client_count, "only " + std::to_string(load.served()) + " requests served");
+  require(load.denied() == 0, std::to_string(load.denied()) + " requests with valid tokens denied");
+  require(load.untrusted_denied() > 0, "no request with an untrusted token was denied");
   for (const auto& [name, engine] : state.auto_reply_engines) {
-    const auto reached = engine->count_statements_containing(KeyRotationLoad::kUntrustedStatement);
-    require(reached == 0, "a query of the untrusted client reached " + name);
+    const auto statement_count = engine->count_statements_containing(KeyRotationLoad::kUntrustedStatement);
+    require(statement_count == 0, "a query with an untrusted token reached engine " + name);
   }
 }
 
-// driver FILE T USER: a client library's script, told where to connect and with which token.
+// driver FILE T USER: runs a client library's script with the port, the user and the token as arguments.
 void run_driver(ScenarioState& state, StepReader& reader) {
   const std::string script = ROOKPROXY_ROOT "/tests/drivers/" + reader.next_word();
   const std::string token = state.tokens.at(reader.next_word());
@@ -132,7 +132,7 @@
   }
   int status = 0;
   ::waitpid(child, &status, 0);
-  require(WIFEXITED(status) && WEXITSTATUS(status) == 0, "the driver failed");
+  require(WIFEXITED(status) && WEXITSTATUS(status) == 0, "the driver script failed");
 }
 
 constexpr ScenarioStep kCredentialSteps[] = {
--- a/tests/support/scenario_engine_steps.cpp
+++ b/tests/support/scenario_engine_steps.cpp
@@ -52,7 +52,7 @@
   state.config["known"]["batch"] = make_known_batch(engines);
 }
 
-// directory A=up B=draining ...
+// directory A=up B=draining ...: publishes this endpoint list and waits until the dispatcher applied it.
 void publish_endpoints(ScenarioState& state, StepReader& reader) {
   std::vector<EngineEndpoint> endpoints;
   for (const std::string& entry : reader.remaining_words()) {
@@ -69,9 +69,9 @@
   state.process.wait_for_log("serial=\"" + std::to_string(state.discovery_server->version()));
 }
 
-// move directory [silent]; the former server answers no more.
+// move directory [silent]: replaces the discovery server; the former one is destroyed.
 void move_discovery_server(ScenarioState& state, StepReader& reader) {
-  reader.next_word();  // directory
+  reader.next_word();  // The word `directory`.
   const bool is_unresponsive = reader.next_word() == "silent";
   state.discovery_server = std::make_unique<FakeDiscoveryServer>(state.discovery_server->version());
   state.unresponsive_discovery = is_unresponsive ? bind_udp(kAnyLoopbackPort) : FileDescriptor();
@@ -103,20 +103,21 @@
 
 void expect_no_command(ScriptedLineEngine& engine, std::chrono::milliseconds within) {
   const auto command = engine.next_command(within);
-  require(!command, "it got " + command.value_or(""));
-  require(engine.is_last_connection_open(), "its connection ended");
+  require(!command, "unexpected command: " + command.value_or(""));
+  require(engine.is_last_connection_open(), "the connection of the last command ended");
 }
 
-void expect_request_count(ScriptedLineEngine& engine, int wanted) {
+void expect_request_count(ScriptedLineEngine& engine, int expected_count) {
   engine.discard_commands(kQuietTime);
-  require(engine.request_count() == wanted, std::to_string(engine.request_count()) + " came");
+  require(engine.request_count() == expected_count,
+          std::to_string(engine.request_count()) + " requests received");
 }
 
 void expect_command(ScriptedLineEngine& engine, const std::string& kind, const std::string& text) {
   const auto command = engine.next_command(kWaitLimit);
-  require(command.has_value(), "nothing came");
-  const bool is_wanted = command->starts_with(kind + " ") && command->find(text) != std::string::npos;
-  require(is_wanted, "it got " + *command);
+  require(command.has_value(), "no command within the time limit");
+  const bool is_expected = command->starts_with(kind + " ") && command->find(text) != std::string::npos;
+  require(is_expected, "another command was received: " + *command);
 }
 
 }  // namespace
@@ -136,12 +137,14 @@
 
 void expect_of_engine(ScriptedLineEngine& engine, const std::string& what, StepReader& reader) {
   if (what == "nothing") return expect_no_command(engine, reader.next_milliseconds());
-  if (what == "closed") return require(engine.wait_for_end_of_last_connection(), "still open");
+  if (what == "closed")
+    return require(engine.wait_for_end_of_last_connection(),
+                   "the connection of the last command is still open");
   if (what == "requests") return expect_request_count(engine, reader.next_integer());
   expect_command(engine, what, reader.remaining_text());
 }
 
-// close A ends its connections, close A door its listener, and close A listener both.
+// close A: closes the engine's connections; close A door: its listener; close A listener: both.
 void close_engine(ScriptedLineEngine& engine, StepReader& reader) {
   const std::string what = reader.next_word();
   if (!what.empty()) engine.close_listener();
--- a/tests/support/scenario_frames_steps.cpp
+++ b/tests/support/scenario_frames_steps.cpp
@@ -9,17 +9,17 @@
 
 using namespace std::chrono_literals;
 
-// The ids of calls that a scenario makes up, apart for the two ways to write a request.
-constexpr std::uint64_t kFirstCallOfRequests = 0x1000000000000000;
-constexpr std::uint64_t kFirstCallOfFields = 0x2000000000000000;
-constexpr int kPiecesOfSlowRequest = 10;
+// The first call ids of `request` and of `fields` steps, in separate ranges.
+constexpr std::uint64_t kFirstRequestCallId = 0x1000000000000000;
+constexpr std::uint64_t kFirstFieldsCallId = 0x2000000000000000;
+constexpr int kSlowRequestPieceCount = 10;
 
-// Words before the kind of frame that say how it is sent: begin, slowly MS, as TOKEN.
+// The words before the kind of frame, which set the way of sending it: begin, slowly MS, as TOKEN.
 struct SendingMode {
   bool is_first_half = false;
   std::chrono::milliseconds pause{0};
   std::string token;
-  std::string what;  // the word behind them
+  std::string what;  // The kind of frame: the first word after the modifiers.
 };
 
 SendingMode read_sending_mode(const ScenarioState& state, std::string what, StepReader& reader) {
@@ -27,7 +27,7 @@
   mode.is_first_half = what == "begin";
   if (mode.is_first_half) what = reader.next_word();
   if (what == "slowly") {
-    mode.pause = reader.next_milliseconds() / kPiecesOfSlowRequest;
+    mode.pause = reader.next_milliseconds() / kSlowRequestPieceCount;
     what = reader.next_word();
   }
   if (what == "as") {
@@ -60,29 +60,29 @@
     frames::Fields fields;
     fields["op"] = reader.next_word();
     fields["ttl"] = reader.next_word();
-    fields["call"] = format_call_id(kFirstCallOfRequests + ++state.last_call_id);
+    fields["call"] = format_call_id(kFirstRequestCallId + ++state.last_call_id);
     return fields;
   }
   frames::Fields fields = parse_field_list(reader.next_word());
   const auto call = fields.find("call");
   if (call != fields.end() && call->second == "new") {
-    call->second = format_call_id(kFirstCallOfFields + ++state.last_call_id);
+    call->second = format_call_id(kFirstFieldsCallId + ++state.last_call_id);
   }
   return fields;
 }
 
 void expect_go_away(const ReceivedFrame& frame) {
-  require(frame.type == frames::kGoAway && frame.stream_id == 0, "not a go-away");
+  require(frame.type == frames::kGoAway && frame.stream_id == 0, "expected a go-away frame on stream 0");
 }
 
-void expect_readiness(const ReceivedFrame& frame, int wanted) {
-  require(frame.type == frames::kReadiness, "not an answer on readiness");
-  require(frame.payload[0] == wanted, "the other readiness");
+void expect_readiness(const ReceivedFrame& frame, int expected) {
+  require(frame.type == frames::kReadiness, "expected a readiness frame");
+  require(frame.payload[0] == expected, "unexpected readiness code");
 }
 
-// The response codes that the words of `expect C WORD STREAM` stand for.
-int wanted_code(const std::string& what, int code) {
-  if (what == "final") return code;  // any of the three
+// Returns the response code that WORD stands for in `expect C WORD STREAM`.
+int expected_code(const std::string& what, int code) {
+  if (what == "final") return code;  // Any code is accepted.
   if (what == "served") return frames::kServed;
   const bool is_rejected = what == "refused" || what == "denied" || what == "pushback";
   return is_rejected ? frames::kRejected : frames::kFailed;
@@ -91,27 +91,30 @@
 void expect_denial(const frames::Fields& fields, const std::string& reason, std::string_view body) {
   const auto found = fields.find("denied");
   require(found != fields.end() && found->second == reason,
-          "denied for another reason: " + std::string(body));
+          "missing or other denial reason: " + std::string(body));
 }
 
 void expect_body(std::string_view body, int code, const std::string& text) {
-  const bool is_wanted = code == frames::kServed ? body == text : body.find(text) != std::string_view::npos;
-  require(is_wanted, "body '" + std::string(body) + "'");
+  const bool is_expected = code == frames::kServed ? body == text : body.find(text) != std::string_view::npos;
+  require(is_expected, "unexpected body '" + std::string(body) + "'");
 }
 
 void expect_response(const ReceivedFrame& frame, const std::string& what, StepReader& reader) {
-  require(frame.type == frames::kResponse, "not an answer but type " + std::to_string(frame.type));
-  if (what == "error") return require(frame.stream_id == 0, "an error on a stream");
+  require(frame.type == frames::kResponse,
+          "expected a response frame, got type " + std::to_string(frame.type));
+  if (what == "error") return require(frame.stream_id == 0, "expected an error on stream 0");
   const int code = frame.payload[0];
   std::string_view body = std::string_view(frame.payload).substr(1);
   frames::Fields fields;
-  require(frames::parse_fields(body, fields), "unreadable fields");
-  require(frame.stream_id == std::stoul(reader.next_word()), "on stream " + std::to_string(frame.stream_id));
-  require(code == wanted_code(what, code), "code " + std::to_string(code) + ": " + std::string(body));
+  require(frames::parse_fields(body, fields), "malformed response fields");
+  require(frame.stream_id == std::stoul(reader.next_word()),
+          "unexpected stream " + std::to_string(frame.stream_id));
+  require(code == expected_code(what, code),
+          "unexpected code " + std::to_string(code) + ": " + std::string(body));
   if (what == "denied") return expect_denial(fields, reader.next_word(), body);
-  require(code != frames::kRejected || fields.contains("pushback"), "a refusal without a time to come back");
+  require(code != frames::kRejected || fields.contains("pushback"), "rejection without a `pushback` field");
   if (what == "pushback") {
-    return require(fields["pushback"] == reader.next_word(), "it says " + fields["pushback"]);
+    return require(fields["pushback"] == reader.next_word(), "unexpected pushback " + fields["pushback"]);
   }
   expect_body(body, code, reader.remaining_text());
 }
@@ -138,10 +141,10 @@
 
 void expect_of_frames_client(FramesClient& client, const std::string& what, StepReader& reader) {
   if (what == "goaway" && reader.next_word() == "among") {
-    return require(client.take_frame_of_type(frames::kGoAway), "it never came");
+    return require(client.take_frame_of_type(frames::kGoAway), "no go-away frame within the time limit");
   }
   const auto frame = client.next_frame();
-  require(frame.has_value(), "nothing came");
+  require(frame.has_value(), "no frame within the time limit");
   if (what == "goaway") return expect_go_away(*frame);
   if (what == "ready") return expect_readiness(*frame, reader.next_integer());
   expect_response(*frame, what, reader);
--- a/tests/support/scenario_mysql_steps.cpp
+++ b/tests/support/scenario_mysql_steps.cpp
@@ -4,15 +4,17 @@
 namespace rookproxy::test {
 namespace {
 
-// Messages of a result with one column besides its rows: the count, the column and two ends.
-constexpr int kMessagesBesideRows = 4;
+// The messages of a one-column result apart from its rows: column count, column definition and two EOF
+// messages.
+constexpr int kNonRowMessageCount = 4;
 
 // send C user NAME TOKEN [denied]
 void change_user(const ScenarioState& state, MysqlClient& client, StepReader& reader) {
   const std::string user = reader.next_word();
   const MysqlLoginResult result = client.change_user(user, state.token_or_text(reader.next_word()));
-  if (reader.next_word() == "denied") return require(result.was_denied(), "let in");
-  require(result.was_accepted(), "the log-in failed: " + result.error_text());
+  if (reader.next_word() == "denied")
+    return require(result.was_denied(), "the log-in was accepted, but a denial was expected");
+  require(result.was_accepted(), "log-in denied: " + result.error_text());
 }
 
 void send_execute(MysqlClient& client, StepReader& reader, MysqlClient::ParameterTypes types) {
@@ -26,7 +28,7 @@
   client.send_long_data(number, parameter, reader.remaining_text());
 }
 
-// "CODE TEXT", or "no error" if the message is none.
+// Returns "CODE TEXT", or "no error" if the message is not an error.
 std::string describe_error(const std::string& payload) {
   if (!payload.starts_with('\xff')) return "no error";
   const auto error = mysql::parse_error(payload);
@@ -44,10 +46,10 @@
   client.add_statement(static_cast<std::uint32_t>(payload.integer(4)));
 }
 
-void expect_rows(MysqlClient& client, const mysql::Message& first, int wanted) {
+void expect_rows(MysqlClient& client, const mysql::Message& first, int expected_rows) {
   const int messages = client.read_remaining_messages(first, mysql::ResponseTracker::Kind::kPlain);
-  const int rows = messages - kMessagesBesideRows;
-  require(rows == wanted, std::to_string(rows) + " rows");
+  const int rows = messages - kNonRowMessageCount;
+  require(rows == expected_rows, std::to_string(rows) + " rows received");
 }
 
 }  // namespace
@@ -61,7 +63,7 @@
   if (what == "execute") return send_execute(client, reader, MysqlClient::ParameterTypes::kSent);
   if (what == "again") return send_execute(client, reader, MysqlClient::ParameterTypes::kOmitted);
   if (what == "long") return send_long_data(client, reader);
-  fail_test("unknown command " + what);
+  fail_test("unknown kind of command: " + what);
 }
 
 void expect_of_mysql_client(MysqlClient& client, const std::string& what, StepReader& reader) {
@@ -69,7 +71,7 @@
   const std::string error = describe_error(first.payload);
   if (what == "error") return expect_error(error, reader);
   require(error == "no error", error);
-  if (what == "ok") return require(first.payload.starts_with('\0'), "not OK");
+  if (what == "ok") return require(first.payload.starts_with('\0'), "expected an OK message");
   if (what == "prepared") return expect_prepared(client, first);
   expect_rows(client, first, reader.next_integer());
 }
--- a/tests/support/scenario_process_steps.cpp
+++ b/tests/support/scenario_process_steps.cpp
@@ -23,7 +23,7 @@
   state.config[json::json_pointer(pointer)] = json::parse(reader.remaining_text());
 }
 
-// Writes the configuration's file: the text, or without one the configuration as it stands.
+// Writes the configuration file: the text or, if it is empty, the current configuration.
 void write_config(ScenarioState& state, const std::string& text) {
   const std::uint16_t discovery_port = state.unresponsive_discovery ? local_port(state.unresponsive_discovery)
                                                                     : state.discovery_server->port();
@@ -58,7 +58,7 @@
   start(state, reader);
 }
 
-// Opens a listener here and has the dispatcher listen on its address.
+// Opens a listener that the dispatcher inherits, and sets the configured address to the listener's.
 void hold_listener(ScenarioState& state, json& listen_address) {
   state.inherited_sockets.push_back(listen_on_free_port());
   listen_address = loopback_address(local_port(state.inherited_sockets.back()));
@@ -86,7 +86,7 @@
   (is_to_previous ? state.previous_process : state.process).send_signal(kNumbers.at(name));
 }
 
-void call_operators_address(ScenarioState& state, StepReader& reader) {
+void call_admin_listener(ScenarioState& state, StepReader& reader) {
   const std::string kPreviousPrefix = "old ";
   const std::string text = reader.remaining_text();
   if (text.starts_with(kPreviousPrefix)) {
@@ -113,7 +113,7 @@
 
 void expect_admin_response(ScenarioState& state, StepReader& reader) {
   const bool holds_text = state.admin_response.find(reader.remaining_text()) != std::string::npos;
-  require(holds_text, "the answer is\n" + state.admin_response);
+  require(holds_text, "text not found in the admin response:\n" + state.admin_response);
 }
 
 void expect_log(ScenarioState& state, StepReader& reader) {
@@ -122,15 +122,15 @@
 
 void expect_no_log(ScenarioState& state, StepReader& reader) {
   const std::string text = reader.remaining_text();
-  require(state.process.log().find(text) == std::string::npos, "the log holds it");
+  require(state.process.log().find(text) == std::string::npos, "the log contains the text");
 }
 
 void expect_exit(DispatcherProcess& process, StepReader& reader) {
-  require(process.wait_for_exit() == reader.next_integer(), "another exit code");
+  require(process.wait_for_exit() == reader.next_integer(), "unexpected exit code");
 }
 
 void expect_of_process(ScenarioState& state, StepReader& reader) {
-  reader.next_word();  // exit
+  reader.next_word();  // The word `exit`.
   expect_exit(state.process, reader);
 }
 
@@ -160,15 +160,15 @@
   return all;
 }
 
-// Waits until `count_now` returns `wanted`; more than that fails at once.
+// Waits until `count_now` returns `expected_count`. Fails at once if the count exceeds it.
 template <class Count>
-void wait_for_count(long wanted, Count count_now) {
+void wait_for_count(long expected_count, Count count_now) {
   const auto deadline = std::chrono::steady_clock::now() + kWaitLimit;
   for (;;) {
     const long count = count_now();
-    if (count == wanted) return;
-    const bool may_still_come = count < wanted && std::chrono::steady_clock::now() < deadline;
-    require(may_still_come, "counted " + std::to_string(count));
+    if (count == expected_count) return;
+    const bool may_still_match = count < expected_count && std::chrono::steady_clock::now() < deadline;
+    require(may_still_match, "unexpected count " + std::to_string(count));
     std::this_thread::sleep_for(kPollInterval);
   }
 }
@@ -180,20 +180,21 @@
 }
 
 void expect_executed(ScenarioState& state, StepReader& reader) {
-  const long wanted = std::stol(reader.next_word());
+  const long expected_count = std::stol(reader.next_word());
   const std::string text = reader.remaining_text();
-  wait_for_count(wanted, [&] { return count_containing(all_executed(state), text); });
+  wait_for_count(expected_count, [&] { return count_containing(all_executed(state), text); });
 }
 
 void expect_prepared(ScenarioState& state, StepReader& reader) {
-  const long wanted = std::stol(reader.next_word());
+  const long expected_count = std::stol(reader.next_word());
   const std::string text = reader.remaining_text();
-  wait_for_count(wanted, [&] { return count_containing(all_prepared(state), text); });
+  wait_for_count(expected_count, [&] { return count_containing(all_prepared(state), text); });
 }
 
 void expect_repeated_executions(ScenarioState& state, StepReader& reader) {
-  const long wanted = std::stol(reader.next_word());
-  wait_for_count(wanted, [&] { return static_cast<long>(count_repeated_executions(all_executed(state))); });
+  const long expected_count = std::stol(reader.next_word());
+  wait_for_count(expected_count,
+                 [&] { return static_cast<long>(count_repeated_executions(all_executed(state))); });
 }
 
 constexpr ScenarioStep kProcessSteps[] = {
@@ -205,7 +206,7 @@
     {"descriptors", limit_descriptors},
     {"confine", filter_system_calls},
     {"signal", send_signal},
-    {"call", call_operators_address},
+    {"call", call_admin_listener},
     {"hold", hold_admin_connections},
     {"wait", wait},
 };
@@ -233,7 +234,7 @@
   for (;;) {
     const std::string metrics = call_admin(state.process, "METRICS");
     if (metrics.find("\nsvc." + name_and_value + "\n") != std::string::npos) return;
-    require(std::chrono::steady_clock::now() < deadline, "the metrics are\n" + metrics);
+    require(std::chrono::steady_clock::now() < deadline, "metric not found in\n" + metrics);
     std::this_thread::sleep_for(kPollInterval);
   }
 }
--- a/tests/support/scenario_state.h
+++ b/tests/support/scenario_state.h
@@ -1,4 +1,4 @@
-/// What the steps of one scenario share.
+// The state that the steps of a scenario share.
 #pragma once
 
 #include <cstdint>
@@ -26,10 +26,10 @@
 
 namespace rookproxy::test {
 
-/// A client of either frontend.
+// A client of either frontend.
 using ScenarioClient = std::variant<FramesClient, MysqlClient>;
 
-/// The dispatchers, engines, clients and credentials of a scenario, by the names that its steps give them.
+// The dispatchers, engines, clients and credentials of a scenario. Maps are keyed by the names in its steps.
 struct ScenarioState {
   TemporaryDirectory directory;
   nlohmann::json config = default_dispatcher_config();
@@ -38,28 +38,28 @@
   std::map<std::string, std::string> tokens;
 
   std::unique_ptr<FakeDiscoveryServer> discovery_server = std::make_unique<FakeDiscoveryServer>();
-  FileDescriptor unresponsive_discovery;  // a socket that takes the server's place and never answers
+  FileDescriptor unresponsive_discovery;  // Replaces the server and never answers.
 
   std::map<std::string, ScriptedLineEngine> line_engines;
   std::map<std::string, std::unique_ptr<FakeMysqlEngine>> mysql_engines;
   std::map<std::string, std::unique_ptr<AutoReplyLineEngine>> auto_reply_engines;
 
-  DispatcherProcess previous_process;  // the former one, after an upgrade
+  DispatcherProcess previous_process;  // The process before the upgrade.
   DispatcherProcess process;
   int start_count = 0;
   std::vector<FileDescriptor> inherited_sockets;
-  std::size_t descriptor_limit = 0;  // 0: none
+  std::size_t descriptor_limit = 0;  // 0: no limit is set.
   bool has_system_call_filter = false;
   std::uint16_t frames_port = 0;
   std::uint16_t mysql_port = 0;
 
   std::map<std::string, ScenarioClient> clients;
-  std::vector<TestConnection> open_connections;  // that no step names any more
+  std::vector<TestConnection> open_connections;  // Connections without a name.
   std::string admin_response;
   std::uint64_t last_call_id = 0;
   std::uint32_t last_stream_id = 1000;
 
-  /// The token of that name, or the text itself if there is none.
+  // Returns the token of that name, or the text itself if there is no such token.
   [[nodiscard]] const std::string& token_or_text(const std::string& text) const {
     const auto found = tokens.find(text);
     return found == tokens.end() ? text : found->second;
--- a/tests/support/scripted_engine.cpp
+++ b/tests/support/scripted_engine.cpp
@@ -14,13 +14,13 @@
 namespace rookproxy::test {
 namespace {
 
-constexpr int kQueueFillers = 4;
+constexpr int kQueueFillerCount = 4;
 constexpr int kListenBacklog = 64;
 constexpr std::size_t kReadSize = 16 * 1024;
 constexpr std::size_t kAttemptIdSize = 16;
 const std::string kLineEnd = "\r\n";
 
-// A command's line: its verb, the attempt's id, and the last word behind them.
+// The words of a command line that the engine evaluates: the verb, the attempt's id and the last word.
 struct CommandLine {
   std::string verb;
   std::string id;
@@ -58,7 +58,7 @@
 void ScriptedEngine::fill_accept_queue() {
   accept_queue_full = true;
   ::listen(listener.get(), 0);
-  for (int i = 0; i < kQueueFillers; ++i) {
+  for (int i = 0; i < kQueueFillerCount; ++i) {
     queue_fillers_.push_back(connect_tcp({kLoopbackAddress, port}));
   }
 }
@@ -72,12 +72,12 @@
 }
 
 bool ScriptedEngine::process_input(AttemptObserver& observer) {
-  bool has_moved = accept_connections();
+  bool has_progress = accept_connections();
   for (std::size_t number = 0; number < connections.size(); ++number) {
     const bool has_read = read_connection(number, observer);
-    has_moved = has_moved || has_read;
+    has_progress = has_progress || has_read;
   }
-  return has_moved;
+  return has_progress;
 }
 
 bool ScriptedEngine::accept_connections() {
@@ -113,14 +113,15 @@
   }
 }
 
-// Takes one command off the buffer; false if it has not come whole.
+// Removes one command from the buffer and processes it. Returns false if the command is incomplete.
 bool ScriptedEngine::handle_command(std::size_t number, AttemptObserver& observer) {
   Connection& connection = connections[number];
   if (!connection.command_started_at) connection.command_started_at = observer.now();
   const auto line_size = connection.receive_buffer.find(kLineEnd);
   const CommandLine command = parse_line(connection.receive_buffer.substr(0, line_size));
   const bool is_request = command.verb == "REQ";
-  // A request counts from its first byte, as soon as the bytes say what it is and whose.
+  // An attempt is recorded as soon as its id has arrived; its start is the arrival of the command's first
+  // byte.
   if (is_request && command.id.size() == kAttemptIdSize && connection.attempt == kNoAttempt) {
     connection.attempt = observer.attempts().size();
     observer.attempts().push_back(
--- a/tests/support/scripted_engine.h
+++ b/tests/support/scripted_engine.h
@@ -1,4 +1,4 @@
-/// An engine whose connections a test reads and answers byte by byte, within the test's own thread.
+// An engine whose connections are read and written by the test, byte by byte, in the test's own thread.
 #pragma once
 
 #include <cstddef>
@@ -17,66 +17,69 @@
 
 namespace rookproxy::test {
 
-/// How one side ends a connection, or a client one of its requests.
+// The way in which one side closes a connection, or a client cancels one of its requests.
 enum class CloseKind { kGraceful, kReset, kUnresponsive, kHalfClose, kCancelRequest };
 [[nodiscard]] const char* close_kind_name(CloseKind kind);
 
-/// Says that there is no such attempt.
+// An index that stands for no attempt.
 inline constexpr std::size_t kNoAttempt = SIZE_MAX;
 
-/// One attempt as its engine saw it.
+// One attempt as observed by its engine.
 struct ObservedAttempt {
   std::string id;
   std::size_t engine = 0;
   std::size_t connection = 0;
-  Time started_at;  // when its first byte came
+  Time started_at;  // The arrival of its first byte.
   bool fully_received = false;
-  std::optional<Time> proven_not_run_at;  // when a whole answer went out that proves that it never ran
-  bool is_in_flight = true;               // neither answered in whole, nor stopped, nor its connection ended
+  // The time of a complete response that proves that the attempt was not run.
+  std::optional<Time> proven_not_run_at;
+  // False once the attempt is answered completely or stopped, or its connection has ended.
+  bool is_in_flight = true;
   std::set<std::size_t> fetched_parts;
 };
 
-/// What an engine tells its test.
+// Receives the events of scripted engines.
 class AttemptObserver {
  public:
   [[nodiscard]] virtual Time now() const = 0;
-  /// All attempts that any engine has seen; engines add to them and change them.
+  // The attempts observed by all engines. Engines append to the list and update its entries.
   virtual std::deque<ObservedAttempt>& attempts() = 0;
-  /// A request has come whole.
+  // Called when a request was received completely.
   virtual void on_full_request(std::size_t attempt) = 0;
 
  protected:
   ~AttemptObserver() = default;
 };
 
-/// Listens on 127.0.0.1 and speaks the line protocol; it does nothing but what it is told. For one thread.
+// An engine that listens on 127.0.0.1 and speaks the line protocol. Apart from health and greeting commands
+// (STAT, HELO) it answers only when the test calls write(). Not thread-safe.
 class ScriptedEngine {
  public:
-  /// A connection from the dispatcher.
+  // One connection from the dispatcher.
   struct Connection {
     FileDescriptor fd;
     std::string receive_buffer;
-    std::optional<Time> command_started_at;  // the first byte of the command that is not yet whole
-    std::size_t attempt = kNoAttempt;        // which that command begins
+    std::optional<Time> command_started_at;  // The arrival of the incomplete command's first byte.
+    std::size_t attempt = kNoAttempt;        // The attempt that the incomplete command starts.
     bool ended = false;
   };
 
-  std::size_t index = 0;  // its number among the test's engines
+  std::size_t index = 0;  // The engine's index in the test.
   FileDescriptor listener = listen_tcp({0x7f000001, 0});
   std::uint16_t port = local_port(listener);
   std::deque<Connection> connections;
   bool accept_queue_full = false;
   bool is_reading = true;
 
-  /// Accepts connections and reads commands that have come; false if there was nothing to do.
+  // Accepts pending connections and reads commands. Returns false if there was nothing to do.
   bool process_input(AttemptObserver& observer);
 
   void write(std::size_t connection, std::string_view bytes);
   void close_connection(std::size_t connection, CloseKind kind);
 
-  /// Lets no connection in any more: the kernel drops attempts to connect, as for a machine that is cut off.
+  // Fills the accept queue, so that the kernel drops further connection attempts, as for an unreachable host.
   void fill_accept_queue();
-  /// Reads again and lets connections in.
+  // Resumes reading and accepting connections.
   void resume();
 
  private:
--- a/tests/support/scripted_line_engine.cpp
+++ b/tests/support/scripted_line_engine.cpp
@@ -14,9 +14,9 @@
 
 using namespace std::chrono_literals;
 
-constexpr auto kPollTime = 1ms;
-constexpr auto kDrainTime = 20ms;
-constexpr int kQueueFillers = 8;
+constexpr auto kPollTimeout = 1ms;
+constexpr auto kAcceptTimeout = 20ms;
+constexpr int kQueueFillerCount = 8;
 constexpr int kListenBacklog = 64;
 const std::string kLineEnd = "\r\n";
 const std::string kRequestCommand = "REQ ";
@@ -26,18 +26,18 @@
 std::optional<std::string> ScriptedLineEngine::next_command(std::chrono::milliseconds within) {
   const auto deadline = std::chrono::steady_clock::now() + within;
   do {
-    if (listener_ && wait_until_readable(listener_, kPollTime)) {
+    if (listener_ && wait_until_readable(listener_, kPollTimeout)) {
       connections_.emplace_back(accept_connection(listener_));
     }
     for (std::size_t index = 0; index < connections_.size(); ++index) {
-      connections_[index].read_more(kPollTime);
+      connections_[index].read_more(kPollTimeout);
       if (auto command = take_command(index)) return command;
     }
   } while (std::chrono::steady_clock::now() < deadline);
   return std::nullopt;
 }
 
-// The next command that the connection's buffer holds; nothing if its line has not come whole.
+// Returns the next command in the connection's buffer, or nothing if its line is incomplete.
 std::optional<std::string> ScriptedLineEngine::take_command(std::size_t index) {
   TestConnection& connection = connections_[index];
   const auto line_size = connection.buffer().find(kLineEnd);
@@ -46,7 +46,7 @@
   std::size_t consumed = line_size + kLineEnd.size();
   if (command.starts_with(kRequestCommand)) {
     const std::size_t body_size = std::stoul(command.substr(command.rfind(' ') + 1));
-    require(connection.wait_for_bytes(consumed + body_size + kLineEnd.size()), "a body that ends too soon");
+    require(connection.wait_for_bytes(consumed + body_size + kLineEnd.size()), "incomplete request body");
     last_request_id_ = command.substr(kRequestCommand.size(),
                                       command.find(' ', kRequestCommand.size()) - kRequestCommand.size());
     ++request_count_;
@@ -87,27 +87,27 @@
 
 void ScriptedLineEngine::fill_accept_queue() {
   ::listen(listener_.get(), 0);
-  for (int i = 0; i < kQueueFillers; ++i) {
+  for (int i = 0; i < kQueueFillerCount; ++i) {
     queue_fillers_.push_back(connect_tcp({kLoopbackAddress, port_}));
   }
 }
 
 void ScriptedLineEngine::drain_accept_queue() {
   queue_fillers_.clear();
-  while (wait_until_readable(listener_, kDrainTime)) accept_connection(listener_);
+  while (wait_until_readable(listener_, kAcceptTimeout)) accept_connection(listener_);
   ::listen(listener_.get(), kListenBacklog);
 }
 
-// The port is bound again without listening; else the kernel may give its number to the dispatcher's own
-// frontend, which the dispatcher would then connect to as this engine.
+// Binds the port again without listening. Otherwise the kernel could assign it to the dispatcher's own
+// frontend, to which the dispatcher would then connect as if it were this engine.
 void ScriptedLineEngine::close_listener() {
   listener_.reset();
   port_holder_ = FileDescriptor(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
-  const int reuse = 1;  // connections to the port may still be open
+  const int reuse = 1;  // Connections to the port may still be open.
   ::setsockopt(port_holder_.get(), SOL_SOCKET, SO_REUSEADDR, &reuse, sizeof reuse);
   const sockaddr_in address = SocketAddress{kLoopbackAddress, port_}.to_sockaddr();
   const int outcome = ::bind(port_holder_.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address);
-  require(outcome == 0, "a closed port that can't be held");
+  require(outcome == 0, "can't bind the port of the closed listener again");
 }
 
 }  // namespace rookproxy::test
--- a/tests/support/scripted_line_engine.h
+++ b/tests/support/scripted_line_engine.h
@@ -1,4 +1,4 @@
-/// An engine that a scenario plays by hand, in the line protocol.
+// An engine of the line protocol whose responses are written by a scenario.
 #pragma once
 
 #include <chrono>
@@ -15,38 +15,39 @@
 
 namespace rookproxy::test {
 
-/// Reads commands from all its connections and answers the last one as it is told. For one thread.
+// Reads commands from all its connections and sends what the scenario tells it to. Not thread-safe.
 class ScriptedLineEngine {
  public:
   [[nodiscard]] std::uint16_t port() const { return port_; }
 
-  /// How many requests were read.
+  // Returns the number of requests that were read.
   [[nodiscard]] int request_count() const { return request_count_; }
 
-  /// Waits for a command on any connection: its line, followed by a request's body on a line of its own.
+  // Waits for a command on any connection. Returns its line, with a request's body after a line feed, or
+  // nothing if none arrives in time.
   std::optional<std::string> next_command(std::chrono::milliseconds within);
 
-  /// Reads commands until none has come for so long.
+  // Reads and discards commands until none has arrived for `quiet_time`.
   void discard_commands(std::chrono::milliseconds quiet_time);
 
-  /// An answer to the last request that was read.
+  // Formats a response to the last request that was read.
   [[nodiscard]] std::string format_response(const std::string& kind, const std::string& fields,
                                             const std::string& body) const;
 
-  /// Sends on the connection of the last command.
+  // These functions send on the connection of the last command.
   void send(const std::string& bytes);
   void send_first_half(const std::string& bytes);
   void send_second_half();
 
-  /// True if there are no connections yet, or the one of the last command is still open.
+  // Returns true if there are no connections or the connection of the last command is still open.
   [[nodiscard]] bool is_last_connection_open() const;
   [[nodiscard]] bool wait_for_end_of_last_connection();
 
-  /// Lets no connection in any more: the kernel drops attempts to connect, as for a machine that is cut off.
+  // Fills the accept queue, so that the kernel drops further connection attempts, as for an unreachable host.
   void fill_accept_queue();
   void drain_accept_queue();
 
-  /// Refuses connections from now on; its port stays taken.
+  // Refuses connections from now on and keeps the port bound.
   void close_listener();
   void close_connections() { connections_.clear(); }
 
--- a/tests/support/system_call_filter.h
+++ b/tests/support/system_call_filter.h
@@ -1,11 +1,11 @@
-/// The system calls that the operators' platform denies a dispatcher.
+// A seccomp filter with the restrictions under which dispatchers run in deployments.
 #pragma once
 
 namespace rookproxy::test {
 
-/// From here on this process, and what it becomes by exec, is killed by SIGSYS when it forks or uses
-/// io_uring, splice, sendfile, ptrace or a Unix socket; threads are allowed. For a child of the test, before
-/// its exec. False if the filter can't be installed.
+// Installs a filter that kills this process with SIGSYS when it forks or uses io_uring, splice, tee,
+// vmsplice, sendfile, execveat, ptrace or a Unix socket. Threads are allowed, and the filter survives exec.
+// Call it in a child process of the test before exec. Returns false if the filter can't be installed.
 [[nodiscard]] bool apply_system_call_filter();
 
 }  // namespace rookproxy::test
