--- a/tests/integration/scenarios_test.cpp
+++ b/tests/integration/scenarios_test.cpp
@@ -1,12 +1,12 @@
-// Whole paths, played against the real program. Each says what it guards against.
+// End-to-end scenarios against the real dispatcher process.
 #include <catch2/catch.hpp>
 
 #include "support/scenario.h"
 
 using rookproxy::test::run_scenario;
 
-TEST_CASE("a request is served, with all its pages in order") {
-  // Guards against answers before the last page, and pages joined in the order in which they came.
+TEST_CASE("a response of several pages is delivered in page order") {
+  // Guards against responses before the last page, and against pages joined in order of arrival.
   run_scenario(R"(
     engines a
     start
@@ -25,8 +25,8 @@
     expect a END)");
 }
 
-TEST_CASE("a safe request that was turned away goes on to another engine") {
-  // Guards against giving up, or against a second answer, after 'full'.
+TEST_CASE("an idempotent request rejected as 'full' is retried and gets one response") {
+  // Guards against a failure, or a second response, after 'full'.
   run_scenario(R"(
     engines a
     start
@@ -40,8 +40,8 @@
     expect c nothing 50)");
 }
 
-TEST_CASE("a load whose connection broke is failed, never resent") {
-  // Guards against a second run of what may have run.
+TEST_CASE("a load whose connection breaks fails and is not retried") {
+  // Guards against a second run of a load that may have run.
   run_scenario(R"(
     engines a b
     start
@@ -54,8 +54,8 @@
     expect b nothing 1)");
 }
 
-TEST_CASE("a load whose pages are lost is failed, never resent") {
-  // Guards against taking a lost page for a query that never ran.
+TEST_CASE("a load whose response pages are lost fails and is not retried") {
+  // Guards against treating a lost page as a query that never ran.
   run_scenario(R"(
     engines a
     start
@@ -69,8 +69,8 @@
     expect a nothing 200)");
 }
 
-TEST_CASE("a load that no engine took is refused, with a time to come back") {
-  // Guards against 'failed' where a retry is harmless, and against holding what has been given up on.
+TEST_CASE("a load that no engine accepts is rejected with a retry delay") {
+  // Guards against 'failed' where a retry is safe, and against resources held for a rejected request.
   run_scenario(R"(
     engines a
     set /settings/permissions/max_attempts 1
@@ -82,9 +82,9 @@
     expect c refused 1)");
 }
 
-TEST_CASE("a request that nobody answers fails before its client gives up") {
-  // Guards against late answers: the client's own clock runs out at 600 ms. (A low target, or the module
-  // would see no time left for a load and refuse it at once.)
+TEST_CASE("a request without a response fails before the client's timeout") {
+  // Guards against late responses: the client's timeout is 600 ms. With a low latency target the routing
+  // module would reject a load at once because no time is left.
   run_scenario(R"(
     engines a
     set /settings/grades/1/target 60000
@@ -96,7 +96,7 @@
     expect a STOP)");
 }
 
-TEST_CASE("what a client abandons is stopped and not answered") {
+TEST_CASE("a cancelled request is stopped at its engine and gets no response") {
   run_scenario(R"(
     engines a
     start
@@ -112,8 +112,8 @@
     expect c served 2 two\n)");
 }
 
-TEST_CASE("a load outlives its client") {
-  // Guards against half a load: once begun it runs to its end, and only once.
+TEST_CASE("a running load completes after its client disconnects") {
+  // Guards against a partial load: once started, it runs to completion exactly once.
   run_scenario(R"(
     engines a
     start
@@ -126,8 +126,8 @@
     expect a nothing 100)");
 }
 
-TEST_CASE("attempts of one request never share a connection") {
-  // Guards against an answer to an abandoned attempt being taken for the answer to the next.
+TEST_CASE("attempts of one request use different connections") {
+  // Guards against matching the response to an abandoned attempt with the next attempt.
   run_scenario(R"(
     engines a
     start
@@ -140,9 +140,8 @@
     expect c served 1 second\n)");
 }
 
-TEST_CASE("requests that can't be sent on are answered on their stream") {
-  // Guards against garbage reaching an engine, and against one bad request costing its neighbours the
-  // connection.
+TEST_CASE("requests that cannot be forwarded get an error on their own stream") {
+  // Guards against forwarding invalid requests, and against closing the connection with other requests on it.
   run_scenario(R"(
     engines a
     start
@@ -163,7 +162,7 @@
     expect c closed)");
 }
 
-TEST_CASE("an oversized request is answered on its stream and skipped") {
+TEST_CASE("an oversized request is rejected on its stream and its bytes are skipped") {
   run_scenario(R"(
     engines a
     start
@@ -173,8 +172,8 @@
     expect a nothing 50)");
 }
 
-TEST_CASE("who says nothing, or half a frame, is closed and gives way to who asks") {
-  // Guards against silent connections that shut out usual clients: 12 is the cap here.
+TEST_CASE("at the connection limit, idle and incomplete connections are closed in favour of active ones") {
+  // Guards against idle connections that keep active clients out. The connection limit is 12 here.
   run_scenario(R"(
     engines a
     set /limits/sockets 32
@@ -204,8 +203,9 @@
     expect h closed)");
 }
 
-TEST_CASE("frames that begin large and never end share one budget") {
-  // Guards against 266 kB a connection, more than the memory holds: 2 MB of it are for such frames here.
+TEST_CASE("large incomplete frames share one memory budget") {
+  // Guards against 266 kB for each connection without a common limit. The budget for such frames is 2 MB
+  // here.
   run_scenario(R"(
     engines a
     set /limits/memory_mb 16
@@ -234,8 +234,9 @@
     expect a REQ)");
 }
 
-TEST_CASE("a request under the id of an open one, or with figures beyond all bounds, goes nowhere") {
-  // Guards against another statement under a usual client's id, and against estimates spoilt by one client.
+TEST_CASE("a request with a duplicate id or an out-of-range estimate is not forwarded") {
+  // Guards against running another statement under a client's id, and against estimates distorted by one
+  // client.
   run_scenario(R"(
     engines a
     start
@@ -258,8 +259,8 @@
     expect a REQ)");
 }
 
-TEST_CASE("an engine that drains gets nothing new") {
-  // Guards against sends after the drain's grace, and against losing what waits.
+TEST_CASE("a draining engine gets no new requests") {
+  // Guards against requests sent after the drain grace period, and against losing waiting requests.
   run_scenario(R"(
     engines a b
     start
@@ -273,8 +274,8 @@
     expect a nothing 50)");
 }
 
-TEST_CASE("an address that passes to a new engine carries nothing of the old one's") {
-  // Guards against knowing engines by address: 'b' answers where 'a' did.
+TEST_CASE("an engine at a reused address inherits no state of the previous engine") {
+  // Guards against identifying engines by address.
   run_scenario(R"(
     engines a
     start
@@ -291,7 +292,7 @@
     expect c served 2 two\n)");
 }
 
-TEST_CASE("an engine's answer that can't be read costs the connection, not the dispatcher") {
+TEST_CASE("an unparsable engine response closes the connection and the dispatcher keeps serving") {
   run_scenario(R"(
     engines a
     start
@@ -304,8 +305,8 @@
     expect c served 1 fine\n)");
 }
 
-TEST_CASE("a spoilt answer costs its own request and no other") {
-  // Guards against many requests on one connection: the lookup is neither lost nor run again with the load.
+TEST_CASE("a malformed response fails its own request and no other on the connection") {
+  // Several requests share one connection: the lookup is neither lost nor run again with the load.
   run_scenario(R"(
     engines a
     start
@@ -320,10 +321,10 @@
     expect a STOP)");
 }
 
-TEST_CASE("an answer that stops halfway or never comes whole is waited for no longer than it takes") {
-  // Guards against a connection that stays open and is of no use: first an answer is cut, then a page is
-  // missing. (With a target of the second that this takes, the module would refuse it now and then: work that
-  // is late for sure.)
+TEST_CASE("an incomplete response times out and its request is retried") {
+  // Guards against keeping a connection that delivers nothing more: first a truncated response, then a
+  // missing page. A latency target of one second would make the routing module reject some requests as
+  // already late.
   run_scenario(R"(
     engines a
     set /settings/grades/0/target 8000000
@@ -340,8 +341,8 @@
     expect c served 1 whole\n)");
 }
 
-TEST_CASE("a good answer with more than belongs to it is still good") {
-  // Guards against ending the attempt over a second copy, or over an answer to somebody else's question.
+TEST_CASE("a valid response followed by unexpected extra data is accepted") {
+  // Guards against ending the attempt because of a duplicate response, or of a response to another request.
   run_scenario(R"(
     engines a
     start
@@ -357,8 +358,8 @@
     expect c served 1 r0\nr1\n)");
 }
 
-TEST_CASE("a connection on which an attempt was given up unheard is not used again") {
-  // Guards against sending the next request after an answer that was lost, into the same hole.
+TEST_CASE("a connection with an unanswered abandoned attempt is not reused") {
+  // Guards against sending the next request on a connection that lost a response.
   run_scenario(R"(
     engines a
     set /settings/grades/0/target 60000
@@ -371,8 +372,8 @@
     expect a closed)");
 }
 
-TEST_CASE("an engine that takes no more connections is served over those it has") {
-  // Guards against taking a full table of connections for an engine that is gone.
+TEST_CASE("an engine at its connection limit is used over its existing connections") {
+  // Guards against treating an engine whose connection table is full as unavailable.
   run_scenario(R"(
     engines a
     set /settings/permissions/dial_timeout 5000000
@@ -388,8 +389,8 @@
     expect c served 2 two\n)");
 }
 
-TEST_CASE("an engine that refuses connections gets a request nowhere near it") {
-  // Guards against 'may have run' where nothing was sent: the load goes on to the other engine.
+TEST_CASE("a load for an engine that refuses connections runs on another engine") {
+  // Guards against 'may have run' where nothing was sent: the load goes to the other engine.
   run_scenario(R"(
     engines a b
     close a listener
@@ -403,7 +404,8 @@
     send b data parts=1 ok\n)");
 }
 
-TEST_CASE("SIGTERM: not ready, told to go away, stragglers served, then gone") {
+TEST_CASE(
+    "SIGTERM: readiness is withdrawn, GOAWAY is sent, late requests are served, and the process exits") {
   run_scenario(R"(
     engines a
     start
@@ -427,8 +429,8 @@
     expect dispatcher exit 0)");
 }
 
-TEST_CASE("SIGTERM waits for a load that its client has left") {
-  // Guards against half a load: ending would close the engine's connection, which abandons what runs on it.
+TEST_CASE("SIGTERM waits for a load whose client has disconnected") {
+  // Guards against a partial load: exiting would close the engine connection and abort what runs on it.
   run_scenario(R"(
     engines a
     start
@@ -442,8 +444,8 @@
     expect dispatcher exit 0)");
 }
 
-TEST_CASE("SIGHUP: the directory moves, requests and the serial go on, a bad file changes nothing") {
-  // Guards against ending on SIGHUP, and against a directory asked where nobody answers any more.
+TEST_CASE("SIGHUP: a new discovery address is used and requests continue, an invalid file is rejected") {
+  // Guards against exiting on SIGHUP, and against polling the former discovery address.
   run_scenario(R"(
     engines a b
     start
@@ -467,7 +469,7 @@
     expect c served 1 done\n)");
 }
 
-TEST_CASE("mysql: SIGHUP changes who may log in and leaves what runs alone") {
+TEST_CASE("mysql: SIGHUP changes the accounts and keeps existing sessions") {
   run_scenario(R"(
     mysql-engines a
     set /mysql/users {"another":"other","school":"secret"}
@@ -486,8 +488,9 @@
     expect duplicates 0)");
 }
 
-TEST_CASE("mysql: who does not log in gives way at the cap, who has is left alone") {
-  // Guards against silent connections that shut out the school's own.
+TEST_CASE(
+    "mysql: at the connection limit, unauthenticated connections are closed and authenticated ones kept") {
+  // Guards against idle connections that keep valid accounts out.
   run_scenario(R"(
     mysql-engines a
     set /mysql/most_connections 2
@@ -502,7 +505,7 @@
     expect n ok)");
 }
 
-TEST_CASE("mysql: statements, rows, errors and schemas pass through") {
+TEST_CASE("mysql: statements, rows, errors and schemas are forwarded") {
   run_scenario(R"(
     mysql-engines a b
     start
@@ -534,8 +537,8 @@
     expect m closed)");
 }
 
-TEST_CASE("mysql: large packets pass both ways") {
-  // A result of more than one packet's 16 MB is refused by size, one of several packets' rows is not.
+TEST_CASE("mysql: large packets are forwarded in both directions") {
+  // A result larger than one 16 MB packet is rejected by size. Rows of several packets are not.
   run_scenario(R"(
     mysql-engines a
     start
@@ -548,7 +551,7 @@
     expect m rows 2)");
 }
 
-TEST_CASE("mysql: session state that engines can't share is refused, plainly") {
+TEST_CASE("mysql: statements that need session state on an engine are rejected with an error") {
   // Guards against wrong results: the next statement may run on another engine.
   run_scenario(R"(
     mysql-engines a b
@@ -571,9 +574,9 @@
     expect executed 0 T)");
 }
 
-TEST_CASE("mysql: autocommit is remembered, and only what needs a transaction is turned down") {
-  // Client libraries switch it off as they open: their log-in must succeed, reads go on, and what they then
-  // ask for is a true answer at the statement that can't have it.
+TEST_CASE("mysql: autocommit=0 is accepted and only statements that need a transaction are rejected") {
+  // Client libraries switch autocommit off when they connect: the log-in succeeds, reads work, and a
+  // statement that needs a transaction gets an error.
   run_scenario(R"(
     mysql-engines a b
     start
@@ -606,8 +609,9 @@
     expect m error 1235 variables)");
 }
 
-TEST_CASE("mysql: a load is run once, whatever goes wrong") {
-  // 'full' never ran and may go on; 'cut' ran and must not.
+TEST_CASE("mysql: a load runs at most once under engine failures") {
+  // An engine that answers 'full' has not run the load, so it is retried. After 'cut' it has run and is not
+  // retried.
   run_scenario(R"(
     mysql-engines a b
     start
@@ -622,7 +626,7 @@
     expect duplicates 0)");
 }
 
-TEST_CASE("mysql: a deadline is an error of its own") {
+TEST_CASE("mysql: an exceeded deadline has its own error code") {
   run_scenario(R"(
     mysql-engines a
     set /mysql/read_deadline_ms 400
@@ -639,8 +643,8 @@
     expect executed 1 INSERT)");
 }
 
-TEST_CASE("mysql: prepared on an engine that drains before the execute") {
-  // The first hard case: the statement's id outlives the engine that gave it, the types bound there too.
+TEST_CASE("mysql: a statement prepared on an engine that then drains executes on another engine") {
+  // The statement id and the bound types are used after the engine that assigned them is gone.
   run_scenario(R"(
     mysql-engines a b
     start
@@ -663,8 +667,8 @@
     expect m error 1243)");
 }
 
-TEST_CASE("mysql: a client that vanishes halfway through a load") {
-  // The second hard case: the load runs to its end, once, and its engine serves on.
+TEST_CASE("mysql: a running load completes once after its client disconnects") {
+  // The load completes once, and its engine stays in use.
   run_scenario(R"(
     mysql-engines a b
     start
@@ -686,7 +690,7 @@
     expect duplicates 0)");
 }
 
-TEST_CASE("mysql: long data is sent ahead, reset and sent again") {
+TEST_CASE("mysql: long parameter data is sent, reset and sent again") {
   run_scenario(R"(
     mysql-engines a b
     start
@@ -703,7 +707,7 @@
     expect executed 1 <- part one,part two)");
 }
 
-TEST_CASE("mixed: both fronts on one core and the same engines, no load twice") {
+TEST_CASE("mixed: frames and MySQL clients share the same engines and no load runs twice") {
   run_scenario(R"(
     mysql-engines a b
     start
@@ -733,8 +737,8 @@
     expect duplicates 0)");
 }
 
-TEST_CASE("the count of duplicate loads would catch one") {
-  // A check that can't fail proves nothing: the same load asked for twice is counted.
+TEST_CASE("the duplicate load counter detects a load that is submitted twice") {
+  // Checks the check: the same load submitted twice is counted.
   run_scenario(R"(
     mysql-engines a b
     start
@@ -746,8 +750,8 @@
     expect duplicates 1)");
 }
 
-TEST_CASE("operators: STATUS, figures of every outcome, and an error for anything else") {
-  // Guards against figures counted twice, or not at all where a front turns a request away itself.
+TEST_CASE("operators: STATUS and METRICS report every outcome, and unknown commands get an error") {
+  // Guards against double counting, and against missing counts where a frontend itself rejects a request.
   run_scenario(R"(
     engines a
     start
@@ -792,8 +796,9 @@
     expect answer -ERR)");
 }
 
-TEST_CASE("operators: neither callers that hold connections nor endless lines keep an answer away") {
-  // Guards against a cap that holders fill, and against a line without an end that grows the memory.
+TEST_CASE("operators: idle connections and endless lines do not block a response") {
+  // Guards against a connection limit filled by idle connections, and against unbounded memory for an endless
+  // line.
   run_scenario(R"(
     engines a
     set /limits/sockets 64
@@ -807,7 +812,7 @@
     expect answer -ERR the line is too long)");
 }
 
-TEST_CASE("operators: an engine that is avoided shows") {
+TEST_CASE("operators: a draining engine is counted as skipped") {
   run_scenario(R"(
     engines a b
     start
@@ -819,7 +824,7 @@
     expect figure skipped_query_engines=0)");
 }
 
-TEST_CASE("mysql: outcomes are counted on the same core") {
+TEST_CASE("mysql: outcomes are counted in the same metrics") {
   run_scenario(R"(
     mysql-engines a
     start
@@ -831,8 +836,9 @@
     expect figure in_progress=0)");
 }
 
-TEST_CASE("upgrade: the successor takes the door, the former answers what it took and leaves") {
-  // Guards against requests that end at the door: the former accepts nothing once a successor is ready.
+TEST_CASE(
+    "upgrade: the successor accepts new connections and the predecessor finishes its requests and exits") {
+  // Guards against lost requests at the listener: the predecessor accepts nothing once a successor is ready.
   run_scenario(R"(
     engines a
     pass sockets
@@ -871,8 +877,9 @@
     expect answer +OK)");
 }
 
-TEST_CASE("upgrade: without a successor newcomers are served, and what waits is left to the next process") {
-  // Guards against a door that is shut while nobody else opens it, and against a lock that the dead hold.
+TEST_CASE("upgrade: without a successor clients are served, queued ones are left to the next process") {
+  // Guards against a listener closed while no other process accepts, and against a lock held by a dead
+  // process.
   run_scenario(R"(
     engines a
     pass sockets
@@ -897,9 +904,9 @@
 }
 
 TEST_CASE("upgrade: two processes share one limit on descriptors and memory") {
-  // Guards against shares that don't fit twice. Of 32 descriptors a process itself holds 12 and sets 2 aside
-  // for operators: 9 are for clients, one of them for who is on his way out; beside another process 4, with
-  // one for that.
+  // Guards against two processes that each use the whole limit. Of 32 descriptors a process itself holds 12
+  // and reserves 2 for operators: 9 are for clients, including one reserve descriptor. Beside another process
+  // 4 are for clients, including the reserve.
   run_scenario(R"(
     engines a
     set /limits/sockets 32
@@ -946,8 +953,8 @@
     expect c1 closed)");
 }
 
-TEST_CASE("upgrade: half a request on its way in is waited for") {
-  // Guards against leaving with a request unread that is written in pieces.
+TEST_CASE("upgrade: a partially received request is waited for") {
+  // Guards against exiting before a request that is written in pieces has been read.
   run_scenario(R"(
     engines a
     start
@@ -961,8 +968,8 @@
     expect dispatcher exit 0)");
 }
 
-TEST_CASE("SIGHUP: classes are added, changed and dropped, and broken settings change nothing") {
-  // Guards against requests of a class that clients know and we don't, and against half a configuration.
+TEST_CASE("SIGHUP: classes are added, changed and removed, and an invalid configuration changes nothing") {
+  // Guards against rejecting requests of a new class, and against a partially applied configuration.
   run_scenario(R"(
     engines a
     start
@@ -1014,7 +1021,7 @@
     expect figure passed.load=1)");
 }
 
-TEST_CASE("mysql: SIGHUP leads statements to other classes, and the front stays") {
+TEST_CASE("mysql: SIGHUP maps statements to other classes and keeps the frontend open") {
   run_scenario(R"(
     mysql-engines a
     start
@@ -1041,9 +1048,9 @@
     expect duplicates 0)");
 }
 
-TEST_CASE("who writes a request slowly is waited for, also in a crowd of silent ones") {
-  // Guards against closing on a request that takes 2 s to write, and against a crowd that pushes its writer
-  // out.
+TEST_CASE("a slowly written request is received among many idle connections") {
+  // Guards against closing a connection whose request takes 2 s to write, and against its eviction by idle
+  // connections.
   run_scenario(R"(
     engines a
     set /limits/sockets 32
@@ -1064,8 +1071,8 @@
     expect v closed)");
 }
 
-TEST_CASE("mysql: an upgrade ends no statement, and who is answered logs in anew at the successor") {
-  // Guards against loads cut in half, run twice, or sent to a process that has gone.
+TEST_CASE("mysql: an upgrade ends no running statement, and clients then reconnect to the successor") {
+  // Guards against loads that are aborted, run twice, or sent to a process that has exited.
   run_scenario(R"(
     mysql-engines a
     pass sockets
@@ -1094,9 +1101,9 @@
     expect duplicates 0)");
 }
 
-TEST_CASE("a crowd does not push out who has sent a request that is not yet read") {
-  // Guards against closing on a request that waits in the kernel behind hundreds that connect at once: 12 is
-  // the cap here.
+TEST_CASE("a connection with an unread request is not evicted by many new connections") {
+  // Guards against closing a connection whose request waits in the kernel while hundreds connect at once. The
+  // connection limit is 12 here.
   run_scenario(R"(
     engines a
     set /limits/sockets 32
@@ -1112,8 +1119,8 @@
     expect w served 1 one\n)");
 }
 
-TEST_CASE("a client that sends an unreadable frame still gets the answers to what it asked before") {
-  // Guards against a connection ended with requests open on it: their answers were lost (the full-size days).
+TEST_CASE("a client that sends an unreadable frame still gets the responses to earlier requests") {
+  // Guards against closing a connection with open requests, which loses their responses.
   run_scenario(R"(
     engines a
     start
@@ -1127,9 +1134,9 @@
     expect c eof)");
 }
 
-TEST_CASE("the rest of a frame that comes late, behind requests that are open, is taken like any other") {
-  // Guards against a connection that went deaf after 2.6 s of half a frame: the rest, and whatever was asked
-  // behind it, was dropped unheard and lost, for as long as something was open there.
+TEST_CASE("the rest of a delayed frame is accepted while other requests are open") {
+  // Guards against ignoring a connection after 2.6 s of an incomplete frame: the rest of the frame and later
+  // requests would be lost while other requests are open on it.
   run_scenario(R"(
     engines a
     start
@@ -1148,7 +1155,7 @@
     expect c served 3 three\n)");
 }
 
-TEST_CASE("who goes on asking behind a frame that can't be used is refused at once") {
+TEST_CASE("requests behind an unusable frame are rejected at once") {
   run_scenario(R"(
     engines a
     start
