--- a/tests/integration/auth_test.cpp
+++ b/tests/integration/auth_test.cpp
@@ -1,4 +1,4 @@
-// Who is calling: the real program on sockets, with stand-in engines that see what reaches them.
+// Authentication and access control of the real dispatcher process, with scripted engines.
 #include <catch2/catch.hpp>
 
 #include "auth/authenticator.h"
@@ -10,7 +10,7 @@
 
 namespace rookproxy {
 
-TEST_CASE("frames: a token lets its caller do what its role may, with its tenant's data alone") {
+TEST_CASE("frames: a token permits the classes of its role and the data of its tenant only") {
   run_scenario(R"(
     engines a
     access
@@ -47,7 +47,7 @@
     expect log denied="schema" subject="s-1" tenant="addis")");
 }
 
-TEST_CASE("frames: the token goes no further than the front, and no log has it") {
+TEST_CASE("frames: the token is neither forwarded nor logged") {
   run_scenario(R"(
     engines a
     access
@@ -66,8 +66,8 @@
     expect nolog eyJ)");
 }
 
-TEST_CASE("frames: a token that expires in mid-session ends its next request, and a fresh one goes on") {
-  // What is open when it expires ends as it would.
+TEST_CASE("frames: after a token expires its next request is denied, and a fresh token is accepted") {
+  // A request that is open when the token expires completes.
   run_scenario(R"(
     engines a
     access
@@ -90,8 +90,7 @@
     expect c served 3 ok\n)");
 }
 
-TEST_CASE(
-    "frames: keys overlap in a rotation, and a key that leaves takes its tokens along, also checked ones") {
+TEST_CASE("frames: keys overlap during rotation, and a removed key invalidates its tokens, cached ones too") {
   run_scenario(R"(
     engines a
     access
@@ -128,7 +127,7 @@
     expect c served 6 ok\n)");
 }
 
-TEST_CASE("frames: a token that was taken back, or whose subject was, is refused though it was checked") {
+TEST_CASE("frames: a revoked token or subject is denied even if the token is cached") {
   run_scenario(R"(
     engines a
     access
@@ -156,7 +155,7 @@
     expect c denied 4 revoked)");
 }
 
-TEST_CASE("frames: keys and rights are taken whole or not at all, and what is open goes on") {
+TEST_CASE("frames: keys and access rules are replaced as a whole or not at all, and open requests continue") {
   run_scenario(R"(
     engines a
     access
@@ -187,7 +186,8 @@
     expect figure load_errors=2)");
 }
 
-TEST_CASE("frames: what is no token of ours is refused by name, and who sends nothing else is let go") {
+TEST_CASE(
+    "frames: an invalid token is denied with its reason, and a client that sends only those is closed") {
   run_scenario(R"(
     engines a
     access
@@ -239,7 +239,7 @@
     expect a nothing 50)");
 }
 
-TEST_CASE("frames: keys rotate under load from 50 connections, and no valid caller is refused") {
+TEST_CASE("frames: keys rotate under load from 50 connections and no valid token is denied") {
   run_scenario(R"(
     lines-engines a b
     access
@@ -251,7 +251,7 @@
     rotate under load from 50)");
 }
 
-TEST_CASE("frames: in TLS, a client certificate stands for its caller, and a token for another") {
+TEST_CASE("frames: over TLS, a client certificate identifies its caller and a token overrides it") {
   run_scenario(R"(
     engines a
     access
@@ -292,7 +292,7 @@
     expect a nothing 50)");
 }
 
-TEST_CASE("frames: a large answer and a large request pass in TLS, in pieces") {
+TEST_CASE("frames: a large response and a large request are transferred in pieces over TLS") {
   const std::string wide(200'000, 'w');
   run_scenario(R"(
     engines a
@@ -312,9 +312,7 @@
                wide.substr(0, 5000));
 }
 
-TEST_CASE(
-    "frames: a certificate that was revoked asks for nothing more, and its connection ends once nothing is "
-    "open") {
+TEST_CASE("frames: a revoked certificate is denied, and its connection closes when no request is open") {
   run_scenario(R"(
     engines a
     access
@@ -353,7 +351,7 @@
     expect a nothing 50)");
 }
 
-TEST_CASE("frames: certificates of strangers, of servers, over or not yet begun are not let in") {
+TEST_CASE("frames: untrusted, server, expired and not yet valid client certificates are rejected") {
   run_scenario(R"(
     engines a
     access
@@ -377,7 +375,7 @@
     expect a5 closed)");
 }
 
-TEST_CASE("frames: a certificate that ends in mid-session asks for nothing more") {
+TEST_CASE("frames: a certificate that expires during a connection is denied further requests") {
   run_scenario(R"(
     engines a
     access
@@ -396,8 +394,7 @@
     expect o served 1 ok\n)");
 }
 
-TEST_CASE(
-    "frames: with a list that is too old nobody is let in by a certificate, until a fresh one is there") {
+TEST_CASE("frames: with an outdated revocation list certificates are rejected until a fresh list is loaded") {
   run_scenario(R"(
     engines a
     access
@@ -429,7 +426,7 @@
     expect figure load_errors=1)");
 }
 
-TEST_CASE("frames: the server's certificate is replaced in service, and connections under the former go on") {
+TEST_CASE("frames: the server certificate is replaced at run time and existing connections continue") {
   run_scenario(R"(
     engines a
     access
@@ -456,7 +453,7 @@
     expect n served 1 ok\n)");
 }
 
-TEST_CASE("mysql: callers log in by token in TLS alone, as themselves, and may what their roles may") {
+TEST_CASE("mysql: log-in by token requires TLS and the token's own user, and roles limit the statements") {
   run_scenario(R"(
     mysql-engines a b
     access
@@ -504,8 +501,7 @@
     expect nolog eyJ)");
 }
 
-TEST_CASE(
-    "mysql: a token that expires in mid-session is refused, and a fresh one goes on in the same session") {
+TEST_CASE("mysql: after a token expires statements are denied, and a fresh token continues the session") {
   run_scenario(R"(
     mysql-engines a b
     access
@@ -531,7 +527,7 @@
     expect m closed)");
 }
 
-TEST_CASE("mysql: keys rotate and revocations hold in open sessions") {
+TEST_CASE("mysql: key rotation and revocation apply to open sessions") {
   run_scenario(R"(
     mysql-engines a b
     access
@@ -559,7 +555,7 @@
     expect n error 1045 revoked)");
 }
 
-TEST_CASE("mysql: a client certificate stands for its caller until it is revoked, also in an idle session") {
+TEST_CASE("mysql: a client certificate identifies its caller until revoked, in idle sessions as well") {
   run_scenario(R"(
     mysql-engines a b
     access
