--- a/tests/integration/dispatcher_fixture.h
+++ b/tests/integration/dispatcher_fixture.h
@@ -1,4 +1,4 @@
-// A dispatcher with real connections to engines that a test plays, in orders of events that the test decides.
+// A dispatcher with real connections to scripted engines, with an order of events that the test controls.
 #pragma once
 
 #include <sys/socket.h>
@@ -30,14 +30,14 @@
 using routing::Idempotency;
 using routing::IdempotencyScope;
 
-// An engine that the test plays: it keeps what reaches it by connection, and sends what the test says.
+// A scripted engine: records what it receives by connection and sends what the test tells it to.
 class ScriptedEngine {
  public:
   [[nodiscard]] const SocketAddress& address() const { return address_; }
   [[nodiscard]] const FileDescriptor& listener() const { return listener_; }
   [[nodiscard]] std::size_t connection_count() const { return connections_.size(); }
 
-  // Fills the queue of the listener: the kernel drops further connects, and clients try again a second later.
+  // Fills the listener's accept queue: the kernel drops further connects, and clients retry a second later.
   void block_connects() {
     ::listen(listener_.get(), 0);
     for (int i = 0; i < 8; ++i) blocking_.push_back(connect_tcp(address_));
@@ -49,7 +49,7 @@
   }
 
   void add_connection(TestConnection connection) { connections_.push_back(std::move(connection)); }
-  // Accepts and reads whatever has come.
+  // Accepts all pending connections and reads all available bytes.
   void read_all() {
     while (wait_until_readable(listener_, 0ms)) connections_.emplace_back(accept_connection(listener_));
     for (auto& connection : connections_) {
@@ -57,7 +57,7 @@
     }
   }
 
-  // The ids of all requests that reached it.
+  // The ids of all requests received.
   std::vector<std::string> ids() {
     read_all();
     std::vector<std::string> ids;
@@ -74,7 +74,7 @@
     return std::find(all.begin(), all.end(), id) != all.end();
   }
 
-  // The connection on which a request came.
+  // The connection on which a request arrived.
   TestConnection& connection_of(const std::string& id) {
     for (auto& connection : connections_) {
       if (connection.buffer().find("REQ " + id + " ") != std::string::npos) return connection;
