--- a/tests/integration/platform_test.cpp
+++ b/tests/integration/platform_test.cpp
@@ -1,4 +1,4 @@
-// The platform's own configuration and command, under what its full-size days refuse.
+// The platform's configuration and command, under the system calls that the platform forbids.
 #include <fcntl.h>
 #include <signal.h>
 #include <sys/sendfile.h>
@@ -32,7 +32,7 @@
   return WIFSIGNALED(status) ? WTERMSIG(status) : -WEXITSTATUS(status);
 }
 
-TEST_CASE("platform: the confinement of these tests ends whoever breaks it, and lets threads be") {
+TEST_CASE("platform: the system call filter ends a process that breaks it and permits threads") {
   CHECK(signal_of([] { ::fork(); }) == SIGSYS);
   CHECK(signal_of([] { ::socket(AF_UNIX, SOCK_STREAM, 0); }) == SIGSYS);
   CHECK(signal_of([] { ::sendfile(1, 0, nullptr, 1); }) == SIGSYS);
@@ -42,7 +42,7 @@
   CHECK(signal_of([] { ::socket(AF_INET, SOCK_DGRAM, 0); }) == 0);
 }
 
-TEST_CASE("platform: a confined dispatcher starts, serves, rereads its configuration and drains") {
+TEST_CASE("platform: a dispatcher under the system call filter starts, serves, reloads and drains") {
   run_scenario(R"(
     confine
     engines a
@@ -64,10 +64,11 @@
     expect dispatcher exit 0)");
 }
 
-TEST_CASE("platform: run is one process by exec, on the platform's configuration alone") {
+TEST_CASE("platform: the run command is one exec of the binary with the platform's configuration only") {
   std::ifstream in(ROOKPROXY_ROOT "/deploy/balancer.toml");
   const std::string text((std::istreambuf_iterator<char>(in)), {});
-  // No operator's file, so no second front, no TLS, no access, no file watching; no shell that stays.
+  // There is no operator's file, hence no second frontend, TLS, access control or file watching, and no
+  // remaining shell.
   CHECK(text.find("\nrun = \"exec build/rookproxy\"\n") != std::string::npos);
 }
 
