--- a/tests/integration/failing_calls_test.cpp
+++ b/tests/integration/failing_calls_test.cpp
@@ -1,5 +1,4 @@
-// System calls of a dispatcher's process fail for a moment, as for a process or host that is short of
-// something.
+// System calls of the dispatcher process fail temporarily, as on a host that is short of a resource.
 #include <catch2/catch.hpp>
 #include <cerrno>
 #include <chrono>
@@ -23,10 +22,10 @@
 namespace rookproxy::test {
 namespace {
 
-// A dispatcher with one engine and service discovery, in whose process calls fail.
+// A dispatcher process with failing system calls, one engine and service discovery.
 class FailingCallsFixture {
  public:
-  // `engine_port`: another engine's in place of the one that answers at once.
+  // `engine_port`: the port of another engine in place of the one that answers at once.
   explicit FailingCallsFixture(const std::string& failing_calls, std::uint16_t engine_port = 0) {
     nlohmann::json config = default_dispatcher_config();
     config["nameserver"] = loopback_address(discovery_.port());
@@ -37,7 +36,7 @@
     process.start(options);
   }
 
-  // Whether a lookup on a new connection gets its rows.
+  // Whether a lookup on a new connection is served.
   [[nodiscard]] bool serves_new_client() const {
     FramesClient client(TestConnection::connect(process.port_logged_with("serving frames")));
     client.send(encode_request_frame(1, {{"op", "lookup"}, {"call", format_call_id(1)}, {"ttl", "2900"}},
@@ -55,8 +54,8 @@
   AutoReplyLineEngine engine_;
 };
 
-TEST_CASE("failing calls: what is lacking for a moment at the start is waited for") {
-  // Guards against an exit as for a wrong configuration.
+TEST_CASE("failing calls: a temporary failure at startup is waited for") {
+  // Guards against an exit as for an invalid configuration.
   for (const std::string call : {"epoll_create1", "epoll_ctl", "socket", "listen", "signalfd"}) {
     for (const int error : {ENFILE, ENOMEM}) {
       for (const int first : {1, 2}) {
@@ -71,8 +70,8 @@
   }
 }
 
-TEST_CASE("failing calls: a lack of descriptors that passes shuts no client out") {
-  // Guards against giving up the reserve descriptor, and a client with it, though the next call would
+TEST_CASE("failing calls: a temporary shortage of descriptors shuts no client out") {
+  // Guards against giving up the reserve descriptor, and with it a client, although the next call would
   // succeed.
   for (const int error : {ENFILE, EMFILE, ENOBUFS, ENOMEM, ECONNABORTED, EINTR}) {
     INFO(error);
@@ -85,8 +84,8 @@
   }
 }
 
-TEST_CASE("failing calls: interrupted and short calls and momentary failures to connect cost no request") {
-  // Of an UDP socket a short read cuts the datagram, as for service discovery here: it counts as damaged.
+TEST_CASE("failing calls: interrupted and short calls and temporary connect failures cost no request") {
+  // A short read of a UDP socket truncates the datagram: service discovery counts it as damaged.
   const std::string interrupted = std::to_string(EINTR);
   std::vector<std::string> faults{"recv:every:2:" + interrupted,
                                   "sendmsg:every:2:" + interrupted,
@@ -108,7 +107,7 @@
   }
 }
 
-TEST_CASE("failing calls: a wall clock that is stepped by an hour moves no deadline") {
+TEST_CASE("failing calls: a wall clock that is stepped by an hour changes no deadline") {
   const std::string steps = "clock_gettime:every:1:3600";
   const FailingCallsFixture serving(steps);
   serving.process.wait_for_log("ready to serve");
