--- a/tests/integration/slow_start_processes_test.cpp
+++ b/tests/integration/slow_start_processes_test.cpp
@@ -1,4 +1,4 @@
-// An engine in slow start under the sum of what a cluster of real processes sends.
+// An engine in slow start under the total load of a cluster of real processes.
 #include <signal.h>
 #include <algorithm>
 #include <catch2/catch.hpp>
@@ -26,13 +26,14 @@
 using nlohmann::json;
 
 constexpr std::size_t kProcesses = 20;
-// The engine starts with this share of its capacity ...
+// Share of its capacity with which the engine starts.
 constexpr double kInitialShare = 0.3;
-// ... and fails when it gets more than this times its present capacity for this long (in seconds).
+// Load, as a multiple of its current capacity, at which the engine fails if it lasts for `kOverloadWindow`
+// (in seconds).
 constexpr double kOverloadFactor = 3;
 constexpr double kOverloadWindow = 1;
 constexpr double kCores = 8;
-// The share of an engine's capacity that dispatchers use.
+// Share of an engine's capacity that dispatchers use.
 constexpr double kTargetUtilization = 0.85;
 constexpr std::uint32_t kTableGroups = 40;
 
@@ -56,12 +57,12 @@
     payload += static_cast<char>(value.size() >> 8);
     payload += static_cast<char>(value.size()) + value;
   }
-  // Table groups are spread over all engines.
+  // Spreads the table groups over all engines.
   const std::string group = std::to_string(stream % kTableGroups);
   return frames::encode_frame(frames::kRequest, stream, payload + "SELECT x FROM sales_" + group + ".orders");
 }
 
-// Dispatcher processes before two engines and a third that has just started.
+// Dispatcher processes with two warm engines and a third that has just started.
 class DispatcherCluster {
  public:
   DispatcherCluster() : config_(default_dispatcher_config()) {
@@ -84,7 +85,7 @@
     processes_.clear();
     std::filesystem::remove_all(root_);
   }
-  // Starts all at once; those that ran before are killed.
+  // Starts all processes at once. Those of an earlier start are killed.
   void restart() {
     processes_.clear();
     clients_.clear();
@@ -103,7 +104,7 @@
           static_cast<std::uint16_t>(std::stoi(process.wait_for_log("start [rookproxy@32473 port=\"")))));
     }
   }
-  // Each client sends so many requests at a time and waits for all responses, until the duration is over.
+  // Each client sends `at_a_time` requests, waits for all responses, and repeats this for the duration.
   void send_for(std::chrono::milliseconds duration, std::uint32_t at_a_time, const std::string& work_ms) {
     const auto end = std::chrono::steady_clock::now() + duration;
     while (std::chrono::steady_clock::now() < end) {
@@ -116,15 +117,15 @@
       }
     }
   }
-  // The most requests that reached the new engine within an overload window.
+  // The largest number of requests that reached the new engine within an overload window.
   std::size_t max_in_window() {
     const auto times = new_engine_.arrival_times();
-    std::size_t most = 0;
+    std::size_t largest = 0;
     for (std::size_t first = 0, last = 0; last < times.size(); ++last) {
       while (times[last] - times[first] >= std::chrono::duration<double>(kOverloadWindow)) ++first;
-      most = std::max(most, last - first + 1);
+      largest = std::max(largest, last - first + 1);
     }
-    return most;
+    return largest;
   }
   int served() const { return served_; }
   int rejected() const { return rejected_; }
@@ -153,21 +154,21 @@
 
 }  // namespace
 
-TEST_CASE("slow start: twenty processes before an engine that has just started") {
-  // Guards against what no process sees alone: each one's part is small enough, their sum overloads the
-  // engine; also when all are killed and start anew within its slow start.
+TEST_CASE("slow start: the sum of twenty processes does not overload an engine that has just started") {
+  // Guards against an overload that no single process sees: the share of each is small, the sum is not. All
+  // processes are also killed and restarted within the slow start.
   const auto [work_ms, at_a_time] = GENERATE(std::pair(20.0, 24u), std::pair(100.0, 12u));
-  const double allowed =
+  const double max_allowed =
       kOverloadFactor * kInitialShare * kTargetUtilization * kCores * kOverloadWindow * 1000 / work_ms;
   DispatcherCluster cluster;
   cluster.restart();
   cluster.send_for(1500ms, at_a_time, std::to_string(work_ms));
   cluster.restart();
   cluster.send_for(1500ms, at_a_time, std::to_string(work_ms));
-  const auto most = static_cast<double>(cluster.max_in_window());
-  std::printf("work of %.0f ms: %.0f in a window of %.0f allowed; %d served, %d rejected\n", work_ms, most,
-              allowed, cluster.served(), cluster.rejected());
-  CHECK(most <= allowed + 2 * std::sqrt(allowed) + 2);
-  CHECK(most >= allowed / 8);  // it is not just left idle
+  const auto largest = static_cast<double>(cluster.max_in_window());
+  std::printf("work of %.0f ms: %.0f in a window of %.0f allowed; %d served, %d rejected\n", work_ms, largest,
+              max_allowed, cluster.served(), cluster.rejected());
+  CHECK(largest <= max_allowed + 2 * std::sqrt(max_allowed) + 2);
+  CHECK(largest >= max_allowed / 8);  // the engine is used
   CHECK(cluster.rejected() == 0);
 }
