--- a/tests/integration/drain_announcement_test.cpp
+++ b/tests/integration/drain_announcement_test.cpp
@@ -1,20 +1,6 @@
-// What users saw: during a release in which dispatchers were restarted and service discovery sent some old
-// responses, requests were sent to an engine over two seconds after the dispatcher had been told that it
-// drains.
-//
-// Order of events: a dispatcher restarts, and service discovery counts the versions of its list anew for it.
-// One of the first polls is answered with a list that was made for the former run, under a higher version.
-// The dispatcher takes it, and from then on ignores the true lists, whose versions are lower, or equal by
-// chance. A drain that they announce is heard only once the new count has passed the former one.
-//
-// Cause: the version alone decided which of two lists is the newer one, though versions of two runs do not
-// compare, and a list that allows was believed as soon as one that forbids.
-//
-// Evidence: the log of a dispatcher in such a release. It restarts at 13.39 s, logs 'new list' with serial 3
-// at 13.59 s, while its neighbours reach serial 3 at 14.9 s; then serial 1 'went back', and nothing is taken
-// until serial 4 at 15.79 s.
-//
-// Related: a drain whose announcement was lost before a lagging server answered was counted from too late.
+// Drain announcements of service discovery that reach the dispatcher late. After a restart of the dispatcher,
+// discovery numbers its list versions anew: a list of the previous run with a higher version must not hide
+// the current lists. A drain whose first announcement was lost counts from when it was announced.
 #include <catch2/catch.hpp>
 #include <chrono>
 #include <fstream>
@@ -47,14 +33,14 @@
 constexpr auto kPollInterval = 100ms;
 constexpr auto kGracePeriod = 2s;
 constexpr auto kGraceSlack = 50ms;
-// Polls that the lagging server answers: most of the grace period.
+// Polls that the outdated server answers: most of the grace period.
 constexpr int kOlderResponses = 14;
-// Polls behind them until the grace period, counted from the lost response, is over.
+// Polls after those until the grace period, counted from the lost response, is over.
 constexpr int kPollsUntilGraceIsOver = 9;
 // Responses that announce a drain until its grace period is over.
 constexpr int kPollsOfGracePeriod = 25;
 
-// Two engines, discovery and one dispatcher process; the dispatcher knows engine "a" from the start.
+// Two engines, service discovery and one dispatcher process. The dispatcher knows engine "a" from the start.
 class DrainFixture {
  public:
   DrainFixture() {
@@ -71,23 +57,23 @@
     process.wait_for_log("ready to serve");
   }
 
-  // An idle client would be closed after a while, so each test connects when it has something to send.
+  // An idle client connection would be closed, so each test connects when it has something to send.
   void connect_client() {
     client.emplace(TestConnection::connect(process.port_logged_with("serving frames")));
   }
 
-  // A write that waits for its connection to engine "a", which accepts none.
+  // Submits a write that waits for its connection to engine "a", which accepts none.
   void submit_request_that_waits_for_engine_a() {
     engine_a.fill_accept_queue();
     connect_client();
     client->send(encode_request_frame(1, {{"op", "load"}, {"call", format_call_id(1)}, {"ttl", "9000"}},
                                       "INSERT INTO s_1.t VALUES (1)"));
     client->send(frames::encode_frame(frames::kReadinessQuery, 2, std::string(1, '\0')));
-    require(client->take_frame_of_type(frames::kReadiness), "the request was not taken");
+    require(client->take_frame_of_type(frames::kReadiness), "the dispatcher did not accept the request");
   }
 
-  // Discovery announces that "a" drains and "b" serves, and the first response that says so is lost. Returns
-  // when it was sent.
+  // Announces that "a" drains and "b" serves, and loses the first response that says so. Returns when that
+  // response was sent.
   Clock::time_point announce_drain_in_lost_response() {
     discovery_.set_response_mode(ResponseMode::kLost);
     discovery_.set_endpoints({endpoint("a", EngineState::kDraining), endpoint("b", EngineState::kServing)});
@@ -106,17 +92,17 @@
     wait_until([this, count] { return discovery_.polls_in_mode() >= count; });
   }
 
-  // One poll is answered with a list of the former run, in which "a" serves, under a version that the present
+  // Answers one poll with a list of the previous run, in which "a" serves, with a version that the current
   // run reaches only later.
-  void answer_one_poll_with_list_of_former_run() {
+  void answer_one_poll_with_list_of_previous_run() {
     discovery_.answer_once_with(discovery_.version() + 4, {endpoint("a", EngineState::kServing)});
     wait_until([this] { return discovery_.polls_in_mode() >= 1; });
     discovery_.set_response_mode(ResponseMode::kCurrentList);
     wait_until([this] { return discovery_.polls_in_mode() >= 2; });
   }
 
-  // Discovery announces that "a" drains and "b" serves, in every response from then on. Returns after so many
-  // of them.
+  // Announces in every further response that "a" drains and "b" serves. Returns after the given number of
+  // responses.
   void announce_drain(int responses) {
     discovery_.set_endpoints({endpoint("a", EngineState::kDraining), endpoint("b", EngineState::kServing)});
     discovery_.set_response_mode(ResponseMode::kCurrentList);
@@ -148,7 +134,7 @@
   static void wait_until(Condition condition) {
     const auto deadline = Clock::now() + kWaitLimit;
     while (!condition()) {
-      require(Clock::now() < deadline, "it did not come about");
+      require(Clock::now() < deadline, "condition not met within the wait limit");
       std::this_thread::sleep_for(1ms);
     }
   }
@@ -157,9 +143,9 @@
   FakeDiscoveryServer discovery_;
 };
 
-TEST_CASE("drains: a list of the former run does not hide a drain that is announced after a restart") {
+TEST_CASE("drains: a list of the previous run does not hide a drain announced after a restart") {
   DrainFixture fixture;
-  fixture.answer_one_poll_with_list_of_former_run();
+  fixture.answer_one_poll_with_list_of_previous_run();
   fixture.announce_drain(kPollsOfGracePeriod);
   fixture.connect_client();
   constexpr std::uint32_t kLookups = 5;
@@ -170,8 +156,7 @@
   CHECK(fixture.engine_b.next_command(kWaitLimit));
 }
 
-TEST_CASE(
-    "drains: an announcement that was lost before older lists came still counts from when it was sent") {
+TEST_CASE("drains: the grace period counts from a lost announcement, even if older lists follow it") {
   DrainFixture fixture;
   fixture.submit_request_that_waits_for_engine_a();
   const auto announced_at = fixture.announce_drain_in_lost_response();
@@ -180,7 +165,7 @@
   fixture.engine_a.drain_accept_queue();
 
   REQUIRE((Clock::now() - announced_at > kGracePeriod + kGraceSlack));
-  // The kernel connects when it repeats its attempt, a second or two later.
+  // The kernel retries the connect after a second or two.
   const auto late_request = fixture.engine_a.next_command(2500ms);
   INFO(fixture.process.log());
   CHECK_FALSE(late_request);
