--- a/tests/integration/event_order_test.cpp
+++ b/tests/integration/event_order_test.cpp
@@ -1,5 +1,4 @@
-// Attempts from their start to their end, with real connections, where the test decides in which order events
-// happen.
+// Attempts from start to end over real connections, with an order of events that the test controls.
 #include <sys/resource.h>
 #include <sys/socket.h>
 
@@ -29,8 +28,8 @@
 
 }  // namespace
 
-TEST_CASE("event order: no attempt leaves for a client that disconnected while it waited, in any class") {
-  // Guards against a load that was left to run although no byte of it had left, up to a connect's time later.
+TEST_CASE("event order: no attempt is sent for a client that disconnected while it waited, in any class") {
+  // Guards against running a load although no byte of it was sent, up to a connect timeout later.
   for (const char* cls : {"safe", "unsafe", "anywhere", "cell"}) {
     INFO(cls);
     ScriptedEngine a;
@@ -48,13 +47,13 @@
   }
 }
 
-TEST_CASE("event order: no attempt leaves for a client that disconnects while it is queued behind another") {
+TEST_CASE("event order: no attempt is sent for a client that disconnects while it is queued behind another") {
   for (const char* cls : {"safe", "unsafe"}) {
     INFO(cls);
     ScriptedEngine a;
     DispatcherFixture fixture;
     fixture.update_endpoints({{&a, kUp}});
-    fixture.submit("safe", 8s, 16u << 20);  // more than the kernel takes
+    fixture.submit("safe", 8s, 16u << 20);  // more than the kernel's send buffer holds
     const std::string first = fixture.last_id();
     REQUIRE(fixture.run_until([&] { return test::wait_until_readable(a.listener(), 0ms); }));
     fixture.dispatcher.cancel_request(fixture.submit(cls));
@@ -65,7 +64,7 @@
   }
 }
 
-TEST_CASE("event order: no first byte after deadline, grace period or window, even if timers are late") {
+TEST_CASE("event order: no byte is sent after deadline, grace period or window, even if timers are late") {
   // A connection that is established late is reported before the timers that should have cancelled its
   // attempt.
   enum class Limit { kDeadline, kDrain, kWindow, kRemoved };
@@ -83,7 +82,7 @@
       REQUIRE(fixture.run_until([&] { return a.has(id); }));
       fixture.update_endpoints({{&b, kUp}});
       a.reset(id);
-      // In that iteration it is retried, and waits for its connection.
+      // In that iteration it is retried and waits for its connection.
       REQUIRE(fixture.run_until([&] { return fixture.log_text.str().find("reset") != std::string::npos; }));
     } else {
       fixture.update_endpoints({{&b, kUp}});
@@ -93,14 +92,14 @@
     }
     b.unblock_connects();
     if (limit == Limit::kRemoved) fixture.update_endpoints({{&a, kUp}});
-    // The busy iteration; meanwhile the kernel has tried again and connected.
+    // A busy loop iteration, during which the kernel retries the connect and succeeds.
     std::this_thread::sleep_for(1300ms);
     const bool goes_elsewhere = limit == Limit::kDrain || limit == Limit::kRemoved;
     REQUIRE(fixture.run_until(
         [&] { return b.has(id) || (goes_elsewhere ? a.has(id) : fixture.responses[0].has_value()); }));
     fixture.update_endpoints({{&b, kUp}});
     fixture.submit("safe");
-    // Whatever was to leave for 'b' before this has left.
+    // Everything that was to be sent to 'b' before this request has been sent.
     REQUIRE(fixture.run_until([&] { return b.has(fixture.last_id()); }));
     CHECK_FALSE(b.has(id));
   }
@@ -120,15 +119,15 @@
   REQUIRE(fixture.run_until([&] { return fixture.responses[0].has_value(); }));
   CHECK(fixture.responses[0]->status ==
         ResponseStatus::kFailed);          // it may have run, and must not run elsewhere
-  CHECK(fixture.loop.now() - start < 4s);  // its window is 0.8 s, its connect's time 9 s
+  CHECK(fixture.loop.now() - start < 4s);  // its window is 0.8 s, its connect timeout 9 s
 }
 
 TEST_CASE(
-    "event order: a response that stalls or never ends closes its connection, whatever else comes on it") {
+    "event order: a response that stalls or never ends closes its connection despite other traffic on it") {
   struct Row {
     const char* starts;
-    const char* continues;  // every few milliseconds
-    bool others_leave;      // meanwhile requests on the same connection are cancelled
+    const char* continues;      // sent every few milliseconds
+    bool others_are_cancelled;  // meanwhile requests on the same connection are cancelled
   };
   for (const Row& row : {
            Row{"1 data parts=1 100\r\nhalf", "", true},
@@ -156,7 +155,7 @@
       a.read_all();
       if (fixture.responses[0] || a.connection_of("1").has_ended()) return true;
       a.connection_of("1").send(row.continues);
-      if (row.others_leave && ++steps % 10 == 0) {
+      if (row.others_are_cancelled && ++steps % 10 == 0) {
         if (other) fixture.dispatcher.cancel_request(other);
         other = fixture.submit("safe");
       }
@@ -164,11 +163,11 @@
     }));
     REQUIRE(fixture.run_until([&] { return fixture.responses[0] && fixture.responses[1]; }));
     CHECK(fixture.responses[0]->status == ResponseStatus::kFailed);
-    CHECK(fixture.loop.now() - start < 3s);  // due within 0.3 s; the request's own timeout is 8 s
+    CHECK(fixture.loop.now() - start < 3s);  // due within 0.3 s, while the request's own timeout is 8 s
   }
 }
 
-TEST_CASE("event order: a response in pages may take its time, and updates of others come in between") {
+TEST_CASE("event order: a slow response in pages is complete, with updates of other requests in between") {
   ScriptedEngine a;
   DispatcherFixture fixture;
   fixture.update_endpoints({{&a, kUp}});
@@ -189,21 +188,21 @@
 }
 
 TEST_CASE(
-    "event order: cut after each byte, a response ends its request, and a non-idempotent one ran once") {
-  const std::string whole = "1 data parts=2 3\r\nok\n\r\n1 page part_no=1 2\r\nk\n\r\n";
-  auto quick = make_limits();
-  quick.response_timeout = quick.page_timeout = 20ms;
+    "event order: a response cut after any byte fails its request, and a non-idempotent one runs once") {
+  const std::string complete_response = "1 data parts=2 3\r\nok\n\r\n1 page part_no=1 2\r\nk\n\r\n";
+  auto short_timeouts = make_limits();
+  short_timeouts.response_timeout = short_timeouts.page_timeout = 20ms;
   for (const bool closes : {false, true}) {
-    for (std::size_t cut = 1; cut < whole.size(); ++cut) {
+    for (std::size_t cut = 1; cut < complete_response.size(); ++cut) {
       INFO("after " << cut << (closes ? ", closed" : ", silent"));
       ScriptedEngine a;
       ScriptedEngine b;
-      DispatcherFixture fixture(quick);
+      DispatcherFixture fixture(short_timeouts);
       fixture.update_endpoints({{&a, kUp}});
       fixture.submit("unsafe");
       REQUIRE(fixture.run_until([&] { return a.has("1"); }));
       fixture.update_endpoints({{&a, kUp}, {&b, kUp}});
-      a.connection_of("1").send(whole.substr(0, cut));
+      a.connection_of("1").send(complete_response.substr(0, cut));
       if (closes) a.connection_of("1").close();
       REQUIRE(fixture.run_until([&] { return fixture.responses[0].has_value(); }));
       CHECK(fixture.responses[0]->status == ResponseStatus::kFailed);
@@ -212,13 +211,14 @@
   }
 }
 
-TEST_CASE("event order: resource exhaustion on this side does not count against an engine") {
+TEST_CASE("event order: resource exhaustion in the dispatcher does not count against an engine") {
   const auto avoided = [](DispatcherFixture& fixture) { return fixture.dispatcher.gauges().engines_avoided; };
   SECTION("at the most connections") {
-    auto narrow = make_limits();
-    narrow.max_connections = narrow.max_streams_per_connection = narrow.preferred_streams_per_connection = 1;
+    auto one_connection = make_limits();
+    one_connection.max_connections = one_connection.max_streams_per_connection =
+        one_connection.preferred_streams_per_connection = 1;
     ScriptedEngine a;
-    DispatcherFixture fixture(narrow);
+    DispatcherFixture fixture(one_connection);
     fixture.update_endpoints({{&a, kUp}});
     fixture.submit("unsafe");
     fixture.submit("unsafe");
@@ -236,10 +236,10 @@
     DispatcherFixture fixture;
     fixture.update_endpoints({{&a, kUp}});
     std::vector<FileDescriptor> all;
-    rlimit kept{};
-    ::getrlimit(RLIMIT_NOFILE, &kept);
-    const rlimit few{128, kept.rlim_max};
-    ::setrlimit(RLIMIT_NOFILE, &few);
+    rlimit original_limit{};
+    ::getrlimit(RLIMIT_NOFILE, &original_limit);
+    const rlimit lowered_limit{128, original_limit.rlim_max};
+    ::setrlimit(RLIMIT_NOFILE, &lowered_limit);
     for (FileDescriptor one = listen_tcp({0x7f000001, 0}); one; one = listen_tcp({0x7f000001, 0}))
       all.push_back(std::move(one));
     fixture.submit("unsafe");
@@ -247,14 +247,14 @@
     const std::size_t avoided_then = avoided(fixture);
     const bool answered_then = fixture.responses[0].has_value();
     all.clear();
-    ::setrlimit(RLIMIT_NOFILE, &kept);
+    ::setrlimit(RLIMIT_NOFILE, &original_limit);
     CHECK(avoided_then == 0);
     CHECK_FALSE(answered_then);
     CHECK(fixture.run_until([&] { return a.has("1"); }));
   }
 }
 
-TEST_CASE("event order: a byte with the kernel means 'may have run', none means 'never ran'") {
+TEST_CASE("event order: an attempt may have run if the kernel took a byte of it, and has not run otherwise") {
   for (const char* cls : {"safe", "unsafe"}) {
     INFO(cls);
     const bool unsafe = std::string(cls) == "unsafe";
@@ -295,17 +295,17 @@
       a.serve("1");
       REQUIRE(fixture.run_until([&] { return fixture.responses[0].has_value(); }));
       ::shutdown(a.connection_of("1").fd().get(), SHUT_WR);
-      fixture.submit(cls);  // the kernel takes it: the engine may have read it before it closed
+      fixture.submit(cls);  // the kernel accepts it: the engine may have read it before closing
       REQUIRE(fixture.run_until([&] { return fixture.responses[1].has_value() || a.ids().size() == 3; }));
       CHECK(fixture.responses[1].has_value() == unsafe);
       if (unsafe) CHECK(fixture.responses[1]->status == ResponseStatus::kFailed);
     }
     SECTION(std::string("a dial that times out, ") + cls) {
-      auto quick = make_limits();
-      quick.connect_timeout = 50ms;
+      auto short_timeouts = make_limits();
+      short_timeouts.connect_timeout = 50ms;
       ScriptedEngine a;
       ScriptedEngine b;
-      DispatcherFixture fixture(quick);
+      DispatcherFixture fixture(short_timeouts);
       a.block_connects();
       fixture.update_endpoints({{&a, kUp}});
       fixture.submit(cls);
@@ -315,9 +315,7 @@
   }
 }
 
-TEST_CASE(
-    "event order: second responses and responses to unsent attempts are dropped, on retired connections "
-    "too") {
+TEST_CASE("event order: duplicate and unexpected responses are dropped, on retired connections as well") {
   ScriptedEngine a;
   DispatcherFixture fixture;
   fixture.update_endpoints({{&a, kUp}});
@@ -330,7 +328,7 @@
   REQUIRE(fixture.run_until([&] { return fixture.responses[1].has_value(); }));
   CHECK(fixture.responses[1]->status == ResponseStatus::kServed);
   CHECK(fixture.metrics.by_class["unsafe"].served == 2);
-  // The engine moves to another address: attempts at the previous one still end there.
+  // The engine moves to another address: attempts at the previous address still end there.
   ScriptedEngine moved;
   const auto moved_endpoint = DispatcherFixture::make_endpoint(a.address().to_string(), moved.address(), kUp);
   fixture.update_endpoints(std::vector<EngineEndpoint>{moved_endpoint});
@@ -343,11 +341,11 @@
   CHECK_FALSE(fixture.responses[3]);
 }
 
-TEST_CASE("event order: a response to an attempt that is still unsent ends nothing") {
+TEST_CASE("event order: a response to an unsent attempt ends no request") {
   ScriptedEngine a;
   DispatcherFixture fixture;
   fixture.update_endpoints({{&a, kUp}});
-  fixture.submit("safe", 8s, 16u << 20);  // more than the kernel takes
+  fixture.submit("safe", 8s, 16u << 20);  // more than the kernel's send buffer holds
   REQUIRE(fixture.run_until([&] { return test::wait_until_readable(a.listener(), 0ms); }));
   fixture.submit("unsafe");
   test::TestConnection peer(accept_connection(a.listener()));
