--- a/tests/integration/deployments_test.cpp
+++ b/tests/integration/deployments_test.cpp
@@ -1,4 +1,4 @@
-// What differs between deployments comes from their settings: tenants, peers, the grace of a drain.
+// Behaviour that depends on a deployment's settings: tenants, peers, the grace period of drains.
 #include <sys/socket.h>
 
 #include <catch2/catch.hpp>
@@ -30,11 +30,11 @@
 using namespace std::chrono_literals;
 using test::run_scenario;
 
-TEST_CASE("org: a tenant within its quota goes before one that is beyond its own") {
-  // Guards against tenants that the module never hears of: all would be within quota and go by their age. One
-  // core and work of 2 s each: most of the eager one's requests have to wait.
-  std::string spend;  // what the eager one has saved up of its quota, 5 requests, is within it
-  for (int i = 0; i < 6; ++i) spend += "send a data parts=1 done\\n\nabsorb a 100\n";
+TEST_CASE("org: a tenant within its quota is served before one that exceeds its quota") {
+  // Guards against tenants that are not passed to the routing module: all would count as within quota and be
+  // served by age. With one core and work of 2 s each, most requests of the tenant over quota have to wait.
+  std::string serve_accumulated;  // serves the 5 requests that the quota accumulated
+  for (int i = 0; i < 6; ++i) serve_accumulated += "send a data parts=1 done\\n\nabsorb a 100\n";
   run_scenario(R"(
     engines a
     set /settings/domain/cpu_of_kind [1]
@@ -47,7 +47,7 @@
     send c ready 1
     expect c ready 0
     absorb a 300
-    )" + spend +
+    )" + serve_accumulated +
                R"(
     client m
     send m fields 1 op=lookup,call=new,ttl=9000,work=2000,org=modest SELECT 'modest'
@@ -59,8 +59,8 @@
     expect figure tenant.modest.passed.lookup=1)");
 }
 
-TEST_CASE("org: unusable tenants fail by name, and a request without one is served") {
-  // Guards against a request lost, or a crash, for trouble with its tenant alone.
+TEST_CASE("org: an invalid tenant name fails with a reason, and a request without one is served") {
+  // Guards against losing a request, or a crash, because of its tenant alone.
   const std::string overlong(300, 'x');
   run_scenario(R"(
     engines a
@@ -94,7 +94,7 @@
     expect figure tenant.acme.bad_gateway.lookup=1)");
 }
 
-TEST_CASE("org: settings without tenants take no notice of it") {
+TEST_CASE("org: the field is ignored if the settings have no tenants") {
   const std::string overlong(300, 'x');
   run_scenario(R"(
     engines a
@@ -109,7 +109,7 @@
     expect figure passed.lookup=1)");
 }
 
-TEST_CASE("org: what a caller has proven wins, and the field is not looked at") {
+TEST_CASE("org: an authenticated tenant takes precedence and the field is ignored") {
   run_scenario(R"(
     engines a
     access
@@ -130,7 +130,7 @@
     expect figure tenant.addis.passed.lookup=2)");
 }
 
-TEST_CASE("org: tenants change in service, and former names are good until clients go by the new ones") {
+TEST_CASE("org: tenants change at run time, and previous names stay valid during the transition") {
   run_scenario(R"(
     engines a
     set /settings/parties [{"name":"old","quota_rps":9,"fraction":0.5}]
@@ -159,30 +159,30 @@
     expect figure tenant.old.passed.lookup=1)");
 }
 
-TEST_CASE("org: a tenant is known by its name as the settings have it, and its figures are one word a line") {
+TEST_CASE("org: a tenant has its configured name, and its metric names contain no separators") {
   const Config config = read_config(nlohmann::json::parse(
       R"({"listen":"127.0.0.1:1","nameserver":"127.0.0.1:2","settings":{"grades":[{"name":"q","effect":"pure",
       "target":1,"deadline":5}],"permissions":{"max_attempts":2},"parties":[{"name":"Ein, zwei","quota_rps":1}]}})"));
   REQUIRE(config.settings.tenants.size() == 1);
   CHECK(config.settings.tenants[0].name == "Ein, zwei");
-  Metrics figures;
-  figures.by_tenant["a b\nsvc.c=1"]["q"].served = 2;
-  CHECK(format_metrics(figures, {}).find("svc.tenant.a_b_svc.c_1.passed.q=2\n") != std::string::npos);
+  Metrics metrics;
+  metrics.by_tenant["a b\nsvc.c=1"]["q"].served = 2;
+  CHECK(format_metrics(metrics, {}).find("svc.tenant.a_b_svc.c_1.passed.q=2\n") != std::string::npos);
 }
 
-TEST_CASE("org: a dropped tenant keeps its quota until the new settings bind alone") {
-  rookproxy::routing::Settings former, fresh;
-  former.tenants = {{"kept", 1, 0.5}, {"gone", 2, 0.5}};
-  fresh.tenants = {{"new", 3, 0.5}, {"kept", 4, 0.5}};
-  const auto both = merge_stricter(former, fresh).tenants;
-  REQUIRE(both.size() == 3);
-  CHECK(both[1].quota_per_second == 4);
-  CHECK(both[2].name == "gone");
+TEST_CASE("org: a removed tenant keeps its quota until only the new settings apply") {
+  rookproxy::routing::Settings previous, updated;
+  previous.tenants = {{"kept", 1, 0.5}, {"gone", 2, 0.5}};
+  updated.tenants = {{"new", 3, 0.5}, {"kept", 4, 0.5}};
+  const auto merged = merge_stricter(previous, updated).tenants;
+  REQUIRE(merged.size() == 3);
+  CHECK(merged[1].quota_per_second == 4);
+  CHECK(merged[2].name == "gone");
 }
 
 namespace {
 
-nlohmann::json with_peers(const std::string& patch, bool may_tell = true) {
+nlohmann::json config_with_peers(const std::string& patch, bool may_tell = true) {
   auto document = nlohmann::json::parse(
       R"({"listen":"127.0.0.1:1","nameserver":"127.0.0.1:2","peer_listen":"10.0.0.9:7000","settings":{"grades":[
       {"name":"q","effect":"pure","target":1,"deadline":5}],"permissions":{"max_attempts":2}}})");
@@ -193,29 +193,29 @@
 
 }  // namespace
 
-TEST_CASE("peers: the shapes that say the same are read the same") {
+TEST_CASE("peers: equivalent notations are read as the same peers") {
   const SocketAddress first{0x0a000001, 7000}, second{0x0a000002, 7001};
   for (const char* peers :
        {R"(["10.0.0.1:7000","10.0.0.2:7001"])", R"({"0":"10.0.0.1:7000","1":"10.0.0.2:7001"})",
         R"([{"name":"0","address":"10.0.0.1:7000"},{"id":1,"host_port":"10.0.0.2:7001"}])",
         R"([{"addr":"10.0.0.1:7000"},"10.0.0.2:7001"])"}) {
     INFO(peers);
-    const Config config = read_config(with_peers(std::string(R"({"peers":)") + peers + "}"));
+    const Config config = read_config(config_with_peers(std::string(R"({"peers":)") + peers + "}"));
     CHECK_FALSE(config.peers_error);
     REQUIRE(config.peers);
     CHECK(config.peers->listen == SocketAddress{0x0a000009, 7000});
     CHECK(config.peers->peers == std::vector<PeerConfig>{{"0", first}, {"1", second}});
     CHECK_FALSE(config.peers->broadcast_address);
   }
-  const Config named = read_config(
-      with_peers(R"({"peers":{"n10":"10.0.0.1:7000","n2":"10.0.0.2:7001"},"peers_all":"10.0.0.3:7"})"));
+  const Config named = read_config(config_with_peers(
+      R"({"peers":{"n10":"10.0.0.1:7000","n2":"10.0.0.2:7001"},"peers_all":"10.0.0.3:7"})"));
   REQUIRE(named.peers);
   CHECK(named.peers->peers.front().name == "n2");
   CHECK(named.peers->broadcast_address == SocketAddress{0x0a000003, 7});
 }
 
-TEST_CASE("peers: what can't be used is named by its key and stops nobody") {
-  // Guards against a dispatcher that does not start, or does not reread, for want of what it can do without.
+TEST_CASE("peers: an invalid value is reported with its key and does not fail the configuration") {
+  // Guards against a dispatcher that does not start or reload because of an optional setting.
   nlohmann::json many = nlohmann::json::array();
   for (int i = 0; i < 1025; ++i) many.push_back("10.0.0.1:" + std::to_string(1000 + i));
   const std::vector<std::pair<std::string, std::string>> faults{
@@ -241,26 +241,25 @@
   for (const bool may_tell : {true, false}) {
     for (const auto& [patch, fault] : faults) {
       INFO(patch);
-      const Config config = read_config(with_peers(patch, may_tell));
+      const Config config = read_config(config_with_peers(patch, may_tell));
       REQUIRE(config.peers_error);
       CHECK(std::string(config.peers_error->what()).starts_with(fault));
       CHECK_FALSE(config.peers);
     }
   }
-  for (const char* nobody : {R"({})", R"({"peers":[]})", R"({"peers":{},"peer_listen":null})"}) {
-    INFO(nobody);
-    CHECK_FALSE(read_config(with_peers(nobody)).peers_error);
-    CHECK_FALSE(read_config(with_peers(nobody)).peers);
+  for (const char* no_peers : {R"({})", R"({"peers":[]})", R"({"peers":{},"peer_listen":null})"}) {
+    INFO(no_peers);
+    CHECK_FALSE(read_config(config_with_peers(no_peers)).peers_error);
+    CHECK_FALSE(read_config(config_with_peers(no_peers)).peers);
   }
-  const Config forbidden = read_config(with_peers(R"({"peers":["10.0.0.1:7"]})", false));
+  const Config forbidden = read_config(config_with_peers(R"({"peers":["10.0.0.1:7"]})", false));
   CHECK_FALSE(forbidden.peers_error);
   CHECK_FALSE(forbidden.peers);
 }
 
-TEST_CASE(
-    "peers: a change of settings takes fresh ones, keeps those it does not name and the address we hear at") {
+TEST_CASE("peers: a reload replaces peers, keeps those it does not name, and keeps the listen address") {
   const auto loaded = [](const std::string& patch, bool may_tell = true) {
-    auto document = with_peers(patch, may_tell);
+    auto document = config_with_peers(patch, may_tell);
     Config config = read_config(document);
     config.document = std::make_shared<const nlohmann::json>(std::move(document));
     return config;
@@ -270,14 +269,14 @@
   CHECK(peers_after_reload(running, loaded(R"({"peers":7})")) == running.peers);
   CHECK_FALSE(peers_after_reload(running, loaded(R"({"peers":[]})")));
   CHECK_FALSE(peers_after_reload(running, loaded("{}", false)));
-  const auto moved =
+  const auto reloaded =
       peers_after_reload(running, loaded(R"({"peers":["10.0.0.2:7"],"peer_listen":"10.0.0.9:8"})"));
-  REQUIRE(moved);
-  CHECK(moved->listen == running.peers->listen);
-  CHECK(moved->peers.front().address == SocketAddress{0x0a000002, 7});
+  REQUIRE(reloaded);
+  CHECK(reloaded->listen == running.peers->listen);
+  CHECK(reloaded->peers.front().address == SocketAddress{0x0a000002, 7});
 }
 
-TEST_CASE("peers: a running dispatcher says what is wrong with them and serves, and rereads without them") {
+TEST_CASE("peers: a running dispatcher reports invalid peers, serves, and reloads without them") {
   run_scenario(R"(
     engines a
     set /settings/permissions/may_tell false
@@ -302,7 +301,7 @@
     expect figure load_errors=0)");
 }
 
-TEST_CASE("peers: --check names what is wrong with them") {
+TEST_CASE("peers: --check reports the invalid key") {
   const std::string folder = test::make_temporary_directory(), file = folder + "/peers.toml",
                     out = folder + "/out";
   std::ifstream example(ROOKPROXY_ROOT "/deploy/mysql.toml");
@@ -314,11 +313,11 @@
   std::filesystem::remove_all(folder);
 }
 
-TEST_CASE("drains: the last send by a deployment's grace and how often its directory is asked") {
+TEST_CASE("drains: the latest send follows from the grace period and the poll interval of discovery") {
   struct Case {
-    Duration poll, grace, last;  // from the word on
+    Duration poll, grace, last;  // after the announcement
   };
-  // One answer may be lost and the next comes 1.1 polls later; a turn takes 30 ms.
+  // One response may be lost and the next arrives 1.1 polls later. A loop iteration takes up to 30 ms.
   for (const auto& [poll, grace, last] :
        {Case{200ms, 1s, 750ms}, Case{200ms, 2s, 1750ms}, Case{20ms, 1s, 948ms}, Case{0ms, 1s, 970ms},
         Case{1s, 1s, 0ms}, Case{200ms, 0s, 0ms}}) {
@@ -330,18 +329,18 @@
 
 namespace {
 
-struct Core final : EngineTransport {
-  explicit Core(rookproxy::routing::Settings settings)
-      : log(text, LogLevel::kDebug, "h", "a"), core(loop, log, figures, settings, {"addis-dc1"}, {}) {
-    core.set_transport(*this);
-    loop.on_iteration_end([this] { core.process_events(); });
+struct DispatcherWithFakeTransport final : EngineTransport {
+  explicit DispatcherWithFakeTransport(rookproxy::routing::Settings settings)
+      : log(text, LogLevel::kDebug, "h", "a"), dispatcher(loop, log, metrics, settings, {"addis-dc1"}, {}) {
+    dispatcher.set_transport(*this);
+    loop.on_iteration_end([this] { dispatcher.process_events(); });
   }
-  void list(rookproxy::routing::EngineState a, std::optional<Time> told = std::nullopt) {
-    core.update_endpoints({{"a", {0x7f000001, 1}, a, "addis-dc1", "engine-a", 0, 1, std::nullopt}}, false,
-                          told);
-    core.process_events();
+  void update_endpoint(rookproxy::routing::EngineState a, std::optional<Time> announced_at = std::nullopt) {
+    dispatcher.update_endpoints({{"a", {0x7f000001, 1}, a, "addis-dc1", "engine-a", 0, 1, std::nullopt}},
+                                false, announced_at);
+    dispatcher.process_events();
   }
-  void run_to(Time end) {
+  void run_until(Time end) {
     loop.run_at(end, [this] { loop.stop(); });
     loop.run();
   }
@@ -356,8 +355,8 @@
   std::ostringstream text;
   EventLoop loop;
   Logger log;
-  Metrics figures;
-  Dispatcher core;
+  Metrics metrics;
+  Dispatcher dispatcher;
   std::vector<Time> closed;
 };
 
@@ -369,57 +368,58 @@
 
 }  // namespace
 
-TEST_CASE("drains: what waits for an engine may leave for most of the grace, whatever its length") {
-  // Guards against a margin that takes nearly half of a grace of one second.
+TEST_CASE("drains: a waiting attempt may be sent for most of the grace period, whatever its length") {
+  // Guards against a margin that takes nearly half of a grace period of one second.
   for (const Duration grace : {Duration(1s), Duration(2s)}) {
-    Core bench(settings_with_grace(grace));
-    bench.list(rookproxy::routing::EngineState::kServing);
-    bench.list(rookproxy::routing::EngineState::kDraining);
-    const Time told = bench.loop.now();
-    bench.run_to(told + grace);
-    REQUIRE(bench.closed.size() == 1);
-    CHECK(bench.closed[0] - told >= grace - 300ms);
+    DispatcherWithFakeTransport fixture(settings_with_grace(grace));
+    fixture.update_endpoint(rookproxy::routing::EngineState::kServing);
+    fixture.update_endpoint(rookproxy::routing::EngineState::kDraining);
+    const Time announced_at = fixture.loop.now();
+    fixture.run_until(announced_at + grace);
+    REQUIRE(fixture.closed.size() == 1);
+    CHECK(fixture.closed[0] - announced_at >= grace - 300ms);
   }
 }
 
-TEST_CASE("drains: one that is heard late ends when it would have, had it been heard") {
-  // Guards against a request that waits for its connection and leaves a whole grace after the word, when the
-  // answer that held the word was lost.
-  for (const Duration late : {Duration(500ms), Duration(5s)}) {
-    Core bench(settings_with_grace(1s));
-    bench.list(rookproxy::routing::EngineState::kServing);
-    const Time heard = bench.loop.now();
-    bench.list(rookproxy::routing::EngineState::kDraining, heard - late);
-    bench.run_to(heard + 1s);
-    REQUIRE(bench.closed.size() == 1);
-    CHECK((bench.closed[0] < heard + 650ms));  // a whole grace from the word on, less the margin: 750 ms
+TEST_CASE("drains: a drain that is received late ends as if it had been received on time") {
+  // Guards against a request that waits for its connection and is sent a whole grace period after the late
+  // announcement, when the response that carried the first one was lost.
+  for (const Duration delay : {Duration(500ms), Duration(5s)}) {
+    DispatcherWithFakeTransport fixture(settings_with_grace(1s));
+    fixture.update_endpoint(rookproxy::routing::EngineState::kServing);
+    const Time received_at = fixture.loop.now();
+    fixture.update_endpoint(rookproxy::routing::EngineState::kDraining, received_at - delay);
+    fixture.run_until(received_at + 1s);
+    REQUIRE(fixture.closed.size() == 1);
+    // A whole grace period from the late announcement, less the margin, would be 750 ms.
+    CHECK((fixture.closed[0] < received_at + 650ms));
   }
 }
 
-TEST_CASE("drains: a grace that a change of settings makes shorter holds for drains under way") {
-  Core bench(settings_with_grace(60s));
-  bench.list(rookproxy::routing::EngineState::kServing);
-  bench.list(rookproxy::routing::EngineState::kDraining);
-  bench.core.change_settings(settings_with_grace(300ms), {"addis-dc1"}, {});
-  bench.run_to(bench.loop.now() + 2s);
-  CHECK_FALSE(bench.closed.empty());
+TEST_CASE("drains: a grace period shortened by a reload applies to drains in progress") {
+  DispatcherWithFakeTransport fixture(settings_with_grace(60s));
+  fixture.update_endpoint(rookproxy::routing::EngineState::kServing);
+  fixture.update_endpoint(rookproxy::routing::EngineState::kDraining);
+  fixture.dispatcher.change_settings(settings_with_grace(300ms), {"addis-dc1"}, {});
+  fixture.run_until(fixture.loop.now() + 2s);
+  CHECK_FALSE(fixture.closed.empty());
 }
 
-TEST_CASE("drains: a request between two connections does not dial an engine that has been closed") {
-  // Guards against a first byte after the grace, over a connection that is made then.
-  struct Ends final : EngineTransportCallbacks {
+TEST_CASE("drains: a request between two connections does not connect to an engine whose drain ended") {
+  // Guards against a first byte after the grace period, on a connection established then.
+  struct RecordingCallbacks final : EngineTransportCallbacks {
     std::vector<Outcome> outcomes;
-    bool closed = false;  // the core's word
+    bool closed = false;  // set when the dispatcher ends the drain
     bool may_start(AttemptKey) override { return !closed; }
     void on_attempt_ended(AttemptKey, AttemptResult end) override { outcomes.push_back(end.outcome); }
     void on_attempt_update(AttemptKey, rookproxy::routing::AttemptUpdateKind, double) override {}
     void on_probe_ended(EngineId, Outcome, std::optional<LoadReport>) override {}
-  } ends;
+  } callbacks;
   std::ostringstream text;
   EventLoop loop;
   Logger log(text, LogLevel::kDebug, "h", "a");
-  Metrics figures;
-  LineProtocolPool pool(loop, log, ends, figures, {});
+  Metrics metrics;
+  LineProtocolPool pool(loop, log, callbacks, metrics, {});
   const FileDescriptor listener = test::listen_on_free_port();
   pool.set_engine_address(0, {0x7f000001, local_port(listener)});
   auto query = std::make_shared<Query>();
@@ -427,36 +427,37 @@
   query->class_name = "q";
   bool was_reset = false;
   std::optional<test::TestConnection> engine;
-  std::function<void()> look = [&] {
+  std::function<void()> poll_engine = [&] {
     if (!engine && test::wait_until_readable(listener, 0ms)) engine.emplace(accept_connection(listener));
-    if (engine && engine->read_more(1ms) && ends.outcomes.empty()) engine->send("1 data parts=1 0\r\n\r\n");
-    if (ends.outcomes.empty()) return static_cast<void>(loop.run_at(loop.now() + 1ms, look));
-    const linger at_once{1, 0};
-    ::setsockopt(engine->fd().get(), SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
+    if (engine && engine->read_more(1ms) && callbacks.outcomes.empty())
+      engine->send("1 data parts=1 0\r\n\r\n");
+    if (callbacks.outcomes.empty()) return static_cast<void>(loop.run_at(loop.now() + 1ms, poll_engine));
+    const linger reset_on_close{1, 0};
+    ::setsockopt(engine->fd().get(), SOL_SOCKET, SO_LINGER, &reset_on_close, sizeof reset_on_close);
     engine->close();
     auto next = std::make_shared<Query>(*query);
     next->id = "2";
     pool.send({{2, 0}, 0, next, loop.now() + 1s, {}, 1});
     loop.defer([&] {
-      ends.closed = true;
+      callbacks.closed = true;
       pool.stop_new_attempts(0);
     });
     was_reset = true;
     loop.run_at(loop.now() + 100ms, [&] { loop.stop(); });
   };
   pool.send({{1, 0}, 0, query, loop.now() + 1s, {}, 1});
-  loop.run_at(loop.now(), look);
+  loop.run_at(loop.now(), poll_engine);
   loop.run();
   REQUIRE(was_reset);
-  REQUIRE(ends.outcomes.size() == 2);
-  CHECK(ends.outcomes[1] == Outcome::kNotSent);  // no word against the engine
+  REQUIRE(callbacks.outcomes.size() == 2);
+  CHECK(callbacks.outcomes[1] == Outcome::kNotSent);  // does not count against the engine
   CHECK_FALSE(test::wait_until_readable(listener, 0ms));
 }
 
 namespace {
 
-// A load waits for its connection to engine a, whose queue is full: the kernel tries again a second later.
-std::string load_waits_for_a(const std::string& engines, const std::string& drain_grace) {
+// A load waits for its connection to engine a, whose accept queue is full: the kernel retries a second later.
+std::string scenario_with_load_waiting_for_a(const std::string& engines, const std::string& drain_grace) {
   return "engines " + engines + "\nset /settings/safety/drain_grace " + drain_grace + R"(
     set /directory_poll_ms 200
     set /settings/permissions/dial_timeout 5000000
@@ -472,15 +473,16 @@
 
 }  // namespace
 
-TEST_CASE("drains: what waits for a draining engine goes elsewhere at once, or uses the grace if it has to") {
-  run_scenario(load_waits_for_a("a b", "5000000") + R"(
+TEST_CASE(
+    "drains: a request waiting for a draining engine moves at once, or uses the grace period if it must") {
+  run_scenario(scenario_with_load_waiting_for_a("a b", "5000000") + R"(
     directory a=draining b=up
     let a
     expect b REQ
     send b data parts=1 ok\n
     expect c served 1 ok\n
     expect a nothing 1000)");
-  run_scenario(load_waits_for_a("a", "5000000") + R"(
+  run_scenario(scenario_with_load_waiting_for_a("a", "5000000") + R"(
     directory a=draining
     let a
     expect a REQ
@@ -488,14 +490,14 @@
     expect c served 1 ok\n)");
 }
 
-TEST_CASE("drains: a request whose connection comes up after a short grace does not leave") {
-  run_scenario(load_waits_for_a("a", "500000") + R"(
+TEST_CASE("drains: a request whose connection is established after the grace period is not sent") {
+  run_scenario(scenario_with_load_waiting_for_a("a", "500000") + R"(
     directory a=draining
     let a
     expect a nothing 2000)");
 }
 
-TEST_CASE("refusals for lack of room say no longer than clients are ready to stay away") {
+TEST_CASE("a rejection for lack of capacity has a retry delay within the configured maximum") {
   run_scenario(R"(
     engines a
     set /settings/permissions/max_retry_after 300000
@@ -504,14 +506,15 @@
     repeat 32 send c fields + op=lookup,call=new,ttl=3000 SELECT 1
     send c request 1 lookup 3000 SELECT 2
     expect c pushback 1 300)");
-  // 0: clients heed no advice, which is no reason not to start.
-  CHECK(read_config(with_peers(R"({"settings":{"permissions":{"max_retry_after":0}}})"))
+  // 0: clients ignore retry delays, which is a valid setting.
+  CHECK(read_config(config_with_peers(R"({"settings":{"permissions":{"max_retry_after":0}}})"))
             .rejection_retry_after == 1s);
 }
 
-TEST_CASE("a keyed class's key against repeats goes on to engines with every attempt") {
-  // Guards against a request that is not as its client sent it: an engine that is given no key knows no
-  // repeat. A safe class has none, and a key that could break the line to the engine is told by name.
+TEST_CASE("the deduplication key of a keyed class is forwarded to engines with every attempt") {
+  // Guards against a forwarded request that differs from the client's: without the key an engine can't detect
+  // a repetition. An idempotent class has no key, and a key that would corrupt the line to the engine is
+  // rejected with its field.
   run_scenario(R"(
     engines a
     set /settings/grades/1/effect "token"
