--- a/tests/integration/connection_close_test.cpp
+++ b/tests/integration/connection_close_test.cpp
@@ -1,5 +1,5 @@
-// How connections of clients end: in an order that the test controls, on real sockets, with the loop in a
-// thread of its own and the client in the test's.
+// How client connections end, on real sockets in an order that the test controls. The event loop runs in its
+// own thread, the client in the test's.
 #include <fcntl.h>
 #include <malloc.h>
 #include <netinet/tcp.h>
@@ -38,39 +38,41 @@
 
 namespace {
 
-// A front with its core, and links that only write down what they are told.
+// Both frontends with a dispatcher, and a transport to engines that only records its calls.
 struct FrontendFixture final : EngineTransport {
   explicit FrontendFixture(FramesFrontend::Limits limits = {})
       : log(text, LogLevel::kDebug, "h", "a"),
-        core(host.loop, log, figures, read_config(read_json()).settings, {"z"}, {}) {
-    host.run([&] {
-      core.set_transport(*this);
-      host.on_iteration_end = [this] { core.process_events(); };
-      core.update_endpoints(
+        dispatcher(loop_thread.loop, log, metrics, read_config(read_json()).settings, {"z"}, {}) {
+    loop_thread.run([&] {
+      dispatcher.set_transport(*this);
+      loop_thread.on_iteration_end = [this] { dispatcher.process_events(); };
+      dispatcher.update_endpoints(
           {{"a", {0x7f000001, 1}, rookproxy::routing::EngineState::kServing, "z", "m", 0, 1, std::nullopt}},
           false);
-      core.process_events();
-      frames = std::make_unique<FramesFrontend>(host.loop, log, core, listen_on_free_port(), limits);
+      dispatcher.process_events();
+      frames =
+          std::make_unique<FramesFrontend>(loop_thread.loop, log, dispatcher, listen_on_free_port(), limits);
       frames->set_accepting(true);
       MysqlFrontendConfig config;
       config.users = {{"school", "secret"}};
       config.read_class = "lookup";
       config.load_class = "load";
       config.read_timeout = config.load_timeout = kWaitLimit;
-      mysql = std::make_unique<MysqlFrontend>(host.loop, log, core, listen_on_free_port(), config, 1);
+      mysql = std::make_unique<MysqlFrontend>(loop_thread.loop, log, dispatcher, listen_on_free_port(),
+                                              config, 1);
       mysql->set_accepting(true);
     });
   }
   ~FrontendFixture() {
-    host.finish([this] {
+    loop_thread.finish([this] {
       frames.reset();
       mysql.reset();
-      host.on_iteration_end = {};
+      loop_thread.on_iteration_end = {};
     });
   }
   static nlohmann::json read_json() {
     nlohmann::json document = default_dispatcher_config();
-    document["nameserver"] = "127.0.0.1:1";  // never asked
+    document["nameserver"] = "127.0.0.1:1";  // not used
     document["settings"]["permissions"]["second_copies"] = false;
     return document;
   }
@@ -107,15 +109,17 @@
     }
     return frames::encode_frame(frames::kRequest, stream, payload + statement);
   }
-  bool sent(std::size_t count) {
-    return host.until([&] { return orders.size() >= count; });
+  bool wait_for_attempts(std::size_t count) {
+    return loop_thread.until([&] { return attempts.size() >= count; });
   }
-  void serve(std::size_t order, const std::string& body) {
-    host.run([&] { core.on_attempt_ended(orders.at(order).key, {Outcome::kServed, std::nullopt, body}); });
+  void serve(std::size_t attempt, const std::string& body) {
+    loop_thread.run([&] {
+      dispatcher.on_attempt_ended(attempts.at(attempt).key, {Outcome::kServed, std::nullopt, body});
+    });
   }
 
-  void send(const AttemptRequest& order) override { orders.push_back(order); }
-  bool cancel_if_unsent(AttemptKey) override { return false; }  // whatever is sent here has begun
+  void send(const AttemptRequest& attempt) override { attempts.push_back(attempt); }
+  bool cancel_if_unsent(AttemptKey) override { return false; }  // every attempt counts as sent
   bool cancel(AttemptKey key) override {
     cancelled.push_back(key);
     return true;
@@ -126,19 +130,19 @@
   void stop_new_attempts(EngineId) override {}
 
   std::ostringstream text;
-  EventLoopThread host;
+  EventLoopThread loop_thread;
   Logger log;
-  Metrics figures;
-  Dispatcher core;
+  Metrics metrics;
+  Dispatcher dispatcher;
   std::unique_ptr<FramesFrontend> frames;
   std::unique_ptr<MysqlFrontend> mysql;
   unsigned calls = 0;
-  std::vector<AttemptRequest> orders;
+  std::vector<AttemptRequest> attempts;
   std::vector<AttemptKey> cancelled;
 };
 
-// What an ending in order leaves a client: whole answers by stream, and the end.
-std::map<std::uint32_t, int> codes_of(std::string_view bytes) {
+// The status codes by stream of a connection that ended gracefully: only complete responses, then the end.
+std::map<std::uint32_t, int> status_codes_of(std::string_view bytes) {
   std::map<std::uint32_t, int> codes;
   frames::Frame frame;
   std::size_t used = 0;
@@ -152,273 +156,278 @@
 
 }  // namespace
 
-TEST_CASE("frames: all connections end in order, each once what is open has its answer") {
-  FrontendFixture bench;
-  TestConnection busy = bench.client(), idle = bench.client(), silent = bench.client();
-  busy.send(bench.request(1));
-  REQUIRE(bench.sent(1));
-  idle.send(bench.request(1));
-  REQUIRE(bench.sent(2));
-  bench.serve(1, "one");
+TEST_CASE("frames: on graceful close each connection ends after its open requests have responses") {
+  FrontendFixture fixture;
+  TestConnection busy = fixture.client(), idle = fixture.client(), silent = fixture.client();
+  busy.send(fixture.request(1));
+  REQUIRE(fixture.wait_for_attempts(1));
+  idle.send(fixture.request(1));
+  REQUIRE(fixture.wait_for_attempts(2));
+  fixture.serve(1, "one");
   REQUIRE(idle.wait_for_bytes(1));
-  REQUIRE(bench.host.until([&] { return bench.core.open_request_count() == 1; }));
-  bench.host.run([&] { bench.frames->close_all_gracefully(kWaitLimit); });
-  // Behind our end nothing is sent on, and it resets nothing.
-  idle.send(bench.request(2));
+  REQUIRE(fixture.loop_thread.until([&] { return fixture.dispatcher.open_request_count() == 1; }));
+  fixture.loop_thread.run([&] { fixture.frames->close_all_gracefully(kWaitLimit); });
+  // After the frontend's FIN nothing is forwarded, and the connection is not reset.
+  idle.send(fixture.request(2));
   const ReadResult read = read_to_end(idle.fd());
   CHECK(read.error == 0);
-  CHECK(codes_of(idle.buffer() + read.bytes) == std::map<std::uint32_t, int>{{1, frames::kServed}});
+  CHECK(status_codes_of(idle.buffer() + read.bytes) == std::map<std::uint32_t, int>{{1, frames::kServed}});
   CHECK(read_to_end(silent.fd()).error == 0);
-  // What comes while an answer is owed is refused, and the answer comes.
-  busy.send(bench.request(2));
+  // A request that arrives while a response is outstanding is rejected, and the response is sent.
+  busy.send(fixture.request(2));
   REQUIRE(busy.wait_for_bytes(1));
-  bench.serve(0, "late");
+  fixture.serve(0, "late");
   const ReadResult last = read_to_end(busy.fd());
   CHECK(last.error == 0);
-  CHECK(codes_of(busy.buffer() + last.bytes) ==
+  CHECK(status_codes_of(busy.buffer() + last.bytes) ==
         std::map<std::uint32_t, int>{{1, frames::kServed}, {2, frames::kRejected}});
-  CHECK(bench.host.run([&] { return bench.frames->has_connections(); }));
+  CHECK(fixture.loop_thread.run([&] { return fixture.frames->has_connections(); }));
   idle.close(), silent.close(), busy.close();
-  CHECK(bench.host.until([&] { return !bench.frames->has_connections(); }));
-  CHECK(bench.orders.size() == 2);
+  CHECK(fixture.loop_thread.until([&] { return !fixture.frames->has_connections(); }));
+  CHECK(fixture.attempts.size() == 2);
 }
 
-TEST_CASE("frames: a request that lies unread when all connections end is served") {
-  // Guards against an end before the last look: its client wrote to a connection that was open.
-  FrontendFixture bench;
-  TestConnection client = bench.client();
-  client.send(bench.request(1));
-  REQUIRE(bench.sent(1));
-  bench.serve(0, "one");
+TEST_CASE("frames: a request that is still unread at graceful close is served") {
+  // Guards against closing before a last read: the client wrote to a connection that was open.
+  FrontendFixture fixture;
+  TestConnection client = fixture.client();
+  client.send(fixture.request(1));
+  REQUIRE(fixture.wait_for_attempts(1));
+  fixture.serve(0, "one");
   REQUIRE(client.wait_for_bytes(1));
-  bench.host.run([&] {
-    client.send(bench.request(2));  // in the kernel before the loop's next turn
-    bench.frames->close_all_gracefully(kWaitLimit);
+  fixture.loop_thread.run([&] {
+    client.send(fixture.request(2));  // in the kernel before the next loop iteration
+    fixture.frames->close_all_gracefully(kWaitLimit);
   });
-  REQUIRE(bench.sent(2));
-  bench.serve(1, "two");
+  REQUIRE(fixture.wait_for_attempts(2));
+  fixture.serve(1, "two");
   const ReadResult read = read_to_end(client.fd());
   CHECK(read.error == 0);
-  CHECK(codes_of(client.buffer() + read.bytes) ==
+  CHECK(status_codes_of(client.buffer() + read.bytes) ==
         std::map<std::uint32_t, int>{{1, frames::kServed}, {2, frames::kServed}});
 }
 
-TEST_CASE("frames: who never ends its side is closed at the bound") {
-  FrontendFixture bench;
-  TestConnection client = bench.client();
-  client.send(bench.request(1));
-  REQUIRE(bench.sent(1));
-  bench.host.run([&] { bench.frames->close_all_gracefully(50ms); });
-  bench.serve(0, "one");
-  CHECK(bench.host.until([&] { return !bench.frames->has_connections(); }));
+TEST_CASE("frames: a client that never closes its side is closed after the timeout") {
+  FrontendFixture fixture;
+  TestConnection client = fixture.client();
+  client.send(fixture.request(1));
+  REQUIRE(fixture.wait_for_attempts(1));
+  fixture.loop_thread.run([&] { fixture.frames->close_all_gracefully(50ms); });
+  fixture.serve(0, "one");
+  CHECK(fixture.loop_thread.until([&] { return !fixture.frames->has_connections(); }));
   CHECK(read_to_end(client.fd()).error == 0);
 }
 
-TEST_CASE("mysql: all connections end in order, each once its command has its answer") {
-  FrontendFixture bench;
-  TestConnection busy = bench.mysql_client(), idle = bench.mysql_client(),
-                 silent = TestConnection::connect(bench.mysql->port());
+TEST_CASE("mysql: on graceful close each connection ends after its command has a response") {
+  FrontendFixture fixture;
+  TestConnection busy = fixture.mysql_client(), idle = fixture.mysql_client(),
+                 silent = TestConnection::connect(fixture.mysql->port());
   REQUIRE(read_mysql_message(silent));
   busy.send(FrontendFixture::query("SELECT 1"));
-  REQUIRE(bench.sent(1));
-  bench.host.run([&] { bench.mysql->close_all_gracefully(kWaitLimit); });
+  REQUIRE(fixture.wait_for_attempts(1));
+  fixture.loop_thread.run([&] { fixture.mysql->close_all_gracefully(kWaitLimit); });
   idle.send(FrontendFixture::query("SELECT 2"));
   busy.send(FrontendFixture::query("SELECT 3"));
   CHECK(read_to_end(idle.fd()).error == 0);
   CHECK(read_to_end(silent.fd()).error == 0);
   std::uint8_t sequence = 1;
   const std::string answer = mysql::split_into_packets(mysql::ok_payload(0, 0, mysql::kAutocommit), sequence);
-  bench.serve(0, answer);
+  fixture.serve(0, answer);
   const ReadResult read = read_to_end(busy.fd());
   CHECK(read.error == 0);
   CHECK(read.bytes == answer);
-  CHECK(bench.host.run([&] { return bench.mysql->has_connections(); }));
+  CHECK(fixture.loop_thread.run([&] { return fixture.mysql->has_connections(); }));
   idle.close(), silent.close(), busy.close();
-  CHECK(bench.host.until([&] { return !bench.mysql->has_connections(); }));
-  CHECK(bench.orders.size() == 1);
+  CHECK(fixture.loop_thread.until([&] { return !fixture.mysql->has_connections(); }));
+  CHECK(fixture.attempts.size() == 1);
 }
 
 namespace {
 
-// The steps of a request's life at which its client may go, each brought about by the test.
-struct Departure {
+// A way in which a client disconnects.
+struct ClientDisconnect {
   const char* how;
-  std::function<void(FrontendFixture&, TestConnection&)> go;
+  std::function<void(FrontendFixture&, TestConnection&)> disconnect;
 };
-// The ways to go while the front reads nothing: the end must be seen all the same, and at once.
-const std::vector<Departure>& departures() {
-  static const std::vector<Departure> ways{
+// Disconnects that must be detected at once although the frontend reads nothing.
+const std::vector<ClientDisconnect>& client_disconnects() {
+  static const std::vector<ClientDisconnect> kinds{
       {"ends its side", [](FrontendFixture&, TestConnection& peer) { ::shutdown(peer.fd().get(), SHUT_WR); }},
       {"closes", [](FrontendFixture&, TestConnection& peer) { peer.close(); }},
       {"resets",
        [](FrontendFixture&, TestConnection& peer) {
-         const linger none{1, 0};
-         ::setsockopt(peer.fd().get(), SOL_SOCKET, SO_LINGER, &none, sizeof none);
+         const linger reset_on_close{1, 0};
+         ::setsockopt(peer.fd().get(), SOL_SOCKET, SO_LINGER, &reset_on_close, sizeof reset_on_close);
          peer.close();
        }},
   };
-  return ways;
+  return kinds;
 }
 
 }  // namespace
 
-TEST_CASE("frames: a client that has gone is noticed while nothing is read from it") {
-  // Guards against attempts for nobody: the end lay unseen while the client's answers were not taken.
-  for (const auto& [how, go] : departures()) {
+TEST_CASE("frames: a client's disconnect is detected while reading is paused") {
+  // Guards against attempts without a client: the disconnect went unnoticed while responses could not be
+  // written.
+  for (const auto& [how, disconnect] : client_disconnects()) {
     INFO(how);
     FramesFrontend::Limits limits;
     limits.max_unread_bytes_per_connection = 64 * 1024;
-    FrontendFixture bench(limits);
-    TestConnection client = bench.client();
-    // Answers until the kernel takes no more, so that reading is held; then one more is open.
+    FrontendFixture fixture(limits);
+    TestConnection client = fixture.client();
+    // Sends responses until the kernel accepts no more and reading is paused. One more request is open then.
     std::uint32_t stream = 0;
-    client.send(bench.request(++stream));
-    REQUIRE(bench.sent(stream));
+    client.send(fixture.request(++stream));
+    REQUIRE(fixture.wait_for_attempts(stream));
     const std::string body(40'000, 'r');
-    const auto is_queued = [&] { return bench.host.run([&] { return !bench.frames->is_flushed(); }); };
-    while (!is_queued()) {
-      client.send(bench.request(++stream));
-      REQUIRE(bench.sent(stream));
-      bench.serve(stream - 2, body);
-      REQUIRE(bench.host.until([&] { return bench.core.open_request_count() == 1; }));
+    const auto has_unsent_output = [&] {
+      return fixture.loop_thread.run([&] { return !fixture.frames->is_flushed(); });
+    };
+    while (!has_unsent_output()) {
+      client.send(fixture.request(++stream));
+      REQUIRE(fixture.wait_for_attempts(stream));
+      fixture.serve(stream - 2, body);
+      REQUIRE(fixture.loop_thread.until([&] { return fixture.dispatcher.open_request_count() == 1; }));
     }
     std::uint32_t last = stream;
-    for (int more = 0; more < 3; ++more) client.send(bench.request(++stream));
-    REQUIRE(bench.sent(stream));
-    for (; last < stream; ++last) bench.serve(last - 1, body);
-    REQUIRE(bench.host.until([&] { return bench.core.open_request_count() == 1; }));
-    client.send(bench.request(++stream));  // lies unread, and must stay so
-    go(bench, client);
-    // Well before its deadline, which is 3 s off.
-    CHECK(bench.host.until([&] { return bench.core.open_request_count() == 0; }, 1500ms));
-    CHECK(bench.host.run([&] { return bench.cancelled.size(); }) == 1);
-    CHECK(bench.host.run([&] { return bench.orders.size(); }) == stream - 1);
+    for (int more = 0; more < 3; ++more) client.send(fixture.request(++stream));
+    REQUIRE(fixture.wait_for_attempts(stream));
+    for (; last < stream; ++last) fixture.serve(last - 1, body);
+    REQUIRE(fixture.loop_thread.until([&] { return fixture.dispatcher.open_request_count() == 1; }));
+    client.send(fixture.request(++stream));  // stays unread
+    disconnect(fixture, client);
+    // Well before the request's deadline of 3 s.
+    CHECK(fixture.loop_thread.until([&] { return fixture.dispatcher.open_request_count() == 0; }, 1500ms));
+    CHECK(fixture.loop_thread.run([&] { return fixture.cancelled.size(); }) == 1);
+    CHECK(fixture.loop_thread.run([&] { return fixture.attempts.size(); }) == stream - 1);
   }
 }
 
-TEST_CASE("mysql: a client that has gone is noticed while its command runs") {
-  for (const auto& [how, go] : departures()) {
+TEST_CASE("mysql: a client's disconnect is detected while its command runs") {
+  for (const auto& [how, disconnect] : client_disconnects()) {
     INFO(how);
-    FrontendFixture bench;
-    TestConnection client = bench.mysql_client();
+    FrontendFixture fixture;
+    TestConnection client = fixture.mysql_client();
     client.send(FrontendFixture::query("SELECT 1"));
-    REQUIRE(bench.sent(1));
+    REQUIRE(fixture.wait_for_attempts(1));
     client.send(FrontendFixture::query("SELECT 2") + FrontendFixture::query(std::string(50'000, 'x')));
-    go(bench, client);
-    CHECK(bench.host.until([&] { return bench.core.open_request_count() == 0; }));
-    CHECK(bench.host.run([&] { return bench.cancelled.size(); }) == 1);
-    CHECK(bench.host.run([&] { return bench.orders.size(); }) == 1);
+    disconnect(fixture, client);
+    CHECK(fixture.loop_thread.until([&] { return fixture.dispatcher.open_request_count() == 0; }));
+    CHECK(fixture.loop_thread.run([&] { return fixture.cancelled.size(); }) == 1);
+    CHECK(fixture.loop_thread.run([&] { return fixture.attempts.size(); }) == 1);
   }
 }
 
-TEST_CASE("fronts: what came in one piece with its client's end is not sent on") {
-  FrontendFixture bench;
-  TestConnection of_frames = bench.client(), of_mysql = bench.mysql_client();
-  REQUIRE(bench.host.until([&] { return bench.frames->has_connections(); }));
-  bench.host.run([&] {
-    of_frames.send(bench.request(1) + bench.request(2));
-    of_mysql.send(FrontendFixture::query("SELECT 1"));
-    of_frames.close();
-    of_mysql.close();
+TEST_CASE("fronts: requests received together with the client's disconnect are not forwarded") {
+  FrontendFixture fixture;
+  TestConnection frames_peer = fixture.client(), mysql_peer = fixture.mysql_client();
+  REQUIRE(fixture.loop_thread.until([&] { return fixture.frames->has_connections(); }));
+  fixture.loop_thread.run([&] {
+    frames_peer.send(fixture.request(1) + fixture.request(2));
+    mysql_peer.send(FrontendFixture::query("SELECT 1"));
+    frames_peer.close();
+    mysql_peer.close();
   });
-  CHECK(
-      bench.host.until([&] { return !bench.frames->has_connections() && !bench.mysql->has_connections(); }));
-  CHECK(bench.orders.empty());
-  CHECK(bench.core.open_request_count() == 0);
+  CHECK(fixture.loop_thread.until(
+      [&] { return !fixture.frames->has_connections() && !fixture.mysql->has_connections(); }));
+  CHECK(fixture.attempts.empty());
+  CHECK(fixture.dispatcher.open_request_count() == 0);
 }
 
-TEST_CASE("frames: an abandoned stream is called off on a broken connection, too") {
-  // Guards against attempts for somebody who has gone, for as long as another stream keeps the connection.
-  FrontendFixture bench;
-  TestConnection client = bench.client();
-  client.send(bench.request(1) + bench.request(2));
-  REQUIRE(bench.sent(2));
+TEST_CASE("frames: a cancelled stream cancels its attempt on a connection with a protocol error") {
+  // Guards against attempts without a client for as long as another stream keeps the connection open.
+  FrontendFixture fixture;
+  TestConnection client = fixture.client();
+  client.send(fixture.request(1) + fixture.request(2));
+  REQUIRE(fixture.wait_for_attempts(2));
   client.send(frames::encode_frame(77, 3, "") + frames::encode_frame(frames::kCancel, 2, ""));
-  CHECK(bench.host.until([&] { return bench.core.open_request_count() == 1; }));
-  CHECK(bench.host.run([&] { return bench.cancelled.size(); }) == 1);
-  CHECK(bench.host.run([&] { return bench.cancelled.at(0) == bench.orders.at(1).key; }));
+  CHECK(fixture.loop_thread.until([&] { return fixture.dispatcher.open_request_count() == 1; }));
+  CHECK(fixture.loop_thread.run([&] { return fixture.cancelled.size(); }) == 1);
+  CHECK(fixture.loop_thread.run([&] { return fixture.cancelled.at(0) == fixture.attempts.at(1).key; }));
   client.send(frames::encode_frame(frames::kCancel, 1, ""));
   const ReadResult read = read_to_end(client.fd());
   CHECK(read.error == 0);
-  CHECK(codes_of(read.bytes) == std::map<std::uint32_t, int>{{0, frames::kFailed}});
+  CHECK(status_codes_of(read.bytes) == std::map<std::uint32_t, int>{{0, frames::kFailed}});
 }
 
-TEST_CASE("frames: the end of a client is noticed where its frames can't be told apart") {
-  FrontendFixture bench;
-  TestConnection client = bench.client();
-  client.send(bench.request(1));
-  REQUIRE(bench.sent(1));
+TEST_CASE("frames: a client's disconnect is detected after its frames became unreadable") {
+  FrontendFixture fixture;
+  TestConnection client = fixture.client();
+  client.send(fixture.request(1));
+  REQUIRE(fixture.wait_for_attempts(1));
   client.send(std::string(4, '\xff') + std::string(100'000, 'x'));
   REQUIRE(client.wait_for_bytes(1));
   client.close();
-  CHECK(bench.host.until([&] { return bench.core.open_request_count() == 0; }));
-  CHECK(bench.host.run([&] { return bench.cancelled.size(); }) == 1);
+  CHECK(fixture.loop_thread.until([&] { return fixture.dispatcher.open_request_count() == 0; }));
+  CHECK(fixture.loop_thread.run([&] { return fixture.cancelled.size(); }) == 1);
 }
 
-TEST_CASE("frames: an idle connection ends in order, and not over a request that lies unread") {
+TEST_CASE("frames: an idle connection closes gracefully, but not with an unread request") {
   FramesFrontend::Limits limits;
   limits.idle_timeout = 100ms;
-  FrontendFixture bench(limits);
-  TestConnection client = bench.client();
-  client.send(bench.request(1));
-  REQUIRE(bench.sent(1));
-  bench.serve(0, "one");
+  FrontendFixture fixture(limits);
+  TestConnection client = fixture.client();
+  client.send(fixture.request(1));
+  REQUIRE(fixture.wait_for_attempts(1));
+  fixture.serve(0, "one");
   REQUIRE(client.wait_for_bytes(1));
-  // The loop stands still over the time at which the connection is idle, and the request comes meanwhile.
-  bench.host.run([&] {
+  // The loop is blocked past the idle timeout, and the request arrives meanwhile.
+  fixture.loop_thread.run([&] {
     std::this_thread::sleep_for(150ms);
-    bench.host.loop.run_at(bench.host.loop.now() + 1ms, [&] { client.send(bench.request(2)); });
+    fixture.loop_thread.loop.run_at(fixture.loop_thread.loop.now() + 1ms,
+                                    [&] { client.send(fixture.request(2)); });
   });
-  REQUIRE(bench.sent(2));
-  bench.serve(1, "two");
+  REQUIRE(fixture.wait_for_attempts(2));
+  fixture.serve(1, "two");
   const ReadResult read = read_to_end(client.fd());
   CHECK(read.error == 0);
-  CHECK(codes_of(client.buffer() + read.bytes) ==
+  CHECK(status_codes_of(client.buffer() + read.bytes) ==
         std::map<std::uint32_t, int>{{1, frames::kServed}, {2, frames::kServed}});
-  // Behind our end nothing is sent on, and nothing is reset.
-  client.send(bench.request(3));
-  CHECK(bench.host.run([&] { return bench.orders.size(); }) == 2);
+  // After the frontend's FIN nothing is forwarded, and the connection is not reset.
+  client.send(fixture.request(3));
+  CHECK(fixture.loop_thread.run([&] { return fixture.attempts.size(); }) == 2);
 }
 
-TEST_CASE("frames: who gives way to others is served first, and ends in order") {
-  // Guards against a reset over an answer just written, and against more connections than there may be.
+TEST_CASE("frames: a connection evicted for others is served first and closes gracefully") {
+  // Guards against a reset that discards a response just written, and against exceeding the connection limit.
   FramesFrontend::Limits limits;
   limits.max_connections = 8;
-  FrontendFixture bench(limits);
+  FrontendFixture fixture(limits);
   std::vector<TestConnection> clients;
   for (int i = 0; i < 7; ++i) {
-    clients.push_back(bench.client());
-    clients.back().send(bench.request(1));
-    REQUIRE(bench.sent(clients.size()));
-    bench.serve(clients.size() - 1, "one");
+    clients.push_back(fixture.client());
+    clients.back().send(fixture.request(1));
+    REQUIRE(fixture.wait_for_attempts(clients.size()));
+    fixture.serve(clients.size() - 1, "one");
     REQUIRE(clients.back().wait_for_bytes(1));
   }
-  std::this_thread::sleep_for(30ms);  // nobody is pushed out before what came with it could be read
-  std::vector<TestConnection> late;
-  bench.host.run([&] {
-    for (int i = 0; i < 2; ++i) late.push_back(bench.client());
-    clients[0].send(bench.request(2));  // comes in the turn in which others come
+  std::this_thread::sleep_for(30ms);  // a connection is evicted only after its data could be read
+  std::vector<TestConnection> new_clients;
+  fixture.loop_thread.run([&] {
+    for (int i = 0; i < 2; ++i) new_clients.push_back(fixture.client());
+    clients[0].send(fixture.request(2));  // arrives in the same iteration as the new connections
   });
-  REQUIRE(bench.sent(8));
-  bench.serve(7, "two");
-  for (TestConnection& one : late) one.send(bench.request(1));
-  REQUIRE(bench.sent(10));
+  REQUIRE(fixture.wait_for_attempts(8));
+  fixture.serve(7, "two");
+  for (TestConnection& one : new_clients) one.send(fixture.request(1));
+  REQUIRE(fixture.wait_for_attempts(10));
   REQUIRE(clients[0].read_more());
   const ReadResult first = read_to_end(clients[1].fd());
   CHECK(first.error == 0);
-  CHECK(codes_of(clients[1].buffer() + first.bytes) == std::map<std::uint32_t, int>{{1, frames::kServed}});
-  bench.serve(8, "late"), bench.serve(9, "late");
-  for (TestConnection& one : late) CHECK(one.wait_for_bytes(1));
+  CHECK(status_codes_of(clients[1].buffer() + first.bytes) ==
+        std::map<std::uint32_t, int>{{1, frames::kServed}});
+  fixture.serve(8, "late"), fixture.serve(9, "late");
+  for (TestConnection& one : new_clients) CHECK(one.wait_for_bytes(1));
 }
 
-TEST_CASE("mysql: an idle connection ends in order, and so does one that says goodbye") {
-  FrontendFixture bench;
-  TestConnection client = bench.mysql_client();
+TEST_CASE("mysql: a connection whose client quits closes gracefully") {
+  FrontendFixture fixture;
+  TestConnection client = fixture.mysql_client();
   client.send(FrontendFixture::query("SELECT 1"));
-  REQUIRE(bench.sent(1));
+  REQUIRE(fixture.wait_for_attempts(1));
   std::uint8_t sequence = 1;
   const std::string answer = mysql::split_into_packets(mysql::ok_payload(0, 0, mysql::kAutocommit), sequence);
-  bench.serve(0, answer);
+  fixture.serve(0, answer);
   sequence = 0;
   client.send(mysql::split_into_packets("\x01", sequence) + std::string(100'000, 'x'));
   const ReadResult read = read_to_end(client.fd());
@@ -428,7 +437,7 @@
 
 namespace {
 
-// Bytes that the program holds of its heap, in both kinds of blocks. A sanitizer's heap does not tell.
+// Bytes allocated on the heap, including mapped blocks. 0 with AddressSanitizer, which replaces the heap.
 std::size_t heap_bytes() {
 #ifdef __SANITIZE_ADDRESS__
   return 0;
@@ -439,37 +448,37 @@
 
 }  // namespace
 
-TEST_CASE("frames: a flood behind a broken frame is bounded while it comes, and gone with its clients") {
-  // Guards against a buffer for each such connection: they stay as long as something is open on them. Of
-  // large frames that have begun there are most_unfinished bytes, in good connections and broken ones.
+TEST_CASE("frames: data behind a protocol error uses bounded memory and is released with its clients") {
+  // Guards against a buffer for each connection with a protocol error, which lasts as long as a request is
+  // open on it. All incomplete large frames share max_partial_frame_bytes, on valid and broken connections.
   FramesFrontend::Limits limits;
   limits.max_partial_frame_bytes = 1u << 20;
-  FrontendFixture bench(limits);
-  std::vector<TestConnection> crowd;
+  FrontendFixture fixture(limits);
+  std::vector<TestConnection> flooding_clients;
   const std::string large = frames::encode_frame(frames::kRequest, 9, std::string(260'000, 'x'));
   const std::size_t before = heap_bytes();
   for (std::uint32_t i = 0; i < 30; ++i) {
-    crowd.push_back(bench.client());
-    crowd.back().send(bench.request(1) + frames::encode_frame(77, 3, ""));
-    REQUIRE(crowd.back().wait_for_bytes(1));  // it was told of the broken frame
-    crowd.back().send(std::string_view(large).substr(0, large.size() - 1));
+    flooding_clients.push_back(fixture.client());
+    flooding_clients.back().send(fixture.request(1) + frames::encode_frame(77, 3, ""));
+    REQUIRE(flooding_clients.back().wait_for_bytes(1));  // the protocol error was reported
+    flooding_clients.back().send(std::string_view(large).substr(0, large.size() - 1));
   }
-  // Others are served meanwhile. In each turn that this takes, 64 kB of each flood are read.
-  TestConnection good = bench.client();
+  // Other clients are served meanwhile. Each iteration reads 64 kB from each flooding client.
+  TestConnection other_client = fixture.client();
   for (int round = 0; round < 10; ++round) {
-    good.send(frames::encode_frame(frames::kReadinessQuery, 1, std::string(1, '\0')));
-    REQUIRE(good.wait_for_bytes(1));
-    good.buffer().clear();
+    other_client.send(frames::encode_frame(frames::kReadinessQuery, 1, std::string(1, '\0')));
+    REQUIRE(other_client.wait_for_bytes(1));
+    other_client.buffer().clear();
   }
-  CHECK(bench.host.run([&] { return bench.core.open_request_count(); }) == 30);
+  CHECK(fixture.loop_thread.run([&] { return fixture.dispatcher.open_request_count(); }) == 30);
   CHECK(heap_bytes() - before < (4u << 20));  // 7.8 MB were sent
-  crowd.clear();
-  CHECK(bench.host.until([&] { return bench.core.open_request_count() == 0; }));
+  flooding_clients.clear();
+  CHECK(fixture.loop_thread.until([&] { return fixture.dispatcher.open_request_count() == 0; }));
 }
 
-TEST_CASE("mysql: large commands that have begun share a budget, and little comes before a log-in") {
-  FrontendFixture bench;
-  bench.host.run([&] { bench.mysql->set_resource_limits(100, 1u << 20, 1u << 20); });
+TEST_CASE("mysql: large incomplete commands share a budget, and before log-in only little is accepted") {
+  FrontendFixture fixture;
+  fixture.loop_thread.run([&] { fixture.mysql->set_resource_limits(100, 1u << 20, 1u << 20); });
   const auto begin = [](std::size_t length, std::uint8_t sequence) {
     std::string head;
     mysql::append_integer(head, length, 3);
@@ -479,21 +488,22 @@
     const auto message = read_mysql_message(peer);
     return message && message->payload.starts_with('\xff') ? mysql::parse_error(message->payload).code : 0;
   };
-  TestConnection stranger = TestConnection::connect(bench.mysql->port());
-  REQUIRE(read_mysql_message(stranger));
-  stranger.send(begin(100'000, 1));
-  CHECK(error_of(stranger) == mysql::kPacketTooLarge);
-  TestConnection first = bench.mysql_client(), second = bench.mysql_client(), third = bench.mysql_client();
+  TestConnection unauthenticated = TestConnection::connect(fixture.mysql->port());
+  REQUIRE(read_mysql_message(unauthenticated));
+  unauthenticated.send(begin(100'000, 1));
+  CHECK(error_of(unauthenticated) == mysql::kPacketTooLarge);
+  TestConnection first = fixture.mysql_client(), second = fixture.mysql_client(),
+                 third = fixture.mysql_client();
   first.send(begin(900'000, 0));
-  CHECK(bench.host.until([&] { return bench.mysql->is_receiving_large_command(); }));
+  CHECK(fixture.loop_thread.until([&] { return fixture.mysql->is_receiving_large_command(); }));
   second.send(begin(900'000, 0));
   CHECK(error_of(second) == mysql::kOutOfResources);
-  third.send(FrontendFixture::query("SELECT 1"));  // small ones pass
-  REQUIRE(bench.sent(1));
+  third.send(FrontendFixture::query("SELECT 1"));  // small commands are accepted
+  REQUIRE(fixture.wait_for_attempts(1));
   first.close();
-  CHECK(bench.host.until([&] { return !bench.mysql->is_receiving_large_command(); }));
+  CHECK(fixture.loop_thread.until([&] { return !fixture.mysql->is_receiving_large_command(); }));
   third.close();
-  TestConnection fourth = bench.mysql_client();
+  TestConnection fourth = fixture.mysql_client();
   fourth.send(FrontendFixture::query("SELECT '" + std::string(900'000, 'x') + "'"));
-  CHECK(bench.sent(2));
+  CHECK(fixture.wait_for_attempts(2));
 }
