--- a/tests/integration/fault_injection_test.cpp
+++ b/tests/integration/fault_injection_test.cpp
@@ -1,5 +1,5 @@
-// Faults at every point: answers cut after each byte, clients that end at each step of a request's life,
-// drains told at each step of an attempt's.
+// Faults at every point: responses truncated after each byte, clients that disconnect at each stage of a
+// request, drains announced at each stage of an attempt.
 #include <catch2/catch.hpp>
 #include <memory>
 #include <thread>
@@ -11,13 +11,13 @@
 
 namespace {
 
-// ---- an engine's answer, cut after each byte
-// ----------------------------------------------------------------
+// An engine's response, truncated after each byte
 
-// Answers so that `most` bytes leave in all, pages as they are fetched; true if it was whole.
-bool write_truncated_response(TestCluster& world, std::size_t attempt, const std::string& kind,
-                              std::size_t most) {
-  const std::string id = world.observed_attempts[attempt].id;
+// Writes at most `max_bytes` bytes of a response, its pages as they are fetched. Returns whether it was
+// complete.
+bool write_truncated_response(TestCluster& cluster, std::size_t attempt, const std::string& kind,
+                              std::size_t max_bytes) {
+  const std::string id = cluster.observed_attempts[attempt].id;
   std::vector<std::string> parts{id + " " + kind + " - 0\r\n\r\n"};
   std::string body;
   if (kind == "news") parts = {id + " news detail=frac,value=0.5 0\r\n\r\n"};
@@ -32,21 +32,22 @@
     }
   }
   for (std::size_t part = 0; part < parts.size(); ++part) {
-    if (part > 0) world.settle();
-    if (part > 0 && !world.observed_attempts[attempt].fetched_parts.contains(part))
-      throw std::runtime_error("a page not fetched");
-    const std::size_t now = std::min(most, parts[part].size());
-    const bool whole = now == parts[part].size();
-    if (whole && part + 1 == parts.size()) {
-      if (kind == "data") world.record_served_body(attempt, body);
-      if (kind == "full" || kind == "moot") world.observed_attempts[attempt].proven_not_run_at = world.now();
-      if (kind != "news") world.observed_attempts[attempt].is_in_flight = false;
+    if (part > 0) cluster.settle();
+    if (part > 0 && !cluster.observed_attempts[attempt].fetched_parts.contains(part))
+      throw std::runtime_error("a page was not fetched");
+    const std::size_t now = std::min(max_bytes, parts[part].size());
+    const bool is_complete = now == parts[part].size();
+    if (is_complete && part + 1 == parts.size()) {
+      if (kind == "data") cluster.record_served_body(attempt, body);
+      if (kind == "full" || kind == "moot")
+        cluster.observed_attempts[attempt].proven_not_run_at = cluster.now();
+      if (kind != "news") cluster.observed_attempts[attempt].is_in_flight = false;
     }
-    world.write(attempt, parts[part].substr(0, now));
-    most -= now;
-    if (!whole) {
+    cluster.write(attempt, parts[part].substr(0, now));
+    max_bytes -= now;
+    if (!is_complete) {
       if (now > 0 || part > 0)
-        world.observed_attempts[attempt].is_in_flight = false;  // nothing more comes: it would not be read
+        cluster.observed_attempts[attempt].is_in_flight = false;  // no more bytes would be read
       return false;
     }
   }
@@ -57,35 +58,39 @@
   ManualClock clock;
   InvariantReport report;
   for (const char* cls : kClassNames) {
-    for (const CloseKind how : {CloseKind::kGraceful, CloseKind::kReset, CloseKind::kUnresponsive}) {
-      for (const bool every : {false, true}) {
-        if (every && how != CloseKind::kReset) continue;
-        bool whole = false;
-        for (std::size_t most = 0; !whole; ++most) {
-          ClusterOptions setup;
-          if (every) setup.max_attempts = 2;
-          TestCluster world(clock, setup);
-          const std::size_t client = world.connect(), request = world.send_request(client, cls);
-          world.send_request(client, "safe");  // is owed its own answer, perhaps from the same connection
-          // Answered from outside the engines' turn, which the pages need.
-          std::vector<std::size_t> come;
-          world.on_request = [&](std::size_t attempt) { come.push_back(attempt); };
-          world.settle();
-          const auto first = std::find(come.begin(), come.end(), world.attempt_of(request));
-          if (first == come.end()) throw std::runtime_error("no attempt");
-          std::swap(*first, come.front());
-          for (std::size_t i = 0; i < come.size(); ++i) {
-            if (i == 0 || (every && world.observed_attempts[come[i]].id == world.requests[request].call_id)) {
-              whole = write_truncated_response(world, come[i], kind, most);
-              world.settle();
-              world.close_attempt_connection(come[i], how);
+    for (const CloseKind close_kind : {CloseKind::kGraceful, CloseKind::kReset, CloseKind::kUnresponsive}) {
+      for (const bool truncate_all : {false, true}) {
+        if (truncate_all && close_kind != CloseKind::kReset) continue;
+        bool is_complete = false;
+        for (std::size_t max_bytes = 0; !is_complete; ++max_bytes) {
+          ClusterOptions options;
+          if (truncate_all) options.max_attempts = 2;
+          TestCluster cluster(clock, options);
+          const std::size_t client = cluster.connect(), request = cluster.send_request(client, cls);
+          cluster.send_request(client, "safe");  // needs its own response, possibly on the same connection
+          // Responses are written outside the engines' turn, because pages have to be fetched in between.
+          std::vector<std::size_t> received_attempts;
+          cluster.on_request = [&](std::size_t attempt) { received_attempts.push_back(attempt); };
+          cluster.settle();
+          const auto first =
+              std::find(received_attempts.begin(), received_attempts.end(), cluster.attempt_of(request));
+          if (first == received_attempts.end()) throw std::runtime_error("the request has no attempt");
+          std::swap(*first, received_attempts.front());
+          for (std::size_t i = 0; i < received_attempts.size(); ++i) {
+            if (i == 0 || (truncate_all && cluster.observed_attempts[received_attempts[i]].id ==
+                                               cluster.requests[request].call_id)) {
+              is_complete = write_truncated_response(cluster, received_attempts[i], kind, max_bytes);
+              cluster.settle();
+              cluster.close_attempt_connection(received_attempts[i], close_kind);
             } else {
-              world.serve(come[i]);
+              cluster.serve(received_attempts[i]);
             }
-            world.advance_time(i == 0 ? 60ms : 20ms);
+            cluster.advance_time(i == 0 ? 60ms : 20ms);
           }
-          report.add(world, PointName(cls, how == CloseKind::kUnresponsive ? "silence" : close_kind_name(how),
-                                      every ? "all" : "one", most));
+          report.add(
+              cluster,
+              PointName(cls, close_kind == CloseKind::kUnresponsive ? "silence" : close_kind_name(close_kind),
+                        truncate_all ? "all" : "one", max_bytes));
         }
       }
     }
@@ -96,20 +101,19 @@
 
 }  // namespace
 
-TEST_CASE("moments: an answer is cut after each byte") {
+TEST_CASE("moments: a response truncated after any byte violates no invariant") {
   for (const char* kind : {"data", "full", "failed", "news", "moot"}) truncate_response_at_each_byte(kind);
 }
 
-// ---- a client ends at each step of its request's life
-// -------------------------------------------------------
+// A client disconnects at each stage of its request
 
 namespace {
 
 enum class RequestStage {
   kConnected,
   kPartlySent,
-  kSent,      // no turn of the loop since its last byte
-  kAssigned,  // just one
+  kSent,      // no loop iteration since its last byte
+  kAssigned,  // one loop iteration
   kConnecting,
   kDuringIteration,
   kAttemptWritten,
@@ -119,275 +123,284 @@
   kBeforeFullResponse,
   kResponseForwarded
 };
-const char* const kStageNames[] = {"connected", "part",  "arriving", "placed", "dialling",     "between",
-                                   "written",   "noted", "half",     "whole",  "before whole", "answered"};
+const char* const kStageNames[] = {"connected",       "partly sent",          "sent",
+                                   "assigned",        "connecting",           "during iteration",
+                                   "attempt written", "progress reported",    "half response",
+                                   "full response",   "before full response", "response forwarded"};
 enum class ClientContext { kSingleRequest, kOtherRequests, kProtocolError };
-const char* const kClientContextNames[] = {"alone", "with others", "dead"};
+const char* const kClientContextNames[] = {"single request", "other requests", "protocol error"};
 
-// The engine's answer to it, in part or whole; nothing moves after it.
-void write_half_response(TestCluster& world, std::size_t attempt) {
-  world.write(attempt, world.observed_attempts[attempt].id + " data parts=1 9\r\na\tb");
-  world.observed_attempts[attempt].is_in_flight = false;  // nothing more comes
+// Writes half of the engine's response. Nothing follows it.
+void write_half_response(TestCluster& cluster, std::size_t attempt) {
+  cluster.write(attempt, cluster.observed_attempts[attempt].id + " data parts=1 9\r\na\tb");
+  cluster.observed_attempts[attempt].is_in_flight = false;  // nothing follows
 }
 
-// A first request warms connections, which then rest; whatever else engines get they hold.
-void warm_up_connections(TestCluster& world) {
-  world.on_request = [&world](std::size_t attempt) { world.serve(attempt); };
-  world.send_request(world.connect(), "safe");
-  world.settle();
-  world.on_request = [](std::size_t) {};
+// Opens connections with a first request. They are idle afterwards, and engines answer nothing more.
+void warm_up_connections(TestCluster& cluster) {
+  cluster.on_request = [&cluster](std::size_t attempt) { cluster.serve(attempt); };
+  cluster.send_request(cluster.connect(), "safe");
+  cluster.settle();
+  cluster.on_request = [](std::size_t) {};
 }
 
-// All resting connections to engines end; with `fill` none comes up any more.
-void close_idle_engine_connections(TestCluster& world, CloseKind how, bool fill) {
-  for (ScriptedEngine& engine : world.engines) {
+// Closes all idle connections to engines. With `fill`, no new one can be established.
+void close_idle_engine_connections(TestCluster& cluster, CloseKind close_kind, bool fill) {
+  for (ScriptedEngine& engine : cluster.engines) {
     if (fill) engine.fill_accept_queue();
-    for (std::size_t i = 0; i < engine.connections.size(); ++i) engine.close_connection(i, how);
+    for (std::size_t i = 0; i < engine.connections.size(); ++i) engine.close_connection(i, close_kind);
   }
 }
 
-// Brings a request so far, up to where `then` is to happen, and lets it happen.
-void advance_to_stage(TestCluster& world, RequestStage step, std::size_t client, std::size_t request,
-                      std::size_t part, bool spoil, const std::function<void()>& then) {
-  const auto spoil_now = [&] {
-    if (spoil) world.send_bytes(client, frames::encode_frame(99, 0, ""));
+// Advances a request to a stage and calls `action` at that point.
+void advance_to_stage(TestCluster& cluster, RequestStage stage, std::size_t client, std::size_t request,
+                      std::size_t part, bool add_protocol_error, const std::function<void()>& action) {
+  const auto send_protocol_error = [&] {
+    if (add_protocol_error) cluster.send_bytes(client, frames::encode_frame(99, 0, ""));
   };
-  if (step == RequestStage::kConnected || step == RequestStage::kPartlySent) {
-    spoil_now();
-    if (step == RequestStage::kPartlySent) world.send_bytes(client, world.frame(request).substr(0, part));
-    world.settle();
-    return then();
+  if (stage == RequestStage::kConnected || stage == RequestStage::kPartlySent) {
+    send_protocol_error();
+    if (stage == RequestStage::kPartlySent)
+      cluster.send_bytes(client, cluster.frame(request).substr(0, part));
+    cluster.settle();
+    return action();
   }
-  if (step == RequestStage::kConnecting) {
-    for (ScriptedEngine& engine : world.engines) engine.fill_accept_queue();
+  if (stage == RequestStage::kConnecting) {
+    for (ScriptedEngine& engine : cluster.engines) engine.fill_accept_queue();
   }
-  if (step == RequestStage::kDuringIteration) {
-    warm_up_connections(world);
-    world.before_settle_hook = [&] {
-      close_idle_engine_connections(world, CloseKind::kReset, true);
-      then();
+  if (stage == RequestStage::kDuringIteration) {
+    warm_up_connections(cluster);
+    cluster.before_settle_hook = [&] {
+      close_idle_engine_connections(cluster, CloseKind::kReset, true);
+      action();
     };
   }
-  world.requests[request].sent_at = world.now();
-  world.send_bytes(client, world.frame(request));
-  spoil_now();
-  if (step == RequestStage::kAssigned) world.loop.poll();
-  if (step == RequestStage::kSent || step == RequestStage::kAssigned) return then();
-  world.settle();
-  if (step == RequestStage::kDuringIteration) return;
-  if (step == RequestStage::kConnecting) return then();
-  const std::size_t attempt = world.attempt_of(request);
-  if (attempt == SIZE_MAX) throw std::runtime_error("no attempt");
-  if (step == RequestStage::kProgressReported)
-    world.write(attempt, world.observed_attempts[attempt].id + " news detail=frac,value=0.5 0\r\n\r\n");
-  if (step == RequestStage::kHalfResponse) write_half_response(world, attempt);
-  if (step == RequestStage::kResponseForwarded) world.clients[client].is_reading = false;
-  if (step == RequestStage::kFullResponse || step == RequestStage::kResponseForwarded) world.serve(attempt);
-  if (step != RequestStage::kFullResponse && step != RequestStage::kBeforeFullResponse) world.settle();
-  then();
-  if (step == RequestStage::kBeforeFullResponse) world.serve(attempt);
+  cluster.requests[request].sent_at = cluster.now();
+  cluster.send_bytes(client, cluster.frame(request));
+  send_protocol_error();
+  if (stage == RequestStage::kAssigned) cluster.loop.poll();
+  if (stage == RequestStage::kSent || stage == RequestStage::kAssigned) return action();
+  cluster.settle();
+  if (stage == RequestStage::kDuringIteration) return;
+  if (stage == RequestStage::kConnecting) return action();
+  const std::size_t attempt = cluster.attempt_of(request);
+  if (attempt == SIZE_MAX) throw std::runtime_error("the request has no attempt");
+  if (stage == RequestStage::kProgressReported)
+    cluster.write(attempt, cluster.observed_attempts[attempt].id + " news detail=frac,value=0.5 0\r\n\r\n");
+  if (stage == RequestStage::kHalfResponse) write_half_response(cluster, attempt);
+  if (stage == RequestStage::kResponseForwarded) cluster.clients[client].is_reading = false;
+  if (stage == RequestStage::kFullResponse || stage == RequestStage::kResponseForwarded)
+    cluster.serve(attempt);
+  if (stage != RequestStage::kFullResponse && stage != RequestStage::kBeforeFullResponse) cluster.settle();
+  action();
+  if (stage == RequestStage::kBeforeFullResponse) cluster.serve(attempt);
 }
 
 }  // namespace
 
-TEST_CASE("moments: a client ends at each step of its request's life") {
+TEST_CASE("moments: a client disconnect at any stage of a request violates no invariant") {
   ManualClock clock;
   InvariantReport report;
-  const auto point = [&](const ClusterOptions& setup, const char* cls, RequestStage step, CloseKind how,
-                         ClientContext company, std::size_t part) {
-    TestCluster world(clock, setup);
-    const std::size_t client = world.connect();
-    if (company == ClientContext::kOtherRequests) {
-      for (int i = 0; i < 3; ++i) world.send_request(client, "safe");
-      if (step != RequestStage::kConnecting) world.settle();
+  const auto point = [&](const ClusterOptions& options, const char* cls, RequestStage stage,
+                         CloseKind close_kind, ClientContext context, std::size_t part) {
+    TestCluster cluster(clock, options);
+    const std::size_t client = cluster.connect();
+    if (context == ClientContext::kOtherRequests) {
+      for (int i = 0; i < 3; ++i) cluster.send_request(client, "safe");
+      if (stage != RequestStage::kConnecting) cluster.settle();
     }
-    const std::size_t request = world.create_request(client, cls);
-    advance_to_stage(world, step, client, request, part, company == ClientContext::kProtocolError,
-                     [&] { world.disconnect_client(client, how, request); });
-    world.settle();
-    report.add(world,
-               PointName(kStageNames[static_cast<int>(step)], part, cls, close_kind_name(how),
-                         kClientContextNames[static_cast<int>(company)], setup.may_cancel ? "" : "no STOP"));
+    const std::size_t request = cluster.create_request(client, cls);
+    advance_to_stage(cluster, stage, client, request, part, context == ClientContext::kProtocolError,
+                     [&] { cluster.disconnect_client(client, close_kind, request); });
+    cluster.settle();
+    report.add(cluster, PointName(kStageNames[static_cast<int>(stage)], part, cls,
+                                  close_kind_name(close_kind), kClientContextNames[static_cast<int>(context)],
+                                  options.may_cancel ? "" : "no STOP"));
   };
-  TestCluster any(clock);
-  const std::size_t frame = any.frame(any.create_request(any.connect(), "safe")).size();
-  for (const ClientContext company :
+  TestCluster sample(clock);
+  const std::size_t frame = sample.frame(sample.create_request(sample.connect(), "safe")).size();
+  for (const ClientContext context :
        {ClientContext::kSingleRequest, ClientContext::kOtherRequests, ClientContext::kProtocolError}) {
-    for (const CloseKind how :
+    for (const CloseKind close_kind :
          {CloseKind::kGraceful, CloseKind::kReset, CloseKind::kHalfClose, CloseKind::kCancelRequest}) {
       for (const char* cls : kClassNames) {
-        for (int step = static_cast<int>(RequestStage::kSent);
-             step <= static_cast<int>(RequestStage::kResponseForwarded); ++step) {
+        for (int stage = static_cast<int>(RequestStage::kSent);
+             stage <= static_cast<int>(RequestStage::kResponseForwarded); ++stage) {
           for (const bool may_cancel : {true, false}) {
-            ClusterOptions setup;
-            setup.may_cancel = may_cancel;
-            point(setup, cls, static_cast<RequestStage>(step), how, company, 0);
+            ClusterOptions options;
+            options.may_cancel = may_cancel;
+            point(options, cls, static_cast<RequestStage>(stage), close_kind, context, 0);
           }
         }
       }
-      point({}, "safe", RequestStage::kConnected, how, company, 0);
-      for (std::size_t part = 1; how != CloseKind::kCancelRequest && part < frame; ++part)
-        point({}, "safe", RequestStage::kPartlySent, how, company, part);
+      point({}, "safe", RequestStage::kConnected, close_kind, context, 0);
+      for (std::size_t part = 1; close_kind != CloseKind::kCancelRequest && part < frame; ++part)
+        point({}, "safe", RequestStage::kPartlySent, close_kind, context, part);
     }
   }
   WARN(report.points << " points");
   CHECK(report.text() == "");
 }
 
-TEST_CASE("moments: a client that takes no answers ends while others of its requests are out") {
+TEST_CASE(
+    "moments: a client that reads no responses disconnects with other requests open, no invariant violated") {
   ManualClock clock;
   InvariantReport report;
-  for (const CloseKind how :
+  for (const CloseKind close_kind :
        {CloseKind::kGraceful, CloseKind::kReset, CloseKind::kHalfClose, CloseKind::kCancelRequest}) {
     for (const char* cls : kClassNames) {
-      ClusterOptions setup;
-      setup.small_buffers = true;
-      TestCluster world(clock, setup);
-      world.body_padding = std::string(40'000, 'x');
-      const std::size_t client = world.connect();
-      for (int i = 0; i < 4; ++i) world.send_request(client, "safe");
-      const std::size_t request = world.send_request(client, cls);
-      world.settle();
-      world.clients[client].is_reading = false;
-      for (std::size_t i = 0; i < world.observed_attempts.size(); ++i) {
-        if (world.observed_attempts[i].id != world.requests[request].call_id) world.serve(i);
+      ClusterOptions options;
+      options.small_buffers = true;
+      TestCluster cluster(clock, options);
+      cluster.body_padding = std::string(40'000, 'x');
+      const std::size_t client = cluster.connect();
+      for (int i = 0; i < 4; ++i) cluster.send_request(client, "safe");
+      const std::size_t request = cluster.send_request(client, cls);
+      cluster.settle();
+      cluster.clients[client].is_reading = false;
+      for (std::size_t i = 0; i < cluster.observed_attempts.size(); ++i) {
+        if (cluster.observed_attempts[i].id != cluster.requests[request].call_id) cluster.serve(i);
       }
-      world.settle();
-      world.disconnect_client(client, how, request);
-      world.settle();
-      report.add(world, PointName(cls, close_kind_name(how)));
+      cluster.settle();
+      cluster.disconnect_client(client, close_kind, request);
+      cluster.settle();
+      report.add(cluster, PointName(cls, close_kind_name(close_kind)));
     }
   }
   CHECK(report.text() == "");
 }
 
-// ---- orders that wait behind bytes an engine does not take
-// ----------------------------------------------------
+// Attempts queued behind bytes that an engine does not read
 
-// Requests of a quarter of a megabyte: more together than the kernel keeps for one connection.
+// Requests of 250 kB: together more than the kernel buffers for one connection.
 constexpr int kLargeRequestCount = 18;
 
-TEST_CASE("moments: an order waits behind what its engine does not read") {
+TEST_CASE("moments: an attempt queued behind bytes its engine does not read violates no invariant") {
   ManualClock clock;
   InvariantReport report;
-  const auto point = [&](const ClusterOptions& setup, const char* cls, const std::string& event,
-                         CloseKind how) {
-    TestCluster world(clock, setup);
-    for (std::size_t i = 1; i < 4; ++i) world.publish_endpoints(i, rookproxy::routing::EngineState::kRemoved);
-    ScriptedEngine& engine = world.engines[0];
+  const auto point = [&](const ClusterOptions& options, const char* cls, const std::string& event,
+                         CloseKind close_kind) {
+    TestCluster cluster(clock, options);
+    for (std::size_t i = 1; i < 4; ++i)
+      cluster.publish_endpoints(i, rookproxy::routing::EngineState::kRemoved);
+    ScriptedEngine& engine = cluster.engines[0];
     const int small = 4096;
     ::setsockopt(engine.listener.get(), SOL_SOCKET, SO_RCVBUF, &small, sizeof small);
     engine.is_reading = false;
-    const std::size_t other = world.connect(), client = world.connect();
-    world.statement += std::string(250'000, ' ');
+    const std::size_t other = cluster.connect(), client = cluster.connect();
+    cluster.statement += std::string(250'000, ' ');
     for (int i = 0; i < kLargeRequestCount; ++i) {
-      world.requests[world.send_request(other, "safe", 900ms)].may_lie_unread = true;
-      world.settle();
+      cluster.requests[cluster.send_request(other, "safe", 900ms)].may_lie_unread = true;
+      cluster.settle();
     }
-    world.statement.resize(19);
-    const std::size_t request = world.send_request(client, cls);
-    world.settle();
-    if (world.attempts_written() >= kLargeRequestCount) throw std::runtime_error("the kernel took them all");
-    if (world.pool.attempts_in_flight() <= kLargeRequestCount) throw std::runtime_error("no order waits");
-    if (event == "gone") world.disconnect_client(client, how, request);
+    cluster.statement.resize(19);
+    const std::size_t request = cluster.send_request(client, cls);
+    cluster.settle();
+    if (cluster.attempts_written() >= kLargeRequestCount)
+      throw std::runtime_error("the kernel buffered all requests");
+    if (cluster.pool.attempts_in_flight() <= kLargeRequestCount)
+      throw std::runtime_error("no attempt is waiting");
+    if (event == "gone") cluster.disconnect_client(client, close_kind, request);
     if (event == "cut") {
-      world.advance_time(30ms);
-      for (std::size_t i = 0; i < engine.connections.size(); ++i) engine.close_connection(i, how);
+      cluster.advance_time(30ms);
+      for (std::size_t i = 0; i < engine.connections.size(); ++i) engine.close_connection(i, close_kind);
     }
-    if (event == "drain") world.publish_endpoints(0, rookproxy::routing::EngineState::kDraining);
-    report.add(world, PointName(event, cls, close_kind_name(how), setup.may_cancel ? "" : "no STOP"));
+    if (event == "drain") cluster.publish_endpoints(0, rookproxy::routing::EngineState::kDraining);
+    report.add(cluster,
+               PointName(event, cls, close_kind_name(close_kind), options.may_cancel ? "" : "no STOP"));
   };
   for (const char* cls : kClassNames) {
-    if (std::string(cls) == "unsafe") continue;  // gets a connection of its own, and leaves at once
+    if (std::string(cls) == "unsafe") continue;  // has its own connection and is sent at once
     for (const bool may_cancel : {true, false}) {
-      ClusterOptions setup;
-      setup.may_cancel = may_cancel;
-      setup.streams_per_connection = 32;
-      setup.drain_grace_period = 120ms;
-      for (const CloseKind how :
+      ClusterOptions options;
+      options.may_cancel = may_cancel;
+      options.streams_per_connection = 32;
+      options.drain_grace_period = 120ms;
+      for (const CloseKind close_kind :
            {CloseKind::kGraceful, CloseKind::kReset, CloseKind::kHalfClose, CloseKind::kCancelRequest}) {
-        point(setup, cls, "gone", how);
+        point(options, cls, "gone", close_kind);
       }
-      for (const CloseKind how : {CloseKind::kGraceful, CloseKind::kReset}) point(setup, cls, "cut", how);
-      point(setup, cls, "drain", CloseKind::kUnresponsive);
+      for (const CloseKind close_kind : {CloseKind::kGraceful, CloseKind::kReset})
+        point(options, cls, "cut", close_kind);
+      point(options, cls, "drain", CloseKind::kUnresponsive);
     }
   }
   WARN(report.points << " points");
   CHECK(report.text() == "");
 }
 
-// ---- connections that end, come late or say too much
-// ---------------------------------------------------------
+// Connections that close, are established late or receive unexpected data
 
-TEST_CASE("moments: an engine ends its resting connection in the turn in which an order is placed on it") {
+TEST_CASE(
+    "moments: an engine closing an idle connection as an attempt is assigned to it violates no invariant") {
   ManualClock clock;
   InvariantReport report;
   for (const char* cls : kClassNames) {
-    for (const CloseKind how : {CloseKind::kGraceful, CloseKind::kReset}) {
-      for (const char* when : {"before", "with it", "between", "after"}) {
-        TestCluster world(clock);
-        warm_up_connections(world);
-        world.on_request = [&](std::size_t attempt) { world.serve(attempt); };
-        const auto ends = [&] { close_idle_engine_connections(world, how, false); };
-        const std::string order = when;
-        if (order == "before") ends();
-        if (order == "between") world.before_settle_hook = ends;
-        const std::size_t client = world.connect();
-        world.send_request(client, cls);
-        if (order == "with it") ends();
-        if (order == "after") {
-          world.loop.poll();
-          ends();
+    for (const CloseKind close_kind : {CloseKind::kGraceful, CloseKind::kReset}) {
+      for (const char* when : {"before", "with the request", "during iteration", "after"}) {
+        TestCluster cluster(clock);
+        warm_up_connections(cluster);
+        cluster.on_request = [&](std::size_t attempt) { cluster.serve(attempt); };
+        const auto close_connections = [&] { close_idle_engine_connections(cluster, close_kind, false); };
+        const std::string timing = when;
+        if (timing == "before") close_connections();
+        if (timing == "during iteration") cluster.before_settle_hook = close_connections;
+        const std::size_t client = cluster.connect();
+        cluster.send_request(client, cls);
+        if (timing == "with the request") close_connections();
+        if (timing == "after") {
+          cluster.loop.poll();
+          close_connections();
         }
-        world.settle();
-        report.add(world, PointName(cls, close_kind_name(how), when));
+        cluster.settle();
+        report.add(cluster, PointName(cls, close_kind_name(close_kind), when));
       }
     }
   }
   CHECK(report.text() == "");
 }
 
-TEST_CASE("moments: answers that come twice, late, or to what was given up") {
+TEST_CASE("moments: duplicate, late and unexpected responses violate no invariant") {
   ManualClock clock;
   InvariantReport report;
-  const auto words = [](TestCluster& world, std::size_t attempt, const std::string& what) {
-    const std::string& id = world.observed_attempts[attempt].id;
-    if (what == "data") return world.serve(attempt);
-    if (what == "full") return world.reject(attempt);
-    if (what == "page") return world.write(attempt, id + " page part_no=1 0\r\n\r\n");
-    if (what == "failed") world.observed_attempts[attempt].is_in_flight = false;
-    world.write(attempt, id + " " + what + " - 0\r\n\r\n");
+  const auto write_message = [](TestCluster& cluster, std::size_t attempt, const std::string& what) {
+    const std::string& id = cluster.observed_attempts[attempt].id;
+    if (what == "data") return cluster.serve(attempt);
+    if (what == "full") return cluster.reject(attempt);
+    if (what == "page") return cluster.write(attempt, id + " page part_no=1 0\r\n\r\n");
+    if (what == "failed") cluster.observed_attempts[attempt].is_in_flight = false;
+    cluster.write(attempt, id + " " + what + " - 0\r\n\r\n");
   };
   for (const char* cls : kClassNames) {
     for (const char* first : {"data", "full", "failed", "given up"}) {
       for (const char* second : {"data", "full", "failed", "news", "page", "moot"}) {
         for (const Duration pause : {0ms, 3ms, 40ms}) {
-          TestCluster world(clock);
-          const std::size_t client = world.connect();
-          world.send_request(client, "safe");  // shares its connection, and is owed its own answer
-          const std::size_t request = world.send_request(client, cls);
-          world.settle();
-          const std::size_t attempt = world.attempt_of(request);
-          if (attempt == SIZE_MAX) throw std::runtime_error("no attempt");
+          TestCluster cluster(clock);
+          const std::size_t client = cluster.connect();
+          cluster.send_request(client, "safe");  // shares the connection and needs its own response
+          const std::size_t request = cluster.send_request(client, cls);
+          cluster.settle();
+          const std::size_t attempt = cluster.attempt_of(request);
+          if (attempt == SIZE_MAX) throw std::runtime_error("the request has no attempt");
           if (std::string(first) == "given up") {
-            world.disconnect_client(client, CloseKind::kCancelRequest, request);
+            cluster.disconnect_client(client, CloseKind::kCancelRequest, request);
           } else {
-            words(world, attempt, first);
+            write_message(cluster, attempt, first);
           }
-          if (pause > Duration(0)) world.advance_time(pause);
-          // A second answer is none: what the first proved holds.
-          const ObservedAttempt before = world.observed_attempts[attempt];
-          const bool made = std::string(second) == "data" && std::string(first) != "given up";
-          if (made) {
-            world.write(attempt, before.id + " data parts=1 4\r\nab\tc\r\n");
+          if (pause > Duration(0)) cluster.advance_time(pause);
+          // A second response has no effect: what the first one proved holds.
+          const ObservedAttempt before = cluster.observed_attempts[attempt];
+          const bool is_second_data = std::string(second) == "data" && std::string(first) != "given up";
+          if (is_second_data) {
+            cluster.write(attempt, before.id + " data parts=1 4\r\nab\tc\r\n");
           } else if (std::string(second) == "full") {
-            world.write(attempt, before.id + " full - 0\r\n\r\n");
+            cluster.write(attempt, before.id + " full - 0\r\n\r\n");
           } else {
-            words(world, attempt, second);
+            write_message(cluster, attempt, second);
           }
-          if (std::string(first) != "given up") world.observed_attempts[attempt] = before;
-          world.settle();
-          report.add(world, PointName(cls, first, second, pause / 1ms));
+          if (std::string(first) != "given up") cluster.observed_attempts[attempt] = before;
+          cluster.settle();
+          report.add(cluster, PointName(cls, first, second, pause / 1ms));
         }
       }
     }
@@ -396,106 +409,108 @@
   CHECK(report.text() == "");
 }
 
-// The kernel asks again for a connection a second after it was dropped. The hand clock stands meanwhile; all
-// worlds wait that second together.
-TEST_CASE("moments: a connection comes up when its order's time is over") {
+// The kernel retries a dropped connect after a second. The manual clock stands still meanwhile, and all
+// clusters wait for that second together.
+TEST_CASE("moments: a connection established after its attempt's time limit violates no invariant") {
   ManualClock clock;
   InvariantReport report;
-  struct Late {
-    std::unique_ptr<TestCluster> world;
+  struct DelayedCase {
+    std::unique_ptr<TestCluster> cluster;
     std::string point;
-    std::function<void()> then;
+    std::function<void()> action;
   };
-  std::vector<Late> all;
-  ClusterOptions setup;
-  setup.dial_timeout = 5s;
+  std::vector<DelayedCase> cases;
+  ClusterOptions options;
+  options.dial_timeout = 5s;
   const auto add = [&](const ClusterOptions& with, const std::string& point) -> TestCluster& {
-    all.push_back({std::make_unique<TestCluster>(clock, with), point, [] {}});
-    return *all.back().world;
+    cases.push_back({std::make_unique<TestCluster>(clock, with), point, [] {}});
+    return *cases.back().cluster;
   };
   for (const char* cls : kClassNames) {
     for (const bool may_cancel : {true, false}) {
-      for (const CloseKind how :
+      for (const CloseKind close_kind :
            {CloseKind::kGraceful, CloseKind::kReset, CloseKind::kHalfClose, CloseKind::kCancelRequest}) {
-        setup.may_cancel = may_cancel;
-        TestCluster& world =
-            add(setup, PointName("gone", cls, close_kind_name(how), may_cancel ? "" : "no STOP"));
-        for (ScriptedEngine& engine : world.engines) engine.fill_accept_queue();
-        const std::size_t client = world.connect(), request = world.send_request(client, cls);
-        all.back().then = [&world, client, request, how] { world.disconnect_client(client, how, request); };
+        options.may_cancel = may_cancel;
+        TestCluster& cluster =
+            add(options, PointName("gone", cls, close_kind_name(close_kind), may_cancel ? "" : "no STOP"));
+        for (ScriptedEngine& engine : cluster.engines) engine.fill_accept_queue();
+        const std::size_t client = cluster.connect(), request = cluster.send_request(client, cls);
+        cases.back().action = [&cluster, client, request, close_kind] {
+          cluster.disconnect_client(client, close_kind, request);
+        };
       }
     }
-    setup.may_cancel = true;
-    TestCluster& late = add(setup, PointName("deadline", cls));
-    for (ScriptedEngine& engine : late.engines) engine.fill_accept_queue();
-    late.send_request(late.connect(), cls, 600ms);
+    options.may_cancel = true;
+    TestCluster& delayed = add(options, PointName("deadline", cls));
+    for (ScriptedEngine& engine : delayed.engines) engine.fill_accept_queue();
+    delayed.send_request(delayed.connect(), cls, 600ms);
     for (const auto state :
          {rookproxy::routing::EngineState::kDraining, rookproxy::routing::EngineState::kRemoved}) {
-      ClusterOptions brief = setup;
-      brief.drain_grace_period = 120ms;
-      TestCluster& world = add(brief, PointName("drain", cls, static_cast<int>(state)));
-      for (ScriptedEngine& engine : world.engines) engine.fill_accept_queue();
-      world.send_request(world.connect(), cls);
-      all.back().then = [&world, state] {
-        for (std::size_t i = 0; i < 4; ++i) world.publish_endpoints(i, state);
+      ClusterOptions short_grace = options;
+      short_grace.drain_grace_period = 120ms;
+      TestCluster& cluster = add(short_grace, PointName("drain", cls, static_cast<int>(state)));
+      for (ScriptedEngine& engine : cluster.engines) engine.fill_accept_queue();
+      cluster.send_request(cluster.connect(), cls);
+      cases.back().action = [&cluster, state] {
+        for (std::size_t i = 0; i < 4; ++i) cluster.publish_endpoints(i, state);
       };
     }
-    // A second attempt, behind one that may have run: its window ends while it dials.
-    TestCluster& second = add(setup, PointName("window", cls));
+    // A second attempt after one that may have run: its idempotency window ends while it connects.
+    TestCluster& second = add(options, PointName("window", cls));
     const std::size_t request = second.send_request(second.connect(), cls);
     second.settle();
     const std::size_t attempt = second.attempt_of(request);
-    if (attempt == SIZE_MAX) throw std::runtime_error("no attempt");
+    if (attempt == SIZE_MAX) throw std::runtime_error("the request has no attempt");
     for (ScriptedEngine& engine : second.engines) engine.fill_accept_queue();
-    all.back().then = [&second, attempt] { second.close_attempt_connection(attempt, CloseKind::kReset); };
+    cases.back().action = [&second, attempt] { second.close_attempt_connection(attempt, CloseKind::kReset); };
   }
-  std::vector<TestCluster*> worlds;
-  for (Late& late : all) worlds.push_back(late.world.get());
-  for (TestCluster* world : worlds) world->settle();
-  for (Late& late : all) {
-    if (late.world->pool.attempts_in_flight() == 0) throw std::runtime_error("no order waits: " + late.point);
-    late.then();
+  std::vector<TestCluster*> clusters;
+  for (DelayedCase& delayed : cases) clusters.push_back(delayed.cluster.get());
+  for (TestCluster* cluster : clusters) cluster->settle();
+  for (DelayedCase& delayed : cases) {
+    if (delayed.cluster->pool.attempts_in_flight() == 0)
+      throw std::runtime_error("no attempt is waiting: " + delayed.point);
+    delayed.action();
   }
-  TestCluster::advance_time(clock, worlds, 650ms);
-  for (TestCluster* world : worlds) {
-    for (ScriptedEngine& engine : world->engines) engine.resume();
+  TestCluster::advance_time(clock, clusters, 650ms);
+  for (TestCluster* cluster : clusters) {
+    for (ScriptedEngine& engine : cluster->engines) engine.resume();
   }
   const auto until = std::chrono::steady_clock::now() + 1500ms;
   while (std::chrono::steady_clock::now() < until) {
-    for (TestCluster* world : worlds) world->settle();
+    for (TestCluster* cluster : clusters) cluster->settle();
     std::this_thread::sleep_for(10ms);
   }
-  for (Late& late : all) {
-    report.add(*late.world, late.point);
-    late.world.reset();
+  for (DelayedCase& delayed : cases) {
+    report.add(*delayed.cluster, delayed.point);
+    delayed.cluster.reset();
   }
   WARN(report.points << " points");
   CHECK(report.text() == "");
 }
 
-// ---- drains and removals, told at each step of an attempt's life
-// ----------------------------------------------
+// Drains and removals, announced at each stage of an attempt
 
-TEST_CASE("moments: an engine drains or goes at each step of an attempt's life") {
+TEST_CASE("moments: an engine drain or removal at any stage of an attempt violates no invariant") {
   ManualClock clock;
   InvariantReport report;
   for (const auto state :
        {rookproxy::routing::EngineState::kDraining, rookproxy::routing::EngineState::kRemoved}) {
     for (const char* cls : kClassNames) {
-      for (int step = static_cast<int>(RequestStage::kSent);
-           step <= static_cast<int>(RequestStage::kResponseForwarded); ++step) {
+      for (int stage = static_cast<int>(RequestStage::kSent);
+           stage <= static_cast<int>(RequestStage::kResponseForwarded); ++stage) {
         for (const Duration later : {0ms, 100ms}) {
           for (std::size_t engine = 0; engine < 4; ++engine) {
-            ClusterOptions setup;
-            setup.drain_grace_period = 300ms;
-            TestCluster world(clock, setup);
-            const std::size_t client = world.connect(), request = world.create_request(client, cls);
-            advance_to_stage(world, static_cast<RequestStage>(step), client, request, 0, false,
-                             [&] { world.publish_endpoints(engine, state); });
-            world.clients[client].is_reading = true;
-            world.advance_time(later);
-            report.add(world, PointName(kStageNames[step], cls, static_cast<int>(state), "engine", engine,
-                                        later / 1ms));
+            ClusterOptions options;
+            options.drain_grace_period = 300ms;
+            TestCluster cluster(clock, options);
+            const std::size_t client = cluster.connect(), request = cluster.create_request(client, cls);
+            advance_to_stage(cluster, static_cast<RequestStage>(stage), client, request, 0, false,
+                             [&] { cluster.publish_endpoints(engine, state); });
+            cluster.clients[client].is_reading = true;
+            cluster.advance_time(later);
+            report.add(cluster, PointName(kStageNames[stage], cls, static_cast<int>(state), "engine", engine,
+                                          later / 1ms));
           }
         }
       }
@@ -505,24 +520,24 @@
   CHECK(report.text() == "");
 }
 
-TEST_CASE("moments: the front drains at each step of a request's life") {
+TEST_CASE("moments: a shutdown of the frontend at any stage of a request violates no invariant") {
   ManualClock clock;
   InvariantReport report;
   for (const char* cls : kClassNames) {
-    for (int step = static_cast<int>(RequestStage::kConnected);
-         step <= static_cast<int>(RequestStage::kResponseForwarded); ++step) {
-      for (const bool spoil : {false, true}) {
-        TestCluster world(clock);
-        const std::size_t client = world.connect(), request = world.create_request(client, cls);
-        advance_to_stage(world, static_cast<RequestStage>(step), client, request, 20, spoil,
-                         [&] { world.drain(); });
-        // What was begun is finished, and what comes behind the word is served as well.
-        if (step == static_cast<int>(RequestStage::kPartlySent) && !spoil) {
-          world.requests[request].sent_at = world.now();
-          world.send_bytes(client, world.frame(request).substr(20));
+    for (int stage = static_cast<int>(RequestStage::kConnected);
+         stage <= static_cast<int>(RequestStage::kResponseForwarded); ++stage) {
+      for (const bool add_protocol_error : {false, true}) {
+        TestCluster cluster(clock);
+        const std::size_t client = cluster.connect(), request = cluster.create_request(client, cls);
+        advance_to_stage(cluster, static_cast<RequestStage>(stage), client, request, 20, add_protocol_error,
+                         [&] { cluster.drain(); });
+        // A started request is completed, and requests that follow the announcement are served as well.
+        if (stage == static_cast<int>(RequestStage::kPartlySent) && !add_protocol_error) {
+          cluster.requests[request].sent_at = cluster.now();
+          cluster.send_bytes(client, cluster.frame(request).substr(20));
         }
-        if (!spoil) world.send_request(client, cls);
-        report.add(world, PointName(kStageNames[step], cls, spoil ? "dead" : ""));
+        if (!add_protocol_error) cluster.send_request(client, cls);
+        report.add(cluster, PointName(kStageNames[stage], cls, add_protocol_error ? "protocol error" : ""));
       }
     }
   }
